--- /dev/null
+++ b/src/cranecart/gossip/__init__.py
@@ -0,0 +1,48 @@
+"""Other nodes as peers: membership and the state that nodes share."""
+
+from cranecart.gossip._config_exchange import ConfigExchange, HeldConfig
+from cranecart.gossip._entries import (
+    Entry,
+    EntryKey,
+    MemberInfo,
+    MemberStatus,
+    Message,
+    Topic,
+    decode_message,
+    encode_message,
+)
+from cranecart.gossip._list_exchange import ListExchange
+from cranecart.gossip._members import Members
+from cranecart.gossip._protocol import (
+    GossipCallbacks,
+    GossipProtocol,
+    GossipSettings,
+    PayloadExchanges,
+)
+from cranecart.gossip._rendezvous import choose_nodes
+from cranecart.gossip._sender import GossipSender
+from cranecart.gossip._store import EntryStore
+from cranecart.transport import PeerTransport
+
+__all__ = (
+    'ConfigExchange',
+    'Entry',
+    'EntryKey',
+    'EntryStore',
+    'PayloadExchanges',
+    'HeldConfig',
+    'ListExchange',
+    'MemberInfo',
+    'MemberStatus',
+    'Message',
+    'Members',
+    'GossipCallbacks',
+    'GossipSettings',
+    'GossipProtocol',
+    'GossipSender',
+    'Topic',
+    'choose_nodes',
+    'decode_message',
+    'encode_message',
+    'PeerTransport',
+)
--- a/src/cranecart/nodes/_config_exchange.py
+++ b/src/cranecart/gossip/_config_exchange.py
@@ -7,14 +7,14 @@
 
 from cranecart.clocks import since_boot
 from cranecart.exceptions import DamagedObjectError
-from cranecart.logs import decision
-from cranecart.nodes._entries import (
+from cranecart.gossip._entries import (
     Entry,
     MemberInfo,
     Message,
     MessageKind,
 )
-from cranecart.nodes._speaker import Speaker
+from cranecart.gossip._sender import GossipSender
+from cranecart.logs import decision
 
 _ASK_SECONDS = 0.3
 
@@ -32,7 +32,7 @@
 class ConfigExchange:
     """Asks whoever announces a newer version, and gives to whoever asks."""
 
-    _speaker: Speaker
+    _speaker: GossipSender
     _read: Callable[[], HeldConfig]
     _take: Callable[[HeldConfig], object]
     _asked_at: float = attrs.field(default=float('-inf'), init=False)
--- a/src/cranecart/nodes/_list_exchange.py
+++ b/src/cranecart/gossip/_list_exchange.py
@@ -5,9 +5,9 @@
 import attrs
 import msgspec
 
+from cranecart.gossip._entries import Message, MessageKind
+from cranecart.gossip._sender import GossipSender
 from cranecart.instances import Instance
-from cranecart.nodes._entries import Message, MessageKind
-from cranecart.nodes._speaker import Speaker
 
 Instances = Sequence[Instance]
 
@@ -16,7 +16,7 @@
 class ListExchange:
     """Asks a peer while this node has no list; gives to whoever asks."""
 
-    _speaker: Speaker
+    _speaker: GossipSender
     _read: Callable[[], Instances]
     _take: Callable[[Instances], object]
 
--- a/src/cranecart/nodes/_members.py
+++ b/src/cranecart/gossip/_members.py
@@ -6,15 +6,15 @@
 import msgspec
 
 from cranecart.clocks import since_boot
-from cranecart.logs import decision
-from cranecart.nodes._entries import (
+from cranecart.gossip._entries import (
     Entry,
     EntryKey,
     MemberInfo,
     MemberStatus,
     Topic,
 )
-from cranecart.nodes._store import EntryStore
+from cranecart.gossip._store import EntryStore
+from cranecart.logs import decision
 
 SUSPECT_SECONDS = 2.5
 _FORGET_SECONDS = 60.0
--- a/src/cranecart/nodes/_turns.py
+++ b/src/cranecart/gossip/_prober.py
@@ -7,18 +7,18 @@
 import attrs
 import curio
 
-from cranecart.nodes._entries import Message, MessageKind
-from cranecart.nodes._speaker import Speaker
+from cranecart.gossip._entries import Message, MessageKind
+from cranecart.gossip._sender import GossipSender
 
 _HELPERS = 2
 _MAX_HELPED = 16
 
 
 @attrs.define
-class TurnProbing:
+class Prober:
     """Pings one node a turn; asks others to try before it is suspected."""
 
-    _speaker: Speaker
+    _speaker: GossipSender
     _random: random.Random
     _answer_seconds: float
     _numbers: Iterator[int] = attrs.field(
--- a/src/cranecart/nodes/_peers.py
+++ b/src/cranecart/gossip/_protocol.py
@@ -14,10 +14,8 @@
 import curio
 
 from cranecart.clocks import since_boot
-from cranecart.links._link import NodeLink
-from cranecart.logs import decision
-from cranecart.nodes._config_exchange import ConfigExchange
-from cranecart.nodes._entries import (
+from cranecart.gossip._config_exchange import ConfigExchange
+from cranecart.gossip._entries import (
     Entry,
     EntryKey,
     MemberStatus,
@@ -25,9 +23,11 @@
     MessageKind,
     Topic,
 )
-from cranecart.nodes._list_exchange import ListExchange
-from cranecart.nodes._speaker import Speaker
-from cranecart.nodes._turns import TurnProbing
+from cranecart.gossip._list_exchange import ListExchange
+from cranecart.gossip._prober import Prober
+from cranecart.gossip._sender import GossipSender
+from cranecart.logs import decision
+from cranecart.transport import PeerTransport
 
 _SYNC_AFTER = 4
 _SYNC_SECONDS = 3.0
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen
-class PeerSettings:
+class GossipSettings:
     """Timing of the probing, in seconds, and where to find the first peers."""
 
     seeds: Sequence[str] = ()
@@ -46,7 +46,7 @@
 
 
 @attrs.frozen
-class Exchanges:
+class PayloadExchanges:
     """What nodes get from each other besides entries."""
 
     config: ConfigExchange
@@ -54,7 +54,7 @@
 
 
 @attrs.frozen
-class PeerEvents:
+class GossipCallbacks:
     """Whom to tell: of each new entry, and of a pause of this node."""
 
     entry_accepted: Callable[[Entry], None]
@@ -64,16 +64,16 @@
 _OF_ALL_DOMAINS = frozenset((Topic.SUMMARY, Topic.CASE))
 
 
-class Peers:
+class GossipProtocol:
     """The part of a node that talks to other nodes."""
 
     def __init__(
         self,
-        speaker: Speaker,
-        link: NodeLink[Message],
-        settings: PeerSettings,
-        exchanges: Exchanges,
-        events: PeerEvents,
+        speaker: GossipSender,
+        link: PeerTransport[Message],
+        settings: GossipSettings,
+        exchanges: PayloadExchanges,
+        events: GossipCallbacks,
         source: random.Random,
     ) -> None:
         """Keep the parts; nothing is sent until ``run``."""
@@ -86,7 +86,7 @@
         self._instances = exchanges.instances
         self._events = events
         self._random = source
-        self._turns = TurnProbing(speaker, source, settings.answer_seconds)
+        self._turns = Prober(speaker, source, settings.answer_seconds)
         self._listed: tuple[str, ...] = ()
         self._sequence = 0
         self._dropped_at_change = -1
--- a/src/cranecart/nodes/_speaker.py
+++ b/src/cranecart/gossip/_sender.py
@@ -4,19 +4,19 @@
 
 import attrs
 
-from cranecart.links._link import NodeLink
-from cranecart.nodes._entries import Entry, Message, MessageKind, Topic
-from cranecart.nodes._members import Members, member_key
-from cranecart.nodes._store import EntryStore
+from cranecart.gossip._entries import Entry, Message, MessageKind, Topic
+from cranecart.gossip._members import Members, member_key
+from cranecart.gossip._store import EntryStore
+from cranecart.transport import PeerTransport
 
 
 @attrs.define
-class Speaker:
+class GossipSender:
     """Sends in this node's name; what it sends fits who it is sent to."""
 
     members: Members
     store: EntryStore
-    _link: NodeLink[Message]
+    _link: PeerTransport[Message]
 
     def send(self, address: str, kind: MessageKind, **fields: Any) -> None:
         """Send a message with the news that its receiver should hear."""
--- a/src/cranecart/nodes/_store.py
+++ b/src/cranecart/gossip/_store.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from cranecart.nodes._entries import Entry, EntryKey, Topic
+from cranecart.gossip._entries import Entry, EntryKey, Topic
 
 _SPREAD_FACTOR = 2
 _MAX_PER_MESSAGE = 48
--- a/src/cranecart/grouping/_duty.py
+++ b/src/cranecart/grouping/_duty.py
@@ -8,7 +8,7 @@
 from cranecart.fleet import ReplicaRecord
 from cranecart.ports import Orders
 
-Telling = Callable[[ReplicaRecord, str], None]
+MessageSender = Callable[[ReplicaRecord, str], None]
 
 
 @attrs.frozen
@@ -22,7 +22,7 @@
 
     lease: Lease
     orders: Orders
-    doubt: Telling
+    doubt: MessageSender
     lost: Callable[[str, str], None]
-    outdated: Telling
+    outdated: MessageSender
     is_lost: Callable[[str], bool]
--- a/src/cranecart/mesh/__init__.py
+++ b/src/cranecart/mesh/__init__.py
@@ -16,9 +16,9 @@
     decode_mesh_message,
     encode_mesh_message,
 )
-from cranecart.mesh._ranking import sharing_nodes
+from cranecart.mesh._rendezvous import sharing_node_count
 from cranecart.mesh._roster import PeerNode
-from cranecart.mesh._state import MeshEvents, OwnState
+from cranecart.mesh._state import LocalState, MeshCallbacks
 from cranecart.mesh._target_messages import (
     Broken,
     Leaving,
@@ -35,9 +35,9 @@
     'Leaving',
     'ListNews',
     'Mesh',
-    'MeshEvents',
+    'MeshCallbacks',
     'MeshMessage',
-    'OwnState',
+    'LocalState',
     'PeerNode',
     'RecordNews',
     'RequestCases',
@@ -48,5 +48,5 @@
     'TargetLimits',
     'decode_mesh_message',
     'encode_mesh_message',
-    'sharing_nodes',
+    'sharing_node_count',
 )
--- a/src/cranecart/mesh/_hearing.py
+++ b/src/cranecart/mesh/_handler.py
@@ -3,7 +3,6 @@
 import attrs
 
 from cranecart.fleet import Extent
-from cranecart.links import NodeLink
 from cranecart.logs import decision
 from cranecart.mesh._messages import (
     Beat,
@@ -19,22 +18,23 @@
     Suspect,
 )
 from cranecart.mesh._roster import PeerNode
-from cranecart.mesh._state import Circle, MeshEvents
+from cranecart.mesh._state import MeshCallbacks, MeshState
 from cranecart.mesh._target_messages import (
     Broken,
     Leaving,
     RequestCases,
     TargetLimits,
 )
+from cranecart.transport import PeerTransport
 
 
 @attrs.define
-class Hearing:
+class MessageHandler:
     """Sorts messages into what is kept and what somebody has to be told."""
 
-    _circle: Circle
-    _link: NodeLink[MeshMessage]
-    _events: MeshEvents
+    _circle: MeshState
+    _link: PeerTransport[MeshMessage]
+    _events: MeshCallbacks
     # The last version of each kind of news that was passed on.
     _passed_on: dict[tuple[type, Extent], int] = attrs.field(
         factory=dict,
--- a/src/cranecart/mesh/_mesh.py
+++ b/src/cranecart/mesh/_mesh.py
@@ -12,18 +12,18 @@
 import curio
 
 from cranecart.clocks import since_boot
-from cranecart.links import NodeLink
-from cranecart.mesh._hearing import Hearing
+from cranecart.mesh._handler import MessageHandler
 from cranecart.mesh._messages import MeshMessage, SourceNews, Stopped
 from cranecart.mesh._roster import PeerNode
-from cranecart.mesh._state import Circle, MeshEvents, OwnState
+from cranecart.mesh._sender import MessageSender
+from cranecart.mesh._state import LocalState, MeshCallbacks, MeshState
 from cranecart.mesh._target_messages import (
     Broken,
     Leaving,
     RequestCases,
     TargetLimits,
 )
-from cranecart.mesh._telling import Telling
+from cranecart.transport import PeerTransport
 
 # Counts of work in flight are as old as this at most; streams last about a
 # second on the deployments' sheets.
@@ -43,16 +43,16 @@
 
     def __init__(
         self,
-        own: OwnState,
-        link: NodeLink[MeshMessage],
-        events: MeshEvents,
+        own: LocalState,
+        link: PeerTransport[MeshMessage],
+        events: MeshCallbacks,
         clock: Callable[[], float] = since_boot,
     ) -> None:
         """Know nobody yet; nothing is told until ``run``."""
         self.own = own
-        self.circle = Circle(own, clock)
-        self.telling = Telling(self.circle, link, events)
-        self.hearing = Hearing(self.circle, link, events)
+        self.circle = MeshState(own, clock)
+        self.telling = MessageSender(self.circle, link, events)
+        self.hearing = MessageHandler(self.circle, link, events)
         self._link = link
         self._others = self.circle.others
         self._roster = self.circle.roster
--- a/src/cranecart/mesh/_others.py
+++ b/src/cranecart/mesh/_peer_state.py
@@ -118,7 +118,7 @@
 
 
 @attrs.define
-class Others:
+class PeerState:
     """The last messages of other nodes; they are summed up once a change.
 
     ``told`` is what this node told last, which the relay's sum holds.
--- a/src/cranecart/mesh/_ranking.py
+++ b/src/cranecart/mesh/_rendezvous.py
@@ -9,7 +9,7 @@
 import heapq
 from collections.abc import Collection
 
-from cranecart.mesh._state import Circle
+from cranecart.mesh._state import MeshState
 
 _DIGEST_BYTES = 8
 # Names of nodes by targets whose ranks are kept, as each is asked for anew
@@ -17,8 +17,8 @@
 _MOST_KEPT = 65536
 
 
-def sharing_nodes(
-    circle: Circle,
+def sharing_node_count(
+    circle: MeshState,
     failure_domain: str,
     name: str,
     most: int,
--- a/src/cranecart/mesh/_roster.py
+++ b/src/cranecart/mesh/_roster.py
@@ -6,7 +6,7 @@
 
 from cranecart.clocks import since_boot
 from cranecart.mesh._messages import Digest
-from cranecart.mesh._others import Others
+from cranecart.mesh._peer_state import PeerState
 
 # Up to so many nodes tell each other everything directly: sixty messages a
 # second cost a node about a hundredth of a core.
@@ -41,7 +41,7 @@
 
     _name: str
     _domain: str
-    _others: Others
+    _others: PeerState
     _clock: Callable[[], float] = since_boot
     peers: dict[str, PeerNode] = attrs.field(factory=dict, init=False)
     _since: dict[str, float] = attrs.field(factory=dict, init=False)
--- a/src/cranecart/mesh/_telling.py
+++ b/src/cranecart/mesh/_sender.py
@@ -2,7 +2,6 @@
 
 import attrs
 
-from cranecart.links import NodeLink
 from cranecart.mesh._messages import (
     Beat,
     ConfigAsk,
@@ -10,8 +9,9 @@
     MeshMessage,
     Summary,
 )
-from cranecart.mesh._others import Totals
-from cranecart.mesh._state import Circle, MeshEvents
+from cranecart.mesh._peer_state import Totals
+from cranecart.mesh._state import MeshCallbacks, MeshState
+from cranecart.transport import PeerTransport
 
 # How long the store may be ahead of a node before it asks another node, and how
 # long it waits for an answer: asked with each beat, one of half a megabyte was
@@ -21,12 +21,12 @@
 
 
 @attrs.define
-class Telling:
+class MessageSender:
     """Sends beats to all in a small deployment, by relays in a larger one."""
 
-    _circle: Circle
-    _link: NodeLink[MeshMessage]
-    _events: MeshEvents
+    _circle: MeshState
+    _link: PeerTransport[MeshMessage]
+    _events: MeshCallbacks
     _behind_since: float | None = attrs.field(default=None, init=False)
 
     def beat(self) -> Beat:
--- a/src/cranecart/mesh/_state.py
+++ b/src/cranecart/mesh/_state.py
@@ -7,9 +7,9 @@
 from cranecart.clocks import since_boot
 from cranecart.fleet import News
 from cranecart.mesh._messages import Stopped, Suspect
-from cranecart.mesh._notices import Notices
-from cranecart.mesh._others import Others
+from cranecart.mesh._peer_state import PeerState
 from cranecart.mesh._roster import Roster
+from cranecart.mesh._stop_notices import StopNotices
 from cranecart.mesh._target_messages import (
     Broken,
     Leaving,
@@ -21,7 +21,7 @@
 
 
 @attrs.define
-class OwnState:
+class LocalState:
     """What this node tells of itself with each beat."""
 
     node_id: str
@@ -35,7 +35,7 @@
 
 
 @attrs.frozen
-class MeshEvents:
+class MeshCallbacks:
     """Whom to tell what other nodes say.
 
     ``cases`` returns whether anything was new; ``renew_own`` brings this node's
@@ -57,22 +57,22 @@
 
 
 @attrs.define
-class Circle:
+class MeshState:
     """A node, the others, and what they told each other.
 
     ``digest_at`` is when a relay of the own failure domain spoke last.
     """
 
-    own: OwnState
+    own: LocalState
     clock: Callable[[], float] = since_boot
-    others: Others = attrs.field(init=False)
+    others: PeerState = attrs.field(init=False)
     roster: Roster = attrs.field(init=False)
-    notices: Notices = attrs.field(init=False)
+    notices: StopNotices = attrs.field(init=False)
     digest_at: float | None = attrs.field(default=None, init=False)
 
     @others.default
-    def _make_others(self) -> Others:
-        return Others(
+    def _make_others(self) -> PeerState:
+        return PeerState(
             self.own.node_id,
             self.own.failure_domain,
             self.clock,
@@ -88,5 +88,5 @@
         )
 
     @notices.default
-    def _make_notices(self) -> Notices:
-        return Notices(self.clock)
+    def _make_notices(self) -> StopNotices:
+        return StopNotices(self.clock)
--- a/src/cranecart/mesh/_notices.py
+++ b/src/cranecart/mesh/_stop_notices.py
@@ -15,7 +15,7 @@
 
 
 @attrs.define
-class Notices:
+class StopNotices:
     """The replicas that were said to have stopped, and since when."""
 
     _clock: Callable[[], float] = since_boot
--- a/src/cranecart/node/_demand_sharing.py
+++ b/src/cranecart/node/_demand_sharing.py
@@ -2,8 +2,8 @@
 
 import attrs
 
+from cranecart.gossip import Entry, GossipProtocol, Members, Topic
 from cranecart.limits import Shares
-from cranecart.nodes import Entry, Members, Peers, Topic
 from cranecart.targets import Summary
 
 _TELL_TICKS = 10
@@ -18,7 +18,7 @@
     _shares: Shares
     _told: dict[str, int] = attrs.field(factory=dict, init=False)
 
-    def publish(self, peers: Peers, ticks: int) -> None:
+    def publish(self, peers: GossipProtocol, ticks: int) -> None:
         """Publish what changed, and all of it at times, as it expires."""
         demand = self._shares.demand()
         is_due = ticks % _REFRESH_TICKS == 0
--- a/src/cranecart/node/_node.py
+++ b/src/cranecart/node/_node.py
@@ -9,6 +9,7 @@
 from cranecart.claims import Claims
 from cranecart.clients import Gateway
 from cranecart.clocks import awake, since_boot
+from cranecart.gossip import Topic
 from cranecart.http import HttpServer
 from cranecart.instances import Instance, InstanceKind
 from cranecart.limits import Admission, Capacity, Shares, TokenRates
@@ -17,7 +18,6 @@
 from cranecart.native import PlatformClient, WriteBatcher
 from cranecart.node._control import Control
 from cranecart.node._peering import Peering
-from cranecart.nodes import Topic
 from cranecart.operators import NodeStatus
 from cranecart.rollout import CurrentConfig
 from cranecart.selection import Router, policy_from_name
--- a/src/cranecart/node/_peering.py
+++ b/src/cranecart/node/_peering.py
@@ -8,31 +8,31 @@
 import attrs
 import curio
 
-from cranecart.http import Address
-from cranecart.limits import Shares
-from cranecart.links import NodeLink
-from cranecart.node._demand_sharing import DemandSharing
-from cranecart.node._shared_state import SharedState
-from cranecart.nodes import (
+from cranecart.gossip import (
     ConfigExchange,
     EntryStore,
-    Exchanges,
+    GossipCallbacks,
+    GossipProtocol,
+    GossipSender,
+    GossipSettings,
     ListExchange,
     MemberInfo,
     Members,
     Message,
-    PeerEvents,
-    Peers,
-    PeerSettings,
-    Speaker,
+    PayloadExchanges,
     decode_message,
     encode_message,
 )
+from cranecart.http import Address
+from cranecart.limits import Shares
+from cranecart.node._demand_sharing import DemandSharing
+from cranecart.node._shared_state import SharedState
 from cranecart.quarantine import RequestGuard, Runner
 from cranecart.rollout import CurrentConfig
 from cranecart.settings import NodeSettings
 from cranecart.signals import raise_first_error
 from cranecart.targets import Directory, ReportBook
+from cranecart.transport import PeerTransport
 
 _MILLISECONDS = 1000
 
@@ -42,9 +42,9 @@
     """Link, members, peers and the state shared with them."""
 
     members: Members
-    peers: Peers
+    peers: GossipProtocol
     state: SharedState
-    _link: NodeLink[Message]
+    _link: PeerTransport[Message]
 
     @classmethod
     def from_settings(
@@ -57,7 +57,7 @@
     ) -> Self:
         """Bind the peer address and build the parts."""
         store = EntryStore()
-        link = NodeLink(
+        link = PeerTransport(
             Address.from_text(settings.peer_address),
             encode_message,
             decode_message,
@@ -69,7 +69,7 @@
             # A later life of the same node outranks the earlier one.
             int(time.time() * _MILLISECONDS),
         )
-        speaker = Speaker(members, store, link)
+        speaker = GossipSender(members, store, link)
         state = SharedState(
             members,
             store,
@@ -78,11 +78,11 @@
             config,
             DemandSharing(members, shares),
         )
-        peers = Peers(
+        peers = GossipProtocol(
             speaker,
             link,
-            PeerSettings(settings.peers),
-            Exchanges(
+            GossipSettings(settings.peers),
+            PayloadExchanges(
                 ConfigExchange(speaker, state.read_config, state.take_config),
                 ListExchange(
                     speaker,
@@ -90,7 +90,7 @@
                     state.replace_instances,
                 ),
             ),
-            PeerEvents(state.take_entry, directory.book.forget_shared),
+            GossipCallbacks(state.take_entry, directory.book.forget_shared),
             source,
         )
         return cls(members, peers, state, link)
--- a/src/cranecart/node/_shared_state.py
+++ b/src/cranecart/node/_shared_state.py
@@ -8,17 +8,17 @@
 
 from cranecart.clocks import since_boot
 from cranecart.declarations import DomainVersions
-from cranecart.instances import Instance
-from cranecart.node._demand_sharing import DemandSharing
-from cranecart.nodes import (
+from cranecart.gossip import (
     Entry,
     EntryStore,
+    GossipProtocol,
     HeldConfig,
     Members,
-    Peers,
     Topic,
     choose_nodes,
 )
+from cranecart.instances import Instance
+from cranecart.node._demand_sharing import DemandSharing
 from cranecart.quarantine import CaseNews
 from cranecart.rollout import CurrentConfig, Release
 from cranecart.targets import Directory, Probe, Reach, ReportBook, Summary
@@ -56,7 +56,7 @@
     _seen_live: dict[str, float] = attrs.field(factory=dict, init=False)
     _probed: list[str] = attrs.field(factory=list, init=False)
 
-    async def run(self, peers: Peers) -> None:
+    async def run(self, peers: GossipProtocol) -> None:
         """Follow who lives, and tell what changed here."""
         ticks = 0
         while True:
@@ -98,7 +98,9 @@
             case _:
                 self._demand_sharing.take_entry(entry)
 
-    def tell_cases(self, peers: Peers, cases: Iterable[CaseNews]) -> None:
+    def tell_cases(
+        self, peers: GossipProtocol, cases: Iterable[CaseNews]
+    ) -> None:
         """Tell the other nodes of requests under which targets have ended."""
         for news in cases:
             body = msgspec.to_builtins(news)
@@ -153,7 +155,7 @@
             in choose_nodes(name, self._live, _PROBERS_PER_INSTANCE)
         ]
 
-    def _follow_live_nodes(self, peers: Peers) -> None:
+    def _follow_live_nodes(self, peers: GossipProtocol) -> None:
         live = frozenset(self._members.alive())
         if peers.is_isolated:
             live = frozenset((self._members.node_id,))
@@ -180,7 +182,7 @@
             if entry.key.origin in origins:
                 self._take_report(entry)
 
-    def _publish_summary(self, peers: Peers, ticks: int) -> None:
+    def _publish_summary(self, peers: GossipProtocol, ticks: int) -> None:
         summary = self._directory.summary(
             self.versions(),
             self._demand_sharing.of_domain(),
--- a/src/cranecart/operators/_admin.py
+++ b/src/cranecart/operators/_admin.py
@@ -18,8 +18,8 @@
     WriteConflictError,
     WriteUnknownError,
 )
+from cranecart.gossip import MemberInfo
 from cranecart.http import Request, Responder, Response, json_response
-from cranecart.nodes import MemberInfo
 from cranecart.rollout import CurrentConfig, Follower, History
 from cranecart.targets import ServingReplica
 
--- a/src/cranecart/serving/_making.py
+++ b/src/cranecart/serving/_making.py
@@ -4,23 +4,23 @@
 
 from cranecart.fleet import Fleet, note_leaving
 from cranecart.http import Address, ServerLimits
-from cranecart.links import NodeLink
 from cranecart.mesh import (
     Leaving,
+    LocalState,
     Mesh,
-    MeshEvents,
+    MeshCallbacks,
     MeshMessage,
-    OwnState,
     TargetLimits,
     decode_mesh_message,
     encode_mesh_message,
-    sharing_nodes,
+    sharing_node_count,
 )
 from cranecart.models import ClientLimits
 from cranecart.ports import Life
 from cranecart.retries import RetryRules
 from cranecart.settings import ServingSettings
 from cranecart.throttling import TargetGate
+from cranecart.transport import PeerTransport
 
 # What machines keep back for files, and what clients get of the rest: each
 # request under way has a connection to a target, and some are kept there.
@@ -29,14 +29,14 @@
 _FEWEST_CONNECTIONS = 16
 
 
-def make_mesh(settings: ServingSettings, events: MeshEvents) -> Mesh:
+def make_mesh(settings: ServingSettings, events: MeshCallbacks) -> Mesh:
     """Bind the address for other nodes."""
-    link: NodeLink[MeshMessage] = NodeLink(
+    link: PeerTransport[MeshMessage] = PeerTransport(
         Address.from_text(settings.peer_address),
         encode_mesh_message,
         decode_mesh_message,
     )
-    own = OwnState(
+    own = LocalState(
         settings.node_id,
         settings.peer_address,
         settings.failure_domain,
@@ -84,7 +84,7 @@
             read_mesh().tell_all(Leaving(node_id, life.id, life.born))
 
     return TargetGate(
-        lambda domain, name, most: sharing_nodes(
+        lambda domain, name, most: sharing_node_count(
             read_mesh().circle,
             domain,
             name,
--- a/src/cranecart/serving/_node.py
+++ b/src/cranecart/serving/_node.py
@@ -21,7 +21,7 @@
     Responder,
 )
 from cranecart.logs import LineQueue, decision, set_log_level
-from cranecart.mesh import Broken, Mesh, MeshEvents, Stopped, Suspect
+from cranecart.mesh import Broken, Mesh, MeshCallbacks, Stopped, Suspect
 from cranecart.models import ClientLimits, RouteConfig
 from cranecart.retries import SharedRetryBudget
 from cranecart.routing import HeadRouter
@@ -168,7 +168,7 @@
         self._lines.write_now()
 
     def _make_mesh(self) -> Mesh:
-        events = MeshEvents(
+        events = MeshCallbacks(
             self._hear_stopped,
             self._hear_suspect,
             lambda message: self._holding.hear(message),
--- a/src/cranecart/links/_link.py
+++ b/src/cranecart/transport/_zmq_transport.py
@@ -27,7 +27,7 @@
 _MAX_BYTES = 16777216
 
 
-class NodeLink(Generic[Sent]):
+class PeerTransport(Generic[Sent]):
     """One socket to hear all peers, and one to speak to each.
 
     Sending never waits: a message that cannot be queued is dropped and
--- a/tests/lib/fake_targets.py
+++ b/tests/lib/fake_targets.py
@@ -303,7 +303,7 @@
         # Instances that all nodes were told to pass over.
         self.told_broken: list[str] = []
         # How a test has this node share targets with others, and tell them.
-        self.sharing_nodes: SharingNodes = _send_alone
+        self.sharing_node_count: SharingNodes = _send_alone
         self.tell_limits: Callable[[Sequence[LimitNews]], None] = _tell_nobody
         self.tell_leaving: Callable[[Life], None] = _tell_nobody
         self.router = HeadRouter(
@@ -383,7 +383,9 @@
 
     def _gate(self) -> TargetGate:
         return TargetGate(
-            lambda domain, name, most: self.sharing_nodes(domain, name, most),
+            lambda domain, name, most: self.sharing_node_count(
+                domain, name, most
+            ),
             self.fleet.known,
             lambda told: self.tell_limits(told),
             self._leave,
--- a/tests/lib/limit_world.py
+++ b/tests/lib/limit_world.py
@@ -14,7 +14,7 @@
 
 import attrs
 
-from cranecart.mesh._ranking import first_names
+from cranecart.mesh._rendezvous import first_names
 from cranecart.ports import AnswerFacts, Life
 from cranecart.throttling import (
     FewNodes,
--- a/tests/lib/circles.py
+++ b/tests/lib/simulated_cluster.py
@@ -7,23 +7,23 @@
 
 import attrs
 
-from cranecart.links import NodeLink
 from cranecart.mesh import (
+    LocalState,
     Mesh,
-    MeshEvents,
+    MeshCallbacks,
     MeshMessage,
-    OwnState,
     PeerNode,
     Stopped,
     decode_mesh_message,
     encode_mesh_message,
 )
-from cranecart.mesh._hearing import Hearing
-from cranecart.mesh._state import Circle
-from cranecart.mesh._telling import Telling
+from cranecart.mesh._handler import MessageHandler
+from cranecart.mesh._sender import MessageSender
+from cranecart.mesh._state import MeshState
 from cranecart.models import RouteConfig
 from cranecart.quarantine import CaseBook
 from cranecart.throttling import LimitNews
+from cranecart.transport import PeerTransport
 
 BEAT_SECONDS = 0.25
 _DOMAINS = 3
@@ -31,12 +31,12 @@
 _MOST_AT_ONCE = 20000
 
 
-class WorldLink(NodeLink[MeshMessage]):
+class SimulatedTransport(PeerTransport[MeshMessage]):
     """A link that hands messages to a world instead of sockets."""
 
-    def __init__(self, world: 'World', name: str) -> None:  # noqa: WPS612
+    def __init__(self, cluster: 'SimulatedCluster', name: str) -> None:  # noqa: WPS612
         """Remember whose link it is."""
-        self._world = world
+        self._world = cluster
         self._name = name
 
     def send_all(
@@ -57,11 +57,11 @@
 
 
 @attrs.define
-class World:
+class SimulatedCluster:
     """Nodes by name, the messages under way, and what fails."""
 
     now: float = 100
-    nodes: dict[str, 'WorldNode'] = attrs.field(factory=dict, init=False)
+    nodes: dict[str, 'SimulatedNode'] = attrs.field(factory=dict, init=False)
     sent: Counter[str] = attrs.field(factory=Counter, init=False)
     sent_bytes: Counter[str] = attrs.field(factory=Counter, init=False)
     far_bytes: int = attrs.field(default=0, init=False)
@@ -78,15 +78,15 @@
     )
 
     @classmethod
-    def of(cls, count: int) -> 'World':
+    def of(cls, count: int) -> 'SimulatedCluster':
         """Start so many nodes, each knowing all from the table."""
-        world = cls()
+        cluster = cls()
         for number in range(count):
-            world.start(f'node-{number:03}')
-        return world
+            cluster.start(f'node-{number:03}')
+        return cluster
 
     @property
-    def alive(self) -> list['WorldNode']:
+    def alive(self) -> list['SimulatedNode']:
         """Return the nodes that are not dead."""
         return [
             node for name, node in self.nodes.items() if name not in self.dead
@@ -95,7 +95,7 @@
     def start(self, name: str) -> None:
         """Start a node, anew if there is one of that name."""
         self.dead.discard(name)
-        self.nodes[name] = WorldNode.in_world(self, name)
+        self.nodes[name] = SimulatedNode.in_cluster(self, name)
         rows = {
             one: PeerNode(node.circle.own.address, node.domain)
             for one, node in self.nodes.items()
@@ -144,13 +144,13 @@
 
 
 @attrs.define
-class WorldNode:
+class SimulatedNode:
     """One node: its mesh, and what it was told."""
 
     mesh: Mesh
-    circle: Circle
-    telling: Telling
-    hearing: Hearing
+    circle: MeshState
+    telling: MessageSender
+    hearing: MessageHandler
     in_flight: Counter[str]
     stopped: set[str]
     versions: list[int]
@@ -159,21 +159,23 @@
     broken: set[str]
     limits: list[LimitNews]
     leaving: set[str]
-    world: World
+    cluster: SimulatedCluster
 
     @classmethod
-    def in_world(cls, world: World, name: str) -> 'WorldNode':
+    def in_cluster(
+        cls, cluster: SimulatedCluster, name: str
+    ) -> 'SimulatedNode':
         """Build a node of the failure domain that its number says."""
         domain = f'domain-{int(name.rpartition("-")[2]) % _DOMAINS}'
         in_flight: Counter[str] = Counter()
         stopped: set[str] = set()
         versions: list[int] = []
         configs: list[RouteConfig] = []
-        book = CaseBook(lambda: world.now)
+        book = CaseBook(lambda: cluster.now)
         broken: set[str] = set()
         limits: list[LimitNews] = []
         leaving: set[str] = set()
-        events = MeshEvents(
+        events = MeshCallbacks(
             lambda message: stopped.add(message.replica),
             _no_suspect,
             lambda message: any(
@@ -189,9 +191,9 @@
             lambda message: limits.extend(message.limits),
             lambda message: leaving.add(message.instance),
         )
-        link = WorldLink(world, name)
-        own = OwnState(name, name, domain)
-        mesh = Mesh(own, link, events, lambda: world.now)
+        link = SimulatedTransport(cluster, name)
+        own = LocalState(name, name, domain)
+        mesh = Mesh(own, link, events, lambda: cluster.now)
         return cls(
             mesh,
             mesh.circle,
@@ -205,7 +207,7 @@
             broken,
             limits,
             leaving,
-            world,
+            cluster,
         )
 
     @property
@@ -216,7 +218,7 @@
     def hear(self, encoded: bytes) -> None:
         """Take a message over."""
         message = decode_mesh_message(encoded)
-        if self.world.loses_stopped and isinstance(message, Stopped):
+        if self.cluster.loses_stopped and isinstance(message, Stopped):
             return
         taking = self.hearing.take(message)
         # Nothing that it does here has to be waited for.
--- a/tests/lib/speaking_targets.py
+++ b/tests/lib/speaking_targets.py
@@ -205,7 +205,7 @@
             others={target.name: target for target in self.targets},
             seed=number,
         )
-        node.sharing_nodes = functools.partial(self._sharing_nodes, number)
+        node.sharing_node_count = functools.partial(self._sharing_nodes, number)
         node.tell_limits = functools.partial(self._tell_limits, number)
         node.tell_leaving = functools.partial(self._tell_leaving, number)
         return node
--- a/tests/lib/store_rig.py
+++ b/tests/lib/store_rig.py
@@ -21,12 +21,11 @@
     note_leaving,
 )
 from cranecart.http import Address, Request, Response
-from cranecart.links import NodeLink
 from cranecart.mesh import (
+    LocalState,
     Mesh,
-    MeshEvents,
+    MeshCallbacks,
     MeshMessage,
-    OwnState,
     PeerNode,
     decode_mesh_message,
     encode_mesh_message,
@@ -44,6 +43,7 @@
 from cranecart.serving._configuration import ForceConfig
 from cranecart.serving._knowledge import Knowledge, RowTaker
 from cranecart.serving._surroundings import Surroundings
+from cranecart.transport import PeerTransport
 from tests.lib.waiting import until
 from tests.platform._standin import StandinStore, start
 
@@ -98,7 +98,7 @@
     return store
 
 
-class RigLink(NodeLink[MeshMessage]):
+class RigLink(PeerTransport[MeshMessage]):
     """A link that hands messages to a rig instead of sockets."""
 
     def __init__(self, rig: 'StoreRig') -> None:  # noqa: WPS612
@@ -157,7 +157,7 @@
         def renew_own() -> None:  # noqa: WPS430
             mesh.own.announced = knowledge.announced()
 
-        events = MeshEvents(
+        events = MeshCallbacks(
             lambda told: fleet.stop((told.replica, told.epoch), told.reason),
             _no_suspect,
             lambda _told: False,
@@ -172,7 +172,7 @@
             lambda told: note_leaving(fleet, told.life, told.sender),
         )
         domain = f'd{int(name.rpartition("-")[2]) % _DOMAINS}'
-        own = OwnState(name, _peer_address(name), domain)
+        own = LocalState(name, _peer_address(name), domain)
         mesh = Mesh(own, RigLink(rig), events)
         knowledge = Knowledge.from_surroundings(
             surroundings,
--- a/tests/unit/test_members.py
+++ b/tests/unit/test_gossip.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cranecart.nodes import (
+from cranecart.gossip import (
     Entry,
     EntryKey,
     EntryStore,
@@ -16,7 +16,7 @@
     Topic,
     choose_nodes,
 )
-from cranecart.nodes._entries import (
+from cranecart.gossip._entries import (
     Message,
     MessageKind,
     decode_message,
--- a/tests/unit/test_mesh.py
+++ b/tests/unit/test_mesh.py
@@ -7,11 +7,11 @@
 
 from cranecart.fleet import News
 from cranecart.mesh import Broken, ConfigAsk, ListNews, RequestCases, Stopped
-from cranecart.mesh._notices import Notices
+from cranecart.mesh._stop_notices import StopNotices
 from cranecart.models import RouteConfig
 from cranecart.ports import Life, ListedInstance
 from cranecart.quarantine import CaseNews, End, Standing
-from tests.lib.circles import World
+from tests.lib.simulated_cluster import SimulatedCluster
 
 _SMALL = 9
 _LARGE = 30
@@ -27,24 +27,24 @@
 
     def test_everybody_hears_everybody(self) -> None:
         """Counts are a beat old at most, without a relay between."""
-        world = World.of(_SMALL)
-        world.run(_MEET_SECONDS)
-        world.nodes['node-008'].in_flight['one'] = 3
-        world.sent.clear()
-        world.run(0.25)
-        first = world.nodes['node-000'].mesh
+        cluster = SimulatedCluster.of(_SMALL)
+        cluster.run(_MEET_SECONDS)
+        cluster.nodes['node-008'].in_flight['one'] = 3
+        cluster.sent.clear()
+        cluster.run(0.25)
+        first = cluster.nodes['node-000'].mesh
         self.assertEqual(first.nodes(), _SMALL)
         self.assertEqual(first.in_flight_elsewhere('one'), 3)
-        self.assertEqual(set(world.sent.values()), {_SMALL - 1})
+        self.assertEqual(set(cluster.sent.values()), {_SMALL - 1})
 
     def test_a_silent_node_is_not_counted(self) -> None:
         """Its figures are old after a second."""
-        world = World.of(_SMALL)
-        world.run(_MEET_SECONDS)
-        world.dead.add('node-000')
-        world.run(1)
+        cluster = SimulatedCluster.of(_SMALL)
+        cluster.run(_MEET_SECONDS)
+        cluster.dead.add('node-000')
+        cluster.run(1)
         self.assertEqual(
-            {node.mesh.nodes() for node in world.alive},
+            {node.mesh.nodes() for node in cluster.alive},
             {_SMALL - 1},
         )
 
@@ -54,9 +54,9 @@
 
     def setUp(self) -> None:
         """Let the nodes meet."""
-        self.world = World.of(_LARGE)
-        self.world.run(_MEET_SECONDS)
-        self.nodes = self.world.nodes
+        self.cluster = SimulatedCluster.of(_LARGE)
+        self.cluster.run(_MEET_SECONDS)
+        self.nodes = self.cluster.nodes
 
     def test_all_count_the_same_nodes(self) -> None:
         """The retry budget is divided by them."""
@@ -64,20 +64,23 @@
 
     def test_counts_of_all_are_known_everywhere(self) -> None:
         """No request is counted twice, and none left out."""
-        for node in self.world.alive:
+        for node in self.cluster.alive:
             node.in_flight['one'] = 1
-        self.world.run(1)
+        self.cluster.run(1)
         self.assertEqual(
-            {node.mesh.in_flight_elsewhere('one') for node in self.world.alive},
+            {
+                node.mesh.in_flight_elsewhere('one')
+                for node in self.cluster.alive
+            },
             {_LARGE - 1},
         )
 
     def test_demand_of_all_is_known_everywhere(self) -> None:
         """Each placer plans for the work of all nodes."""
-        for node in self.world.alive:
+        for node in self.cluster.alive:
             node.mesh.own.demand = {'large': 0.5}
-        self.world.run(1)
-        for node in self.world.alive:
+        self.cluster.run(1)
+        for node in self.cluster.alive:
             demand = node.mesh.demand()['large']
             self.assertAlmostEqual(demand, _LARGE / 2)
 
@@ -85,7 +88,7 @@
         """Others read no more, wherever it is."""
         for name in ('node-005', 'node-010'):
             self._announce(name)
-        self.world.run(1)
+        self.cluster.run(1)
         told = {
             name: node.mesh.announced('list')
             for name, node in self.nodes.items()
@@ -96,43 +99,45 @@
     def test_a_reader_that_dies_is_missed(self) -> None:
         """A leaving instance may get requests for two seconds only."""
         self._announce('node-000')
-        self.world.run(1)
-        self.world.dead.add('node-000')
-        self.world.run(1.5)
-        told = {node.mesh.announced('list') for node in self.world.alive}
+        self.cluster.run(1)
+        self.cluster.dead.add('node-000')
+        self.cluster.run(1.5)
+        told = {node.mesh.announced('list') for node in self.cluster.alive}
         self.assertEqual(told, {None})
 
     def test_the_placer_is_known_beside_it_and_elsewhere(self) -> None:
         """Evidence goes to it, and others do not ask for its duty."""
         placer = self.nodes['node-020'].mesh
         placer.own.places = 'domain-2'
-        self.world.run(1)
-        others = [node for node in self.world.alive if node.mesh is not placer]
+        self.cluster.run(1)
+        others = [
+            node for node in self.cluster.alive if node.mesh is not placer
+        ]
         self.assertTrue(
             all(node.mesh.hears_placer('domain-2') for node in others),
         )
-        self.world.sent.clear()
+        self.cluster.sent.clear()
         others[0].mesh.tell_placer('domain-2', Stopped('', 'one', 1, ''))
-        self.assertEqual(sum(self.world.sent.values()), 1)
+        self.assertEqual(sum(self.cluster.sent.values()), 1)
 
     def test_a_placer_tells_nobody_what_it_judges_itself(self) -> None:
         """Its own evidence concerns no other node."""
         placer = self.nodes['node-020'].mesh
         placer.own.places = 'domain-2'
-        self.world.run(1)
-        self.world.sent.clear()
+        self.cluster.run(1)
+        self.cluster.sent.clear()
         placer.tell_placer('domain-2', Stopped('', 'one', 1, ''))
-        self.assertEqual(sum(self.world.sent.values()), 0)
+        self.assertEqual(sum(self.cluster.sent.values()), 0)
 
     def test_a_dead_placer_is_missed_as_soon_as_before(self) -> None:
         """Its failure domain hears it directly."""
         placer = self.nodes['node-020'].mesh
         placer.own.places = 'domain-2'
-        self.world.run(1)
-        self.world.dead.add('node-020')
-        self.world.run(1)
+        self.cluster.run(1)
+        self.cluster.dead.add('node-020')
+        self.cluster.run(1)
         beside = [
-            node for node in self.world.alive if node.domain == 'domain-2'
+            node for node in self.cluster.alive if node.domain == 'domain-2'
         ]
         self.assertFalse(
             any(node.mesh.hears_placer('domain-2') for node in beside),
@@ -144,15 +149,15 @@
         Told straight to each, 194 connections stayed open with a heartbeat
         each, and 72 KB/s a node went between failure domains.
         """
-        self.world.sent.clear()
-        self.world.stop_replica('node-020', 'one')
+        self.cluster.sent.clear()
+        self.cluster.stop_replica('node-020', 'one')
         self.assertTrue(
-            all('one' in node.stopped for node in self.world.alive),
+            all('one' in node.stopped for node in self.cluster.alive),
         )
         teller = self.nodes['node-020'].mesh
         far = len(teller.circle.roster.far_relays(with_silent=True))
         beside = _LARGE // 3 - 1
-        self.assertLessEqual(self.world.sent['node-020'], beside + far)
+        self.assertLessEqual(self.cluster.sent['node-020'], beside + far)
         self.assertLess(far, _LARGE // 3)
 
     def test_who_is_behind_asks_once_a_second(self) -> None:
@@ -163,11 +168,11 @@
         link = behind.telling._link
         send = link.send
         link.send = lambda address, message: (  # type: ignore[method-assign]
-            asks.append(self.world.now)
+            asks.append(self.cluster.now)
             if isinstance(message, ConfigAsk)
             else send(address, message)
         )
-        self.world.run(4)
+        self.cluster.run(4)
         self.assertGreaterEqual(len(asks), 2)
         self.assertLessEqual(len(asks), 4)
 
@@ -179,52 +184,52 @@
 
     def test_an_isolated_node_knows(self) -> None:
         """Who hears nobody beside it may be the one that is cut off."""
-        self.world.groups['node-020'] = 1
-        self.world.run(3)
+        self.cluster.groups['node-020'] = 1
+        self.cluster.run(3)
         for name, node in self.nodes.items():
             isolated = node.mesh.circle.roster.is_isolated()
             self.assertEqual(isolated, name == 'node-020')
 
     def test_a_dead_relay_leaves_no_gap(self) -> None:
         """The next speaks before what the first one said is forgotten."""
-        self.world.dead.add('node-000')
+        self.cluster.dead.add('node-000')
         for _turn in range(10):
-            self.world.run(0.25)
-            for node in self.world.alive:
+            self.cluster.run(0.25)
+            for node in self.cluster.alive:
                 self.assertGreaterEqual(node.mesh.nodes(), _LARGE - 1)
-        self.world.run(1)
+        self.cluster.run(1)
         self._expect_nodes(_LARGE - 1)
 
     def test_two_dead_relays(self) -> None:
         """The third takes over."""
-        self.world.dead.update(('node-000', 'node-003'))
-        self.world.run(_FIND_SECONDS)
+        self.cluster.dead.update(('node-000', 'node-003'))
+        self.cluster.run(_FIND_SECONDS)
         self._expect_nodes(_LARGE - 2)
 
     def test_a_failure_domain_is_cut_off_and_returns(self) -> None:
         """Both sides go on for themselves, and find each other again."""
         for name, node in self.nodes.items():
-            self.world.groups[name] = int(node.domain == 'domain-1')
-        self.world.run(_FIND_SECONDS)
-        for node in self.world.alive:
+            self.cluster.groups[name] = int(node.domain == 'domain-1')
+        self.cluster.run(_FIND_SECONDS)
+        for node in self.cluster.alive:
             share = 1 if node.domain == 'domain-1' else 2
             self.assertEqual(node.mesh.nodes(), _LARGE * share / 3)
-        self.world.groups.clear()
-        self.world.run(_FIND_SECONDS)
+        self.cluster.groups.clear()
+        self.cluster.run(_FIND_SECONDS)
         self._expect_nodes(_LARGE)
 
     def test_a_restarted_relay_is_heard_again(self) -> None:
         """It knows nothing and relays at once."""
-        self.world.dead.add('node-000')
-        self.world.run(_FIND_SECONDS)
-        self.world.start('node-000')
-        self.world.run(_FIND_SECONDS)
+        self.cluster.dead.add('node-000')
+        self.cluster.run(_FIND_SECONDS)
+        self.cluster.start('node-000')
+        self.cluster.run(_FIND_SECONDS)
         self._expect_nodes(_LARGE)
 
     def test_a_node_that_starts_counts_the_listed(self) -> None:
         """Its part of the retry budget is not larger than others'."""
-        self.world.dead.add('node-010')
-        self.world.start('node-010')
+        self.cluster.dead.add('node-010')
+        self.cluster.start('node-010')
         started = self.nodes['node-010'].mesh
         self.assertEqual(started.nodes(), _LARGE)
 
@@ -233,16 +238,16 @@
         relay = self.nodes['node-000'].mesh
         relay.own.stopping = True
         relay.broadcast(relay.telling.beat())
-        self.world.deliver()
-        self.world.run(1.5)
-        others = [node.mesh for node in self.world.alive][1:]
+        self.cluster.deliver()
+        self.cluster.run(1.5)
+        others = [node.mesh for node in self.cluster.alive][1:]
         self.assertEqual({mesh.nodes() for mesh in others}, {_LARGE - 1})
 
     def test_who_one_relay_does_not_hear_is_heard(self) -> None:
         """A single broken path leaves nobody out."""
-        self.world.lost_paths = {('node-027', 'node-000')}
-        self.world.run(_FIND_SECONDS)
-        for node in self.world.alive:
+        self.cluster.lost_paths = {('node-027', 'node-000')}
+        self.cluster.run(_FIND_SECONDS)
+        for node in self.cluster.alive:
             if node.domain == 'domain-0':
                 self.assertGreaterEqual(node.mesh.nodes(), _LARGE)
 
@@ -254,7 +259,7 @@
         counted = {
             name: node.mesh.nodes()
             for name, node in self.nodes.items()
-            if name not in self.world.dead
+            if name not in self.cluster.dead
         }
         self.assertEqual(set(counted.values()), {count}, counted)
 
@@ -266,12 +271,12 @@
         """In a small deployment and by relays, within a beat."""
         for size in (_SMALL, _LARGE):
             with self.subTest(nodes=size):
-                world = World.of(size)
-                world.run(_MEET_SECONDS)
-                teller = world.nodes['node-001']
+                cluster = SimulatedCluster.of(size)
+                cluster.run(_MEET_SECONDS)
+                teller = cluster.nodes['node-001']
                 teller.mesh.tell_all(Broken('node-001', 'i1', 7))
-                world.run(0.25)
-                others = (one for one in world.alive if one is not teller)
+                cluster.run(0.25)
+                others = (one for one in cluster.alive if one is not teller)
                 self.assertTrue(all(one.broken == {'i1'} for one in others))
 
 
@@ -280,36 +285,36 @@
 
     def test_by_relays_where_no_direct_message_arrives(self) -> None:
         """An open connection may carry nothing any more."""
-        world = World.of(_LARGE)
-        world.run(_MEET_SECONDS)
-        world.loses_stopped = True
-        world.stop_replica('node-004', 'one')
-        world.run(1.25)
-        self._expect_known(world, 'one')
+        cluster = SimulatedCluster.of(_LARGE)
+        cluster.run(_MEET_SECONDS)
+        cluster.loses_stopped = True
+        cluster.stop_replica('node-004', 'one')
+        cluster.run(1.25)
+        self._expect_known(cluster, 'one')
 
     def test_also_when_the_relays_die_with_it(self) -> None:
         """The next relays hear it from the one that said it."""
-        world = World.of(_LARGE)
-        world.run(_MEET_SECONDS)
-        world.loses_stopped = True
-        world.stop_replica('node-007', 'one')
-        world.dead.update(('node-000', 'node-001', 'node-002'))
-        world.run(3)
-        self._expect_known(world, 'one')
+        cluster = SimulatedCluster.of(_LARGE)
+        cluster.run(_MEET_SECONDS)
+        cluster.loses_stopped = True
+        cluster.stop_replica('node-007', 'one')
+        cluster.dead.update(('node-000', 'node-001', 'node-002'))
+        cluster.run(3)
+        self._expect_known(cluster, 'one')
 
     def test_it_is_not_repeated_for_ever(self) -> None:
         """Each node tells it for three seconds from when it heard."""
-        world = World.of(_LARGE)
-        world.run(_MEET_SECONDS)
-        world.stop_replica('node-004', 'one')
-        world.run(6)
-        repeated = [node.mesh.telling.beat().stopped for node in world.alive]
+        cluster = SimulatedCluster.of(_LARGE)
+        cluster.run(_MEET_SECONDS)
+        cluster.stop_replica('node-004', 'one')
+        cluster.run(6)
+        repeated = [node.mesh.telling.beat().stopped for node in cluster.alive]
         self.assertFalse(any(repeated))
 
     def test_notices_are_forgotten(self) -> None:
         """Memory does not grow with every replica that ever stopped."""
         now = [float(0)]
-        notices = Notices(lambda: now[0])
+        notices = StopNotices(lambda: now[0])
         message = Stopped('', 'one', 1, '')
         self.assertTrue(notices.note(message))
         self.assertFalse(notices.note(message))
@@ -317,10 +322,10 @@
         self.assertEqual(notices.recent(), [])
         self.assertTrue(notices.note(message))
 
-    def _expect_known(self, world: World, name: str) -> None:
+    def _expect_known(self, cluster: SimulatedCluster, name: str) -> None:
         without = [
             node.mesh.own.node_id
-            for node in world.alive
+            for node in cluster.alive
             if name not in node.stopped
         ]
         self.assertEqual(without, [])
@@ -333,28 +338,28 @@
         """All know the three, of whatever failure domain, before a beat."""
         for count in (8, 60):
             with self.subTest(nodes=count):
-                world = World.of(count)
-                world.run(3)
+                cluster = SimulatedCluster.of(count)
+                cluster.run(3)
                 for number in range(3):
-                    _tell_end(world, f'node-{number:03}', number)
-                world.deliver()
-                held = [node.book.standing('a') for node in world.alive]
+                    _tell_end(cluster, f'node-{number:03}', number)
+                cluster.deliver()
+                held = [node.book.standing('a') for node in cluster.alive]
                 self.assertEqual(set(held), {Standing.HELD})
 
     def test_it_does_not_go_round(self) -> None:
         """Told twice, it is passed on once."""
-        world = World.of(60)
-        world.run(3)
-        before = world.sent.total()
+        cluster = SimulatedCluster.of(60)
+        cluster.run(3)
+        before = cluster.sent.total()
         for _time in range(2):
-            _tell_end(world, 'node-000', 0)
-            world.deliver()
-        self.assertLess(world.sent.total() - before, 2 * 60)
+            _tell_end(cluster, 'node-000', 0)
+            cluster.deliver()
+        self.assertLess(cluster.sent.total() - before, 2 * 60)
 
 
-def _tell_end(world: World, name: str, number: int) -> None:
+def _tell_end(cluster: SimulatedCluster, name: str, number: int) -> None:
     news = CaseNews('a', (End(Life(f'i{number}', 1), True),))
-    node = world.nodes[name]
+    node = cluster.nodes[name]
     node.book.take(news, is_own=True)
     node.mesh.tell_all(RequestCases(name, [news]))
 
@@ -364,30 +369,34 @@
 
     def test_each_takes_it_over(self) -> None:
         """One copy goes to each relay elsewhere, which passes it on."""
-        world = World.of(_LARGE)
-        world.run(_MEET_SECONDS)
-        world.sent.clear()
-        reader = world.nodes['node-004']
+        cluster = SimulatedCluster.of(_LARGE)
+        cluster.run(_MEET_SECONDS)
+        cluster.sent.clear()
+        reader = cluster.nodes['node-004']
         reader.mesh.spread(ListNews('node-004', News(1, 2, {'one': None})))
-        world.deliver()
-        heard = [node.versions for node in world.alive if node is not reader]
+        cluster.deliver()
+        heard = [node.versions for node in cluster.alive if node is not reader]
         self.assertEqual({tuple(one) for one in heard}, {(2,), (2, 2)})
-        self.assertEqual(world.sent['node-004'], _LARGE / 3 - 1 + 4)
-        self.assertEqual(set(world.sent), {'node-004', 'node-000', 'node-002'})
+        self.assertEqual(cluster.sent['node-004'], _LARGE / 3 - 1 + 4)
+        self.assertEqual(
+            set(cluster.sent), {'node-004', 'node-000', 'node-002'}
+        )
 
     def test_relays_that_speak_at_once_do_not_echo(self) -> None:
         """Right after the start every node may take itself for one."""
-        world = World.of(_LARGE)
-        reader = world.nodes['node-004']
+        cluster = SimulatedCluster.of(_LARGE)
+        reader = cluster.nodes['node-004']
         for version in (2, 3):
             news: News[ListedInstance] = News(
                 version - 1, version, {'one': None}
             )
             reader.mesh.spread(ListNews('node-004', news))
-            world.deliver()
-        self.assertLessEqual(sum(world.sent.values()), 2 * _LARGE * _LARGE)
+            cluster.deliver()
+        self.assertLessEqual(sum(cluster.sent.values()), 2 * _LARGE * _LARGE)
         self.assertTrue(
-            all(3 in one.versions for one in world.alive if one is not reader),
+            all(
+                3 in one.versions for one in cluster.alive if one is not reader
+            ),
         )
 
 
@@ -396,11 +405,11 @@
 
     def test_a_node_elsewhere_has_it(self) -> None:
         """Whom the store turns away has two seconds to take it up."""
-        world = World.of(_LARGE)
-        world.run(_MEET_SECONDS)
-        world.nodes['node-020'].configs.append(RouteConfig(7, (), {}))
-        world.run(1.5)
-        without = [node for node in world.alive if not node.configs]
+        cluster = SimulatedCluster.of(_LARGE)
+        cluster.run(_MEET_SECONDS)
+        cluster.nodes['node-020'].configs.append(RouteConfig(7, (), {}))
+        cluster.run(1.5)
+        without = [node for node in cluster.alive if not node.configs]
         self.assertEqual(without, [])
 
 
@@ -410,8 +419,8 @@
     def test_messages_of_ordinary_nodes(self) -> None:
         """Each speaks to two relays only, whatever the size."""
         for count in (_LARGE, _LARGER):
-            world = self._settled(count)
-            most = sorted(world.sent.values())[: count - 3]
+            cluster = self._settled(count)
+            most = sorted(cluster.sent.values())[: count - 3]
             self.assertLessEqual(max(most), 4 * 2)
 
     def test_messages_of_all_grow_with_the_nodes(self) -> None:
@@ -429,15 +438,15 @@
         )
         self.assertLess(more / less, 1.5)
 
-    def _settled(self, count: int) -> World:
-        world = World.of(count)
-        for node in world.alive:
+    def _settled(self, count: int) -> SimulatedCluster:
+        cluster = SimulatedCluster.of(count)
+        for node in cluster.alive:
             node.in_flight.update({f'i-{number}': 1 for number in range(10)})
-        world.run(3)
-        world.sent.clear()
-        world.far_bytes = 0
-        world.run(1)
-        return world
+        cluster.run(3)
+        cluster.sent.clear()
+        cluster.far_bytes = 0
+        cluster.run(1)
+        return cluster
 
 
 class AnyFaultsTest(unittest.TestCase):
@@ -459,30 +468,30 @@
         faults: list[tuple[str, int, float]],
     ) -> None:
         """All count the same, and all know what has stopped."""
-        world = World.of(_LARGE)
-        world.run(1)
+        cluster = SimulatedCluster.of(_LARGE)
+        cluster.run(1)
         for fault, number, seconds in faults:
-            _play(world, fault, f'node-{number:03}')
-            world.run(seconds)
-        world.groups.clear()
-        world.start('node-000')
-        world.run(_FIND_SECONDS)
-        world.stop_replica('node-000', 'last')
-        world.run(1)
-        count = len(world.alive)
-        self.assertEqual({one.mesh.nodes() for one in world.alive}, {count})
-        self.assertTrue(all('last' in one.stopped for one in world.alive))
-
-
-def _play(world: World, fault: str, name: str) -> None:
+            _play(cluster, fault, f'node-{number:03}')
+            cluster.run(seconds)
+        cluster.groups.clear()
+        cluster.start('node-000')
+        cluster.run(_FIND_SECONDS)
+        cluster.stop_replica('node-000', 'last')
+        cluster.run(1)
+        count = len(cluster.alive)
+        self.assertEqual({one.mesh.nodes() for one in cluster.alive}, {count})
+        self.assertTrue(all('last' in one.stopped for one in cluster.alive))
+
+
+def _play(cluster: SimulatedCluster, fault: str, name: str) -> None:
     match fault:
         case 'kill':
-            world.dead.add(name)
+            cluster.dead.add(name)
         case 'start':
-            world.start(name)
+            cluster.start(name)
         case 'heal':
-            world.groups.clear()
+            cluster.groups.clear()
         case 'cut':
-            world.groups[name] = 1
-        case _ if name not in world.dead:
-            world.stop_replica(name, 'other')
+            cluster.groups[name] = 1
+        case _ if name not in cluster.dead:
+            cluster.stop_replica(name, 'other')
--- a/tests/unit/test_ranking.py
+++ b/tests/unit/test_rendezvous.py
@@ -2,17 +2,17 @@
 
 import unittest
 
-from cranecart.mesh import sharing_nodes
-from tests.lib.circles import World
+from cranecart.mesh import sharing_node_count
+from tests.lib.simulated_cluster import SimulatedCluster
 
 _TARGETS = tuple(f'i{number} 1' for number in range(40))
 _DOMAIN = 'domain-1'
 
 
-def _senders(world: World, target: str, most: int) -> list[int]:
+def _senders(cluster: SimulatedCluster, target: str, most: int) -> list[int]:
     shares = [
-        sharing_nodes(node.circle, _DOMAIN, target, most)
-        for node in world.alive
+        sharing_node_count(node.circle, _DOMAIN, target, most)
+        for node in cluster.alive
     ]
     return [share for share in shares if share]
 
@@ -23,65 +23,65 @@
     def test_so_many_send(self) -> None:
         """Each knows with how many it shares; others are left out."""
         for nodes in (4, 9, 78):
-            world = World.of(nodes)
-            world.run(2)
-            near = sum(node.domain == _DOMAIN for node in world.alive)
+            cluster = SimulatedCluster.of(nodes)
+            cluster.run(2)
+            near = sum(node.domain == _DOMAIN for node in cluster.alive)
             for target in _TARGETS:
                 for most in (1, 3):
                     count = min(most, near)
                     self.assertEqual(
-                        _senders(world, target, most),
+                        _senders(cluster, target, most),
                         [count for _sender in range(count)],
                     )
 
     def test_targets_are_spread(self) -> None:
         """No node near them has none of forty."""
-        world = World.of(9)
-        world.run(1)
-        for node in world.alive:
+        cluster = SimulatedCluster.of(9)
+        cluster.run(1)
+        for node in cluster.alive:
             shares = [
-                sharing_nodes(node.circle, _DOMAIN, target, 1)
+                sharing_node_count(node.circle, _DOMAIN, target, 1)
                 for target in _TARGETS
             ]
             self.assertEqual(any(shares), node.domain == _DOMAIN)
 
     def test_one_takes_the_place_of_a_dead_one(self) -> None:
         """Targets of the others stay where they are."""
-        world = World.of(9)
-        world.run(1)
-        before = {target: self._sender(world, target) for target in _TARGETS}
-        world.dead.add('node-001')
-        world.run(3)
+        cluster = SimulatedCluster.of(9)
+        cluster.run(1)
+        before = {target: self._sender(cluster, target) for target in _TARGETS}
+        cluster.dead.add('node-001')
+        cluster.run(3)
         for target in _TARGETS:
-            after = self._sender(world, target)
+            after = self._sender(cluster, target)
             self.assertNotEqual(after, 'node-001')
             if before[target] != 'node-001':
                 self.assertEqual(after, before[target])
 
     def test_others_send_where_no_node_is_near(self) -> None:
         """One node of one other failure domain does."""
-        world = World.of(9)
-        world.run(1)
-        world.dead.update(
+        cluster = SimulatedCluster.of(9)
+        cluster.run(1)
+        cluster.dead.update(
             node.circle.own.node_id
-            for node in world.alive
+            for node in cluster.alive
             if node.domain == _DOMAIN
         )
-        world.run(3)
+        cluster.run(3)
         for target in _TARGETS:
-            self.assertEqual(_senders(world, target, 1), [1])
+            self.assertEqual(_senders(cluster, target, 1), [1])
 
     def test_who_stops_does_not_send(self) -> None:
         """What it still serves goes elsewhere."""
-        world = World.of(4)
-        world.run(1)
-        for node in world.alive:
+        cluster = SimulatedCluster.of(4)
+        cluster.run(1)
+        for node in cluster.alive:
             node.circle.own.stopping = node.domain == _DOMAIN
-        self.assertEqual(_senders(world, _TARGETS[0], 1), [])
+        self.assertEqual(_senders(cluster, _TARGETS[0], 1), [])
 
-    def _sender(self, world: World, target: str) -> str:
+    def _sender(self, cluster: SimulatedCluster, target: str) -> str:
         return next(
             node.circle.own.node_id
-            for node in world.alive
-            if sharing_nodes(node.circle, _DOMAIN, target, 1)
+            for node in cluster.alive
+            if sharing_node_count(node.circle, _DOMAIN, target, 1)
         )
--- a/tests/unit/test_said_to_leave.py
+++ b/tests/unit/test_said_to_leave.py
@@ -16,8 +16,8 @@
 from cranecart.http import Address
 from cranecart.mesh import Leaving, decode_mesh_message, encode_mesh_message
 from cranecart.ports import Life
-from tests.lib.circles import World
 from tests.lib.fake_targets import ENGINES, MODEL, ClientAnswer, instance
+from tests.lib.simulated_cluster import SimulatedCluster
 from tests.lib.speaking_targets import SpeakingDeployment, Words
 
 _LEAVE_AT = 0.5
@@ -99,12 +99,12 @@
     def test_all_hear(self) -> None:
         """In a small deployment and by relays."""
         for nodes in (4, 78):
-            world = World.of(nodes)
-            world.run(2)
-            teller = world.nodes['node-000']
+            cluster = SimulatedCluster.of(nodes)
+            cluster.run(2)
+            teller = cluster.nodes['node-000']
             teller.mesh.tell_all(Leaving('node-000', 'i0', 7))
-            world.deliver()
-            heard = [node for node in world.alive if 'i0' in node.leaving]
+            cluster.deliver()
+            heard = [node for node in cluster.alive if 'i0' in node.leaving]
             self.assertEqual(len(heard), nodes - 1)
 
     def test_on_the_wire(self) -> None:
--- a/tests/unit/test_suspension.py
+++ b/tests/unit/test_suspension.py
@@ -19,7 +19,7 @@
 from cranecart.exceptions import LeaseLostError
 from cranecart.forwarding import TargetConnections
 from cranecart.mesh import Beat
-from cranecart.mesh._others import Others
+from cranecart.mesh._peer_state import PeerState
 from cranecart.retries import RetryRules, SharedRetryBudget
 from cranecart.routing import Ejection
 from cranecart.targets import ServiceCall
@@ -87,7 +87,7 @@
 
     def test_what_is_known(self) -> None:
         """Nodes, connections, budgets and failures are as old as they are."""
-        others = Others('n0', 'east')
+        others = PeerState('n0', 'east')
         others.take_beat(Beat('n1', 'a', 'east', 1, 0, {}))
         self.assertTrue(others.is_fresh('n1'))
         clocks = (
--- a/tests/unit/test_link.py
+++ b/tests/unit/test_transport.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from cranecart.http import Address
-from cranecart.links import NodeLink
 from cranecart.standins import FaultProxy, LinkFaults
+from cranecart.transport import PeerTransport
 from tools.processes import Addresses
 
 _PATIENCE_SECONDS = 6.0
@@ -49,11 +49,13 @@
         near.close()
         far.close()
 
-    async def _hear(self, link: NodeLink[int]) -> None:
+    async def _hear(self, link: PeerTransport[int]) -> None:
         while True:
             self.heard.append(await link.receive())
 
-    async def _say_until_heard(self, link: NodeLink[int], word: int) -> None:
+    async def _say_until_heard(
+        self, link: PeerTransport[int], word: int
+    ) -> None:
         until = time.monotonic() + _PATIENCE_SECONDS
         while time.monotonic() < until and word not in self.heard:
             link.send(str(self.middle), word)
@@ -84,8 +86,8 @@
         far.close()
 
 
-def _link(address: Address) -> NodeLink[int]:
-    return NodeLink(
+def _link(address: Address) -> PeerTransport[int]:
+    return PeerTransport(
         address,
         msgspec.msgpack.encode,
         msgspec.msgpack.Decoder(int).decode,
