--- a/src/cranecart/clients/_relay.py
+++ b/src/cranecart/clients/_relay.py
@@ -117,7 +117,7 @@
         )
 
     async def _pass_all_on(self, answer: EngineAnswer, watch: Watch) -> None:
-        while piece := await answer.read_piece():
+        while piece := await answer.read_chunk():
             watch.progressing()
             whole = self._counter.feed(piece)
             if not whole:
--- a/src/cranecart/forwarding/_connections.py
+++ b/src/cranecart/forwarding/_connections.py
@@ -76,7 +76,7 @@
             idle = kept.pop()
             now = self._clock()
             is_young = not is_sure or now - idle.since < _SURE_SECONDS
-            if is_young and now < idle.until and idle.connection.is_quiet():
+            if is_young and now < idle.until and idle.connection.has_no_pending_input():
                 return idle.connection
             await idle.connection.close()
         try:
@@ -102,14 +102,14 @@
         connection: HttpConnection,
     ) -> None:
         """Keep a connection whose answer was read whole; close any other."""
-        if connection.has_more:
+        if connection.has_surplus_data:
             self.uneven += 1
             self.doubt(instance)
             decision(
                 'left_over',
                 instance=instance.id,
-                bytes=connection.left_over,
-                carried=connection.carried,
+                bytes=connection.surplus_bytes,
+                carried=connection.earlier_requests,
             )
         kept = self._idle[instance.life]
         most = _MOST_IDLE_DOUBTED if self._is_doubted(instance) else _MOST_IDLE
--- a/src/cranecart/forwarding/_gateway.py
+++ b/src/cranecart/forwarding/_gateway.py
@@ -78,7 +78,7 @@
         responder: Responder,
         serving: curio.Task,
     ) -> None:
-        await responder.client_left()
+        await responder.wait_for_disconnect()
         await serving.cancel(blocking=False)
 
     async def _answer(self, request: Request, responder: Responder) -> None:
--- a/src/cranecart/forwarding/_own_head.py
+++ b/src/cranecart/forwarding/_own_head.py
@@ -24,7 +24,7 @@
         """Return the head; an interrupted call may be repeated."""
         while True:
             if self._is_foreign:
-                await self._connection.drop_answer()
+                await self._connection.discard_response()
                 self._is_foreign = False
             head = await self._connection.read_head()
             named = self._form.read_answer(head).request_id
@@ -40,6 +40,6 @@
             target=str(self._connection.address),
             status=head.status,
             named=named,
-            carried=self._connection.carried,
-            left_over=self._connection.left_over,
+            carried=self._connection.earlier_requests,
+            left_over=self._connection.surplus_bytes,
         )
--- a/src/cranecart/forwarding/_sender.py
+++ b/src/cranecart/forwarding/_sender.py
@@ -201,7 +201,7 @@
             resume_after,
         )
         try:
-            await connection.begin(
+            await connection.start_sending(
                 self.form.request_for(call.request, dispatch)
             )
         except HttpError as error:
--- a/src/cranecart/forwarding/_stream.py
+++ b/src/cranecart/forwarding/_stream.py
@@ -104,7 +104,7 @@
             self._attempts.call,
             target,
             patience,
-            answer.connection.read_piece,
+            answer.connection.read_chunk,
         ):
             self._attempts.begun(target)
             patience = self._patience()
@@ -136,7 +136,7 @@
         self.response = Response(
             answer.head.status,
             body=body,
-            lines=self._sender.form.answer_lines(answer.head),
+            header_lines=self._sender.form.answer_lines(answer.head),
         )
 
     def _patience(self) -> Patience:
--- a/src/cranecart/forwarding/_whole.py
+++ b/src/cranecart/forwarding/_whole.py
@@ -63,5 +63,5 @@
         return Response(
             answer.head.status,
             body=body,
-            lines=self._sender.form.answer_lines(answer.head),
+            header_lines=self._sender.form.answer_lines(answer.head),
         )
--- a/src/cranecart/http/__init__.py
+++ b/src/cranecart/http/__init__.py
@@ -11,7 +11,7 @@
     ResponseHead,
     json_response,
 )
-from cranecart.http._pool import HttpPool, exchange
+from cranecart.http._pool import HttpConnectionPool, exchange
 from cranecart.http._responder import Responder
 from cranecart.http._server import HttpServer
 
@@ -20,7 +20,7 @@
     'HeaderLines',
     'Headers',
     'HttpConnection',
-    'HttpPool',
+    'HttpConnectionPool',
     'HttpServer',
     'Request',
     'Responder',
--- a/src/cranecart/http/_client.py
+++ b/src/cranecart/http/_client.py
@@ -20,7 +20,7 @@
     HeaderLines,
     Request,
     ResponseHead,
-    decode_lines,
+    decode_headers,
     encode_headers,
 )
 
@@ -30,7 +30,7 @@
 _KEEPALIVE_SECONDS = 1
 _KEEPALIVE_TRIES = 2
 _UNANSWERED_MS = 2000
-CONNECT_SECONDS = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 _MAX_BODY_BYTES = 67108864
 # Far more than a target that stutters owes. Answers that come without end are
 # read without ever waiting: they held a node for 19 s.
@@ -47,7 +47,7 @@
         """Wrap an open socket."""
         self.address = address
         # How many requests were sent on it before the present one.
-        self.carried = 0
+        self.earlier_requests = 0
         self._sock = sock
         self._h11 = _new_parser()
         self._request: Request | None = None
@@ -63,9 +63,9 @@
     async def open(
         cls,
         address: Address,
-        connect_seconds: float = CONNECT_SECONDS,
+        connect_timeout_seconds: float = CONNECT_TIMEOUT_SECONDS,
         *,
-        keeps_alive: bool = False,
+        tcp_keepalive: bool = False,
     ) -> Self:
         """Connect; raise ``ConnectFailedError`` when that does not succeed.
 
@@ -76,7 +76,7 @@
         sock = curio.io.Socket(socket.socket())
         try:
             await curio.timeout_after(
-                connect_seconds,
+                connect_timeout_seconds,
                 sock.connect,
                 (address.host, address.port),
             )
@@ -89,20 +89,20 @@
             await sock.close()
             raise
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        if keeps_alive:
-            _keep_alive(sock)
+        if tcp_keepalive:
+            _enable_tcp_keepalive(sock)
         return cls(address, sock)
 
     @property
-    def left_over(self) -> int:
+    def surplus_bytes(self) -> int:
         """Return how many bytes have come behind the answer at hand."""
         return len(self._h11.trailing_data[0])
 
     @property
-    def has_more(self) -> bool:
+    def has_surplus_data(self) -> bool:
         """Tell whether more came than the answers that were asked for."""
         is_read = self._h11.their_state is h11.DONE
-        return self._dropped > 0 or (is_read and self.left_over > 0)
+        return self._dropped > 0 or (is_read and self.surplus_bytes > 0)
 
     @property
     def is_reusable(self) -> bool:
@@ -112,9 +112,9 @@
         """
         # A reader who left early has not taken the end that was read ahead.
         is_read = _is_between_answers(self._h11) and self._peeked is None
-        return self._sent_whole and is_read and not self.has_more
+        return self._sent_whole and is_read and not self.has_surplus_data
 
-    def is_quiet(self) -> bool:
+    def has_no_pending_input(self) -> bool:
         """Tell whether nothing came, not even the end, while it was idle."""
         # A node holds thousands of descriptors, and select takes 1,024.
         poller = select.poll()
@@ -134,14 +134,14 @@
         self._request = None
         self._sent_whole = False
         self._body.clear()
-        self.carried += 1
+        self.earlier_requests += 1
         self._h11.start_next_cycle()
 
     async def send(self, request: Request) -> None:
         """Send a whole request."""
         await self._write(self._encode(request))
 
-    async def begin(self, request: Request) -> None:
+    async def start_sending(self, request: Request) -> None:
         """Send a request, a large one while the response is awaited.
 
         The peer may answer before it has read all of a large body; the
@@ -158,12 +158,12 @@
             daemon=True,
         )
 
-    async def ask(self, request: Request) -> ResponseHead:
+    async def send_and_read_head(self, request: Request) -> ResponseHead:
         """Send a request and wait for the response's status and headers."""
-        await self.begin(request)
+        await self.start_sending(request)
         return await self.read_head()
 
-    async def drop_answer(self) -> None:
+    async def discard_response(self) -> None:
         """Read the answer at hand to its end: it is none to the request.
 
         An interrupted call may be repeated. The next head that is read is
@@ -188,11 +188,11 @@
         while isinstance(event, h11.InformationalResponse):
             event = await self._next_event()
         if isinstance(event, h11.Response):
-            lines = decode_lines(event.headers)
-            return ResponseHead(event.status_code, dict(lines), lines)
+            header_lines = decode_headers(event.headers)
+            return ResponseHead(event.status_code, dict(header_lines), header_lines)
         raise ConnectionBrokenError(f'{self.address} sent no response')
 
-    async def read_piece(self) -> bytes:
+    async def read_chunk(self) -> bytes:
         """Return what one read brought of the body; empty at its end."""
         event = await self._next_event()
         pieces = []
@@ -212,8 +212,8 @@
         A call that was interrupted may be repeated: nothing is lost of what
         it had read.
         """
-        while piece := await self.read_piece():
-            self._body += piece
+        while chunk := await self.read_chunk():
+            self._body += chunk
             if len(self._body) > _MAX_BODY_BYTES:
                 raise BadMessageError(f'{self.address} sent too large a body')
         return bytes(self._body)
@@ -227,12 +227,12 @@
 
     def _encode(self, request: Request) -> bytes:
         self._request = request
-        lines = request.lines or _default_lines(self.address, request)
+        header_lines = request.header_lines or _default_lines(self.address, request)
         try:
             head = h11.Request(
                 method=request.method,
                 target=request.target,
-                headers=encode_headers(lines),
+                headers=encode_headers(header_lines),
             )
             events = (head, h11.Data(data=request.body), h11.EndOfMessage())
             return b''.join(filter(None, map(self._h11.send, events)))
@@ -293,7 +293,7 @@
     return parser.our_state is h11.DONE and parser.their_state is h11.DONE
 
 
-def _keep_alive(sock: curio.io.Socket) -> None:
+def _enable_tcp_keepalive(sock: curio.io.Socket) -> None:
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     for option, number in (
         (socket.TCP_KEEPIDLE, _KEEPALIVE_SECONDS),
--- a/src/cranecart/http/_messages.py
+++ b/src/cranecart/http/_messages.py
@@ -47,7 +47,7 @@
     target: str
     headers: Headers = attrs.field(factory=dict)
     body: bytes = b''
-    lines: HeaderLines = ()
+    header_lines: HeaderLines = ()
 
     @property
     def path(self) -> str:
@@ -66,7 +66,7 @@
 
     status: int
     headers: Headers = attrs.field(factory=dict)
-    lines: HeaderLines = ()
+    header_lines: HeaderLines = ()
 
     @property
     def is_success(self) -> bool:
@@ -81,7 +81,7 @@
     status: int
     headers: Headers = attrs.field(factory=dict)
     body: bytes = b''
-    lines: HeaderLines = ()
+    header_lines: HeaderLines = ()
 
     @property
     def is_success(self) -> bool:
@@ -102,7 +102,7 @@
     )
 
 
-def decode_lines(raw: Iterable[tuple[bytes, bytes]]) -> HeaderLines:
+def decode_headers(raw: Iterable[tuple[bytes, bytes]]) -> HeaderLines:
     """Turn h11's header pairs into text."""
     return tuple(
         (name.decode('ascii').lower(), text.decode('latin-1'))
@@ -114,7 +114,7 @@
     headers: Headers | HeaderLines,
 ) -> list[tuple[bytes, bytes]]:
     """Turn text headers into h11's pairs."""
-    lines = headers.items() if isinstance(headers, Mapping) else headers
+    header_lines = headers.items() if isinstance(headers, Mapping) else headers
     return [
-        (name.encode('ascii'), text.encode('latin-1')) for name, text in lines
+        (name.encode('ascii'), text.encode('latin-1')) for name, text in header_lines
     ]
--- a/src/cranecart/http/_pool.py
+++ b/src/cranecart/http/_pool.py
@@ -7,36 +7,36 @@
 from curio.errors import TaskTimeout
 
 from cranecart.exceptions import PeerTimeoutError
-from cranecart.http._client import CONNECT_SECONDS, HttpConnection
+from cranecart.http._client import CONNECT_TIMEOUT_SECONDS, HttpConnection
 from cranecart.http._messages import Address, Request, Response
 
 _MAX_IDLE = 32
 
 
 @attrs.define
-class HttpPool:
+class HttpConnectionPool:
     """Idle connections by address; a connection is lent to one request."""
 
-    _keeps_alive: bool = False
+    _tcp_keepalive: bool = False
     _idle: dict[Address, list[HttpConnection]] = attrs.field(
         factory=lambda: defaultdict(list),
         init=False,
     )
 
-    async def take(self, address: Address) -> HttpConnection:
+    async def acquire(self, address: Address) -> HttpConnection:
         """Return an idle connection or open one."""
         idle = self._idle.get(address)
         while idle:
             connection = idle.pop()
-            if connection.is_quiet():
+            if connection.has_no_pending_input():
                 return connection
             await connection.close()
         return await HttpConnection.open(
             address,
-            keeps_alive=self._keeps_alive,
+            tcp_keepalive=self._tcp_keepalive,
         )
 
-    async def give_back(self, connection: HttpConnection) -> None:
+    async def release(self, connection: HttpConnection) -> None:
         """Keep a connection that finished cleanly; close any other."""
         idle = self._idle[connection.address]
         if connection.is_reusable and len(idle) < _MAX_IDLE:
@@ -45,7 +45,7 @@
         else:
             await connection.close()
 
-    async def drop(self, address: Address) -> None:
+    async def close_idle(self, address: Address) -> None:
         """Close the idle connections to an address."""
         for connection in self._idle.pop(address, ()):
             await connection.close()
@@ -55,7 +55,7 @@
     address: Address,
     request: Request,
     seconds: float,
-    connect_seconds: float = CONNECT_SECONDS,
+    connect_timeout_seconds: float = CONNECT_TIMEOUT_SECONDS,
 ) -> Response:
     """Send one request on a connection of its own; return the response.
 
@@ -64,7 +64,7 @@
     """
     connection = await HttpConnection.open(
         address,
-        min(seconds, connect_seconds),
+        min(seconds, connect_timeout_seconds),
     )
     try:
         return await curio.timeout_after(seconds, _ask, connection, request)
--- a/src/cranecart/http/_receiving.py
+++ b/src/cranecart/http/_request_reader.py
@@ -6,13 +6,13 @@
 
 from cranecart.exceptions import BadMessageError, ConnectionBrokenError
 from cranecart.http._limits import READ_BYTES, ServerLimits
-from cranecart.http._messages import Request, decode_lines
+from cranecart.http._messages import Request, decode_headers
 
 _STATUS_TIMEOUT = 408
 _STATUS_TOO_LARGE = 413
 
 
-async def receive(
+async def receive_request(
     sock: curio.io.Socket,
     connection: h11.Connection,
     limits: ServerLimits,
@@ -104,11 +104,11 @@
 
 
 def _to_request(head: h11.Request, body: bytes) -> Request:
-    lines = decode_lines(head.headers)
+    header_lines = decode_headers(head.headers)
     return Request(
         head.method.decode('ascii'),
         head.target.decode('ascii'),
-        dict(lines),
+        dict(header_lines),
         body,
-        lines,
+        header_lines,
     )
--- a/src/cranecart/http/_responder.py
+++ b/src/cranecart/http/_responder.py
@@ -51,7 +51,7 @@
         await self._write(
             self._head(
                 response.status,
-                response.lines or response.headers,
+                response.header_lines or response.headers,
                 ('content-length', str(len(response.body))),
             ),
             h11.Data(data=response.body),
@@ -74,7 +74,7 @@
         """Send the end of the body."""
         await self._write(h11.EndOfMessage())
 
-    async def client_left(self) -> None:
+    async def wait_for_disconnect(self) -> None:
         """Return once the client closed its side.
 
         Whatever it sends instead is kept for the next request.
@@ -114,7 +114,7 @@
             raise ConnectionBrokenError('the client went away') from error
 
 
-async def refuse(responder: Responder, error: BadMessageError) -> None:
+async def send_error(responder: Responder, error: BadMessageError) -> None:
     """Tell a client what is wrong with its message."""
     answer = json_response(
         error.status,
--- a/src/cranecart/http/_server.py
+++ b/src/cranecart/http/_server.py
@@ -15,8 +15,8 @@
 from cranecart.exceptions import BadMessageError, ConnectionBrokenError
 from cranecart.http._limits import READ_BYTES, ServerLimits
 from cranecart.http._messages import Address, Request
-from cranecart.http._receiving import receive
-from cranecart.http._responder import Responder, refuse
+from cranecart.http._request_reader import receive_request
+from cranecart.http._responder import Responder, send_error
 from cranecart.listening import take_listener
 
 _LOG = logging.getLogger(__name__)
@@ -91,7 +91,7 @@
         if self._accepting is not None:
             await self._accepting.cancel()
 
-    def refuse_new(self) -> None:
+    def disable_keep_alive(self) -> None:
         """Ask clients to close their connections after the next answer."""
         self._closing = True
 
@@ -174,7 +174,7 @@
             try:
                 request = await self._receive(sock, connection)
             except BadMessageError as error:
-                await refuse(responder, error)
+                await send_error(responder, error)
                 await _let_client_read(sock)
                 return
             if request is None:
@@ -207,7 +207,7 @@
             if not first:
                 return None
             connection.receive_data(first)
-        return await receive(sock, connection, self.limits)
+        return await receive_request(sock, connection, self.limits)
 
     async def _wait_for_request(self, sock: curio.io.Socket) -> bytes:
         self._idle[sock] = None
--- a/src/cranecart/load/_sending.py
+++ b/src/cranecart/load/_sending.py
@@ -67,7 +67,7 @@
     try:
         await connection.send(_request(call))
         progress.head = await connection.read_head()
-        while piece := await connection.read_piece():
+        while piece := await connection.read_chunk():
             progress.body += piece
             progress.arrivals.append(time.monotonic())
     finally:
--- a/src/cranecart/node/_node.py
+++ b/src/cranecart/node/_node.py
@@ -136,7 +136,7 @@
         await self._control.hand_over()
         # The balancer needs a while to see that the node is not ready.
         await curio.sleep(self._settings.ready_off_ms / _MILLISECONDS)
-        self._client_server.refuse_new()
+        self._client_server.disable_keep_alive()
         deadline = since_boot() + self._settings.stop_grace_ms / _MILLISECONDS
         while self._admission.inside and since_boot() < deadline:
             await curio.sleep(_DRAIN_POLL_SECONDS)
--- a/src/cranecart/platform/_calls.py
+++ b/src/cranecart/platform/_calls.py
@@ -83,10 +83,10 @@
         dropped = set(_HOP | _OWN) | _named_by_connection(request.headers)
         if dispatch.resume_after:
             dropped.add(_RESUME)
-        kept = [line for line in request.lines if line[0] not in dropped]
+        kept = [line for line in request.header_lines if line[0] not in dropped]
         return attrs.evolve(
             request,
-            lines=(*kept, *_added(request, dispatch)),
+            header_lines=(*kept, *_added(request, dispatch)),
         )
 
     def read_answer(self, head: ResponseHead) -> AnswerFacts:
@@ -103,7 +103,7 @@
     def answer_lines(self, head: ResponseHead) -> HeaderLines:
         """Return the headers of a target's answer that a client gets."""
         dropped = _HOP | _named_by_connection(head.headers)
-        return tuple(line for line in head.lines if line[0] not in dropped)
+        return tuple(line for line in head.header_lines if line[0] not in dropped)
 
     def refusal(
         self,
--- a/src/cranecart/platform/_orders.py
+++ b/src/cranecart/platform/_orders.py
@@ -16,7 +16,7 @@
     TargetClosedError,
     TargetGoneError,
 )
-from cranecart.http import HttpPool, Request, exchange
+from cranecart.http import HttpConnectionPool, Request, exchange
 from cranecart.ports import ListedInstance
 
 # Orders are answered in 3 to 8 ms on a calm link, so that a longer silence
@@ -33,7 +33,7 @@
     """Sends orders on kept connections, one at a time to an instance."""
 
     sent: int = attrs.field(default=0, init=False)
-    _pool: HttpPool = attrs.field(factory=HttpPool, init=False)
+    _pool: HttpConnectionPool = attrs.field(factory=HttpConnectionPool, init=False)
 
     async def join(
         self,
@@ -136,14 +136,14 @@
         _check(instance, status)
 
     async def _ask(self, instance: ListedInstance, request: Request) -> int:
-        connection = await self._pool.take(instance.address)
+        connection = await self._pool.acquire(instance.address)
         try:
-            head = await connection.ask(request)
+            head = await connection.send_and_read_head(request)
             await connection.read_body()
         except BaseException:
             await connection.close()
             raise
-        await self._pool.give_back(connection)
+        await self._pool.release(connection)
         return head.status
 
     async def _ask_alone(
--- a/src/cranecart/platform/_store.py
+++ b/src/cranecart/platform/_store.py
@@ -21,7 +21,7 @@
     WriteConflictError,
     WriteUnknownError,
 )
-from cranecart.http import Address, HttpPool, Request, Response
+from cranecart.http import Address, HttpConnectionPool, Request, Response
 from cranecart.platform._era import StoreEra
 from cranecart.ports import era_of, number_of, version_in
 
@@ -90,8 +90,8 @@
     _address: Address
     counts: Counter[str] = attrs.field(factory=Counter, init=False)
     _era: StoreEra = attrs.field(factory=StoreEra, init=False)
-    _pool: HttpPool = attrs.field(
-        factory=functools.partial(HttpPool, keeps_alive=True),
+    _pool: HttpConnectionPool = attrs.field(
+        factory=functools.partial(HttpConnectionPool, tcp_keepalive=True),
         init=False,
     )
 
@@ -188,7 +188,7 @@
             return _read_rows(response, str(query['tableName'])).of_era(era)
         except PlatformUnavailableError:
             # It may answer an earlier question, and so would the next one.
-            await self._pool.drop(self._address)
+            await self._pool.close_idle(self._address)
             raise
 
     async def _read(
@@ -210,18 +210,18 @@
         except TaskTimeout:
             # What made one silent may have made all of them so, and each
             # would cost another call its whole bound.
-            await self._pool.drop(self._address)
+            await self._pool.close_idle(self._address)
             raise
 
     async def _ask(self, request: Request) -> Response:
-        connection = await self._pool.take(self._address)
+        connection = await self._pool.acquire(self._address)
         try:
-            head = await connection.ask(request)
+            head = await connection.send_and_read_head(request)
             body = await connection.read_body()
         except BaseException:
             await connection.close()
             raise
-        await self._pool.give_back(connection)
+        await self._pool.release(connection)
         self._era.note(head.headers)
         self.counts['store_era'] = self._era.current
         return Response(head.status, head.headers, body)
--- a/src/cranecart/platform/_words.py
+++ b/src/cranecart/platform/_words.py
@@ -73,6 +73,6 @@
 
 
 def _texts(head: ResponseHead, name: str) -> list[str]:
-    if not head.lines:
+    if not head.header_lines:
         return [head.headers[name]]
-    return [text for line_name, text in head.lines if line_name == name]
+    return [text for line_name, text in head.header_lines if line_name == name]
--- a/src/cranecart/serving/_node.py
+++ b/src/cranecart/serving/_node.py
@@ -272,7 +272,7 @@
         self._stopping = True
         self._mesh.own.stopping = True
         decision('node_stopping', in_flight=self._gateway.inside)
-        self._clients.refuse_new()
+        self._clients.disable_keep_alive()
         await self._placing.hand_over()
         self._mesh.broadcast(self._mesh.telling.beat())
         await self._registry.withdraw()
--- a/src/cranecart/standins/_engine.py
+++ b/src/cranecart/standins/_engine.py
@@ -163,7 +163,7 @@
             )
         async with curio.TaskGroup(wait=any) as tasks:
             await tasks.spawn(self._generate, generation, responder)
-            await tasks.spawn(responder.client_left)
+            await tasks.spawn(responder.wait_for_disconnect)
 
     async def _generate(
         self,
--- a/src/cranecart/targets/_engine.py
+++ b/src/cranecart/targets/_engine.py
@@ -19,7 +19,7 @@
 )
 from cranecart.http import (
     HttpConnection,
-    HttpPool,
+    HttpConnectionPool,
     Request,
     Response,
     ResponseHead,
@@ -80,7 +80,7 @@
 
     def __init__(
         self,
-        pool: HttpPool,
+        pool: HttpConnectionPool,
         connection: HttpConnection,
         head: ResponseHead,
     ) -> None:
@@ -100,12 +100,12 @@
         trace: TracebackType | None,
     ) -> None:
         """Give the connection back or close it."""
-        await self._pool.give_back(self._connection)
+        await self._pool.release(self._connection)
 
-    async def read_piece(self) -> bytes:
+    async def read_chunk(self) -> bytes:
         """Return what one read brought, empty at the answer's end."""
         try:
-            return await self._connection.read_piece()
+            return await self._connection.read_chunk()
         except HttpError as error:
             raise TargetDisconnectedError(str(error)) from error
 
@@ -121,7 +121,7 @@
 class EngineClient:
     """Talks to engines; turns what goes wrong into ``TargetError``."""
 
-    pool: HttpPool = attrs.field(factory=HttpPool)
+    pool: HttpConnectionPool = attrs.field(factory=HttpConnectionPool)
 
     async def order(
         self,
@@ -188,7 +188,7 @@
         # An idle connection may be closed by the other side just as a call
         # is sent, and then nobody can tell whether the call ran.
         if call.repeatable:
-            return await self.pool.take(replica.leader)
+            return await self.pool.acquire(replica.leader)
         return await HttpConnection.open(replica.leader)
 
 
--- a/tests/functional/test_node_start.py
+++ b/tests/functional/test_node_start.py
@@ -154,7 +154,7 @@
 
 
 async def _ask(connection: HttpConnection) -> Response:
-    head = await connection.ask(_request())
+    head = await connection.send_and_read_head(_request())
     return Response(head.status, head.headers, await connection.read_body())
 
 
--- a/tests/lib/fake_targets.py
+++ b/tests/lib/fake_targets.py
@@ -430,10 +430,10 @@
     connection: HttpConnection,
     request: Request,
 ) -> ClientAnswer:
-    head = await connection.ask(request)
+    head = await connection.send_and_read_head(request)
     pieces = []
     try:
-        while piece := await connection.read_piece():
+        while piece := await connection.read_chunk():
             pieces.append(piece)
     except ConnectionBrokenError:
         return ClientAnswer(head.status, head.headers, b''.join(pieces), False)
--- a/tests/platform/test_calls.py
+++ b/tests/platform/test_calls.py
@@ -77,7 +77,7 @@
     def setUp(self) -> None:
         """Build what is sent on."""
         dispatch = Dispatch('i-1', 1.5, 'org', 2, '9')
-        self.sent = _FORM.request_for(_request(), dispatch).lines
+        self.sent = _FORM.request_for(_request(), dispatch).header_lines
 
     def test_the_system_sets_its_own(self) -> None:
         """Nothing that a client forged remains."""
--- a/tests/platform/test_silence.py
+++ b/tests/platform/test_silence.py
@@ -161,7 +161,7 @@
 
     async def _options(self, client: StoreClient) -> None:
         await Calls(client).read()
-        connection = await client._pool.take(client._address)
+        connection = await client._pool.acquire(client._address)
         found = {
             option: connection._sock.getsockopt(level, option)
             for level, option in (
--- a/tests/unit/test_http.py
+++ b/tests/unit/test_http.py
@@ -40,7 +40,7 @@
     await connection.send(Request('GET', '/'))
     await connection.read_head()
     async with listener:
-        while piece := await connection.read_piece():
+        while piece := await connection.read_chunk():
             pieces.append(piece)
     await connection.close()
     await serving.join()
@@ -153,7 +153,7 @@
         connection = await HttpConnection.open(address)
         await connection.send(Request('GET', '/'))
         await curio.sleep(0.05)
-        server.refuse_new()
+        server.disable_keep_alive()
         await server.stop_listening()
         with self.assertRaises(ConnectFailedError):
             await HttpConnection.open(address)
--- a/tests/unit/test_room.py
+++ b/tests/unit/test_room.py
@@ -100,7 +100,7 @@
         self.assertEqual(await _status(late), 200)
         self.assertLess(time.monotonic() - started, _SOON_SECONDS)
         with self.assertRaises(ConnectionBrokenError):
-            await kept[0].ask(Request('GET', '/'))
+            await kept[0].send_and_read_head(Request('GET', '/'))
         self.assertEqual(await _status(kept[-1]), 200)
         self.assertFalse(serving.server.is_full)
         await _close(late, *kept)
@@ -141,7 +141,7 @@
             late = await HttpConnection.open(serving.server.address)
             head = await curio.timeout_after(
                 _SOON_SECONDS,
-                late.ask,
+                late.send_and_read_head,
                 Request('GET', '/'),
             )
         self.assertEqual(head.status, 200)
@@ -183,7 +183,7 @@
 
 
 async def _status(connection: HttpConnection) -> int:
-    return (await connection.ask(Request('GET', '/'))).status
+    return (await connection.send_and_read_head(Request('GET', '/'))).status
 
 
 async def _close(*connections: HttpConnection) -> None:
--- a/tests/unit/test_uneven_connections.py
+++ b/tests/unit/test_uneven_connections.py
@@ -19,7 +19,7 @@
 
 from cranecart.exceptions import TargetBrokenError
 from cranecart.forwarding import EventCutter, TargetConnections
-from cranecart.http import Address, HttpConnection, HttpPool, Request
+from cranecart.http import Address, HttpConnection, HttpConnectionPool, Request
 from cranecart.ports import ListedInstance
 from cranecart.standins import (
     AnswerStyle,
@@ -65,8 +65,8 @@
         connection = await self.pool.take(instance, is_sure=is_sure)
         number = next(self._numbers)
         request = client_request('/safe/x', request_id=f'r{number}')
-        await connection.ask(request)
-        await (connection.read_body() if is_read else connection.read_piece())
+        await connection.send_and_read_head(request)
+        await (connection.read_body() if is_read else connection.read_chunk())
         await self.pool.give_back(instance, connection)
 
 
@@ -237,13 +237,13 @@
 
 
 async def _pooled(target: StutteringService) -> None:
-    pool = HttpPool()
+    pool = HttpConnectionPool()
     for number in range(2):
-        connection = await pool.take(target.address)
+        connection = await pool.acquire(target.address)
         request = client_request('/x', request_id=f'r{number}')
-        await connection.ask(request)
+        await connection.send_and_read_head(request)
         await connection.read_body()
-        await pool.give_back(connection)
+        await pool.release(connection)
         await curio.sleep(0.03)
 
 
@@ -315,7 +315,7 @@
             headers = {**plain.headers, 'x-mark': mark}
             headers.pop('request-id')
             connection = await HttpConnection.open(world.server.address)
-            await connection.ask(Request('POST', '/safe/x', headers, b''))
+            await connection.send_and_read_head(Request('POST', '/safe/x', headers, b''))
             self.bodies.append(await connection.read_body())
             await connection.close()
 
--- a/tests/unit/test_unoffered.py
+++ b/tests/unit/test_unoffered.py
@@ -210,7 +210,7 @@
 
     async def play(self, world: GatewayWorld) -> None:
         connection = await HttpConnection.open(world.server.address)
-        head = await connection.ask(self.request)
+        head = await connection.send_and_read_head(self.request)
         body = await connection.read_body()
         await connection.close()
         answer = ClientAnswer(head.status, head.headers, body, True)
--- a/tools/bench/_relay.py
+++ b/tools/bench/_relay.py
@@ -197,7 +197,7 @@
         ),
     )
     await connection.read_head()
-    while piece := await connection.read_piece():
+    while piece := await connection.read_chunk():
         stream.first = stream.first or time.monotonic()
         stream.events += piece.count(_EVENT_END)
     await connection.close()
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -178,14 +178,14 @@
     Mutation(
         'parts-of-bodies-are-forgotten',
         'http/_client.py',
-        'while piece := await self.read_piece():',
-        'self._body.clear()\n        while piece := await self.read_piece():',
+        'while chunk := await self.read_chunk():',
+        'self._body.clear()\n        while chunk := await self.read_chunk():',
         f'{_FOREIGN_ANSWERS}.test_an_answer_in_parts',
     ),
     Mutation(
         'uneven-connections-are-kept',
         'http/_client.py',
-        'return self._sent_whole and is_read and not self.has_more',
+        'return self._sent_whole and is_read and not self.has_surplus_data',
         'return self._sent_whole and is_read',
         f'{_FOREIGN_ANSWERS}.test_an_uneven_connection_is_given_up',
     ),
