--- a/src/cranecart/forwarding/_connections.py
+++ b/src/cranecart/forwarding/_connections.py
@@ -76,7 +76,11 @@
             idle = kept.pop()
             now = self._clock()
             is_young = not is_sure or now - idle.since < _SURE_SECONDS
-            if is_young and now < idle.until and idle.connection.has_no_pending_input():
+            if (
+                is_young
+                and now < idle.until
+                and idle.connection.has_no_pending_input()
+            ):
                 return idle.connection
             await idle.connection.close()
         try:
--- a/src/cranecart/http/_client.py
+++ b/src/cranecart/http/_client.py
@@ -189,7 +189,9 @@
             event = await self._next_event()
         if isinstance(event, h11.Response):
             header_lines = decode_headers(event.headers)
-            return ResponseHead(event.status_code, dict(header_lines), header_lines)
+            return ResponseHead(
+                event.status_code, dict(header_lines), header_lines
+            )
         raise ConnectionBrokenError(f'{self.address} sent no response')
 
     async def read_chunk(self) -> bytes:
@@ -227,7 +229,9 @@
 
     def _encode(self, request: Request) -> bytes:
         self._request = request
-        header_lines = request.header_lines or _default_lines(self.address, request)
+        header_lines = request.header_lines or _default_lines(
+            self.address, request
+        )
         try:
             head = h11.Request(
                 method=request.method,
--- a/src/cranecart/http/_messages.py
+++ b/src/cranecart/http/_messages.py
@@ -116,5 +116,6 @@
     """Turn text headers into h11's pairs."""
     header_lines = headers.items() if isinstance(headers, Mapping) else headers
     return [
-        (name.encode('ascii'), text.encode('latin-1')) for name, text in header_lines
+        (name.encode('ascii'), text.encode('latin-1'))
+        for name, text in header_lines
     ]
--- a/src/cranecart/platform/_calls.py
+++ b/src/cranecart/platform/_calls.py
@@ -103,7 +103,9 @@
     def answer_lines(self, head: ResponseHead) -> HeaderLines:
         """Return the headers of a target's answer that a client gets."""
         dropped = _HOP | _named_by_connection(head.headers)
-        return tuple(line for line in head.header_lines if line[0] not in dropped)
+        return tuple(
+            line for line in head.header_lines if line[0] not in dropped
+        )
 
     def refusal(
         self,
--- a/src/cranecart/platform/_orders.py
+++ b/src/cranecart/platform/_orders.py
@@ -33,7 +33,9 @@
     """Sends orders on kept connections, one at a time to an instance."""
 
     sent: int = attrs.field(default=0, init=False)
-    _pool: HttpConnectionPool = attrs.field(factory=HttpConnectionPool, init=False)
+    _pool: HttpConnectionPool = attrs.field(
+        factory=HttpConnectionPool, init=False
+    )
 
     async def join(
         self,
--- a/tests/unit/test_uneven_connections.py
+++ b/tests/unit/test_uneven_connections.py
@@ -315,7 +315,9 @@
             headers = {**plain.headers, 'x-mark': mark}
             headers.pop('request-id')
             connection = await HttpConnection.open(world.server.address)
-            await connection.send_and_read_head(Request('POST', '/safe/x', headers, b''))
+            await connection.send_and_read_head(
+                Request('POST', '/safe/x', headers, b'')
+            )
             self.bodies.append(await connection.read_body())
             await connection.close()
 
