--- a/src/cranecart/clients/_gateway.py
+++ b/src/cranecart/clients/_gateway.py
@@ -21,7 +21,7 @@
 from cranecart.http import Request, Responder, Response
 from cranecart.limits import Admission
 from cranecart.logs import decision
-from cranecart.ports import Life
+from cranecart.ports import Incarnation
 from cranecart.quarantine import NamedRunner, RequestGuard
 from cranecart.retries import RetryBudget
 from cranecart.selection import Router
@@ -178,8 +178,8 @@
         async def attempt() -> Response:  # noqa: WPS430
             instance = self._router.choose_instance(call, tried)
             tried.append(instance.id)
-            life = Life(instance.id)
-            runner = NamedRunner(instance.id, life, instance.address)
+            incarnation = Incarnation(instance.id)
+            runner = NamedRunner(instance.id, incarnation, instance.address)
             watching = self._guard.watching(lambda: call.identity, runner)
             with self._router.in_flight(instance.id):
                 async with watching:
--- a/src/cranecart/clients/_relay.py
+++ b/src/cranecart/clients/_relay.py
@@ -10,7 +10,7 @@
 )
 from cranecart.http import Responder, Response
 from cranecart.logs import decision
-from cranecart.ports import Life
+from cranecart.ports import Incarnation
 from cranecart.quarantine import NamedRunner, RequestGuard, Watch
 from cranecart.selection import Router
 from cranecart.targets import (
@@ -26,8 +26,8 @@
 
 def replica_runner(replica: ServingReplica) -> NamedRunner:
     """Return the leader; each generation of a replica is a life of its own."""
-    life = Life(replica.members[0], replica.generation)
-    return NamedRunner(replica.id, life, replica.leader)
+    incarnation = Incarnation(replica.members[0], replica.generation)
+    return NamedRunner(replica.id, incarnation, replica.leader)
 
 
 class StreamRelay:
--- a/src/cranecart/fleet/_fleet.py
+++ b/src/cranecart/fleet/_fleet.py
@@ -9,7 +9,7 @@
 from cranecart.fleet._recorded import Forming, Recorded
 from cranecart.fleet._records import RecordState, ReplicaRecord
 from cranecart.logs import decision
-from cranecart.ports import Life, ListedInstance, MemberPhase
+from cranecart.ports import Incarnation, ListedInstance, MemberPhase
 
 _PRESENT = frozenset((MemberPhase.READY, MemberPhase.OPEN))
 
@@ -30,9 +30,9 @@
         return self.head.id
 
     @property
-    def life(self) -> Life:
+    def incarnation(self) -> Incarnation:
         """Return the life of the instance that takes the requests."""
-        return self.head.life
+        return self.head.incarnation
 
     @property
     def forming(self) -> Forming:
@@ -228,7 +228,7 @@
         """
         for name in names:
             for record in list(self.recorded.naming_one(name)):
-                if any(map(self.listing.lives_anew, record.lives)):
+                if any(map(self.listing.is_superseded, record.incarnations)):
                     forming = (record.name, record.epoch)
                     self.stop(forming, f'{name} lives anew')
 
--- a/src/cranecart/fleet/_leaving.py
+++ b/src/cranecart/fleet/_leaving.py
@@ -2,18 +2,20 @@
 
 from cranecart.fleet._fleet import Fleet
 from cranecart.logs import decision
-from cranecart.ports import Life
+from cranecart.ports import Incarnation
 
 
-def note_leaving(fleet: Fleet, life: Life, by: str) -> bool:
+def note_leaving(fleet: Fleet, incarnation: Incarnation, by: str) -> bool:
     """Take over that a life says that it leaves; tell if it is news.
 
     What it belongs to is ended and replaced as if its entry had said so.
     """
-    if not fleet.listing.leave(life):
+    if not fleet.listing.leave(incarnation):
         return False
-    decision('target_leaving', instance=life.id, born=life.born, by=by)
-    known = fleet.instances.get(life.id)
+    decision(
+        'target_leaving', instance=incarnation.id, born=incarnation.born, by=by
+    )
+    known = fleet.instances.get(incarnation.id)
     if known is not None:
-        fleet.take_instances({life.id: known}, False)
+        fleet.take_instances({incarnation.id: known}, False)
     return True
--- a/src/cranecart/fleet/_listing.py
+++ b/src/cranecart/fleet/_listing.py
@@ -7,7 +7,7 @@
 from cranecart.fleet._lives import LifeBook, Told
 from cranecart.fleet._remembered import AwaitedEntries, RememberedLives
 from cranecart.logs import decision
-from cranecart.ports import Life, ListedInstance
+from cranecart.ports import Incarnation, ListedInstance
 
 # While the store is away instances cannot renew their entries, and many lapse
 # at once; those that live are back two seconds after the store at the latest.
@@ -92,7 +92,7 @@
         awaited = {
             name: item
             for name, item in items.items()
-            if name not in self.instances and item.life in self._gone
+            if name not in self.instances and item.incarnation in self._gone
         }
         known = {
             name: item for name, item in items.items() if name not in awaited
@@ -108,22 +108,26 @@
             self._take_entry(item)
         return [item.id for item in due]
 
-    def leave(self, life: Life) -> bool:
+    def leave(self, incarnation: Incarnation) -> bool:
         """Remember that a life says that it leaves; tell if it is news.
 
         Its entry may tell it later, or never; it counts from when the entry is
         taken next.
         """
-        if life in self._leaving:
+        if incarnation in self._leaving:
             return False
-        self._leaving.add(life)
+        self._leaving.add(incarnation)
         return True
 
-    def is_leaving(self, life: Life) -> bool:
+    def is_leaving(self, incarnation: Incarnation) -> bool:
         """Tell whether a life leaves, by its own word or its entry."""
-        known = self.known(life.id)
-        is_listed = known is not None and known.leaving and known.life == life
-        return is_listed or life in self._leaving
+        known = self.known(incarnation.id)
+        is_listed = (
+            known is not None
+            and known.leaving
+            and known.incarnation == incarnation
+        )
+        return is_listed or incarnation in self._leaving
 
     def settle_lives(self) -> list[str]:
         """Believe entries that have stood; return the ids that live anew."""
@@ -146,26 +150,26 @@
         """Return an instance, also one whose entry has gone lately."""
         return self.instances.get(name) or self.lapsed.get(name)
 
-    def lives(self) -> frozenset[Life]:
+    def incarnations(self) -> frozenset[Incarnation]:
         """Return the lives of all listed instances."""
-        return frozenset(one.life for one in self.instances.values())
+        return frozenset(one.incarnation for one in self.instances.values())
 
-    def lives_anew(self, life: Life) -> bool:
+    def is_superseded(self, incarnation: Incarnation) -> bool:
         """Tell whether another life of an instance is known than this."""
-        known = self.known(life.id)
-        if known is None or not life.born:
+        known = self.known(incarnation.id)
+        if known is None or not incarnation.born:
             return False
-        return known.life.is_another(life)
+        return known.incarnation.is_another(incarnation)
 
-    def has_ended(self, life: Life) -> bool:
+    def has_ended(self, incarnation: Incarnation) -> bool:
         """Tell whether a later life of an instance shows that one is over.
 
         Whether a birth that went back is later is only likely: members that
         wait for this life's end go on waiting.
         """
-        known = self.known(life.id)
-        is_later = known is not None and known.born > life.born
-        return is_later and self.lives_anew(life)
+        known = self.known(incarnation.id)
+        is_later = known is not None and known.born > incarnation.born
+        return is_later and self.is_superseded(incarnation)
 
     def of_service(self, service: str) -> Iterator[ListedInstance]:
         """Yield the listed instances of a service."""
@@ -200,7 +204,7 @@
         self._missing.pop(name, None)
         instance = self.instances.pop(name)
         self.lapsed[name] = instance
-        self._gone.add(instance.life)
+        self._gone.add(instance.incarnation)
         self._of_service[instance.service].pop(name)
         self._plain.pop(instance.service, None)
         self._lives.forget(name)
@@ -241,8 +245,8 @@
     def _as_it_said(self, entry: ListedInstance) -> ListedInstance:
         if entry.leaving:
             # A copy of the store may show it as it was before.
-            self._leaving.add(entry.life)
-        if entry.leaving or entry.life not in self._leaving:
+            self._leaving.add(entry.incarnation)
+        if entry.leaving or entry.incarnation not in self._leaving:
             return entry
         return attrs.evolve(entry, leaving=True)
 
@@ -255,7 +259,7 @@
         self.instances[entry.id] = entry
         self.lapsed.pop(entry.id, None)
         self._missing.pop(entry.id, None)
-        self._gone.forget(entry.life)
+        self._gone.forget(entry.incarnation)
         self._of_service.setdefault(entry.service, {})[entry.id] = entry
         self._plain.pop(entry.service, None)
 
--- a/src/cranecart/fleet/_lives.py
+++ b/src/cranecart/fleet/_lives.py
@@ -12,7 +12,7 @@
 
 from cranecart.clocks import since_boot
 from cranecart.logs import decision
-from cranecart.ports import Life, ListedInstance
+from cranecart.ports import Incarnation, ListedInstance
 
 # A life that lives writes its entry every heartbeat, 1.2 s on the users'
 # sheets. What an earlier birth has told for two of these and some is no late
@@ -42,7 +42,9 @@
     """The lives that have ended, and the entries that nobody is sure of."""
 
     _clock: Callable[[], float] = since_boot
-    _ended: dict[str, tuple[Life, ...]] = attrs.field(factory=dict, init=False)
+    _ended: dict[str, tuple[Incarnation, ...]] = attrs.field(
+        factory=dict, init=False
+    )
     _unsure: dict[str, tuple[ListedInstance, float]] = attrs.field(
         factory=dict,
         init=False,
@@ -51,15 +53,15 @@
     def told(self, known: ListedInstance, entry: ListedInstance) -> Told:
         """Take over an entry of a known instance; return what it says."""
         waiting = self._unsure.pop(entry.id, None)
-        if not entry.life.is_another(known.life):
+        if not entry.incarnation.is_another(known.incarnation):
             return Told.SAME
-        if entry.life in self._ended.get(entry.id, ()):
+        if entry.incarnation in self._ended.get(entry.id, ()):
             return Told.LATE
         if entry.born > known.born:
-            self._end(known.life)
+            self._end(known.incarnation)
             return Told.ANEW
         since = self._clock()
-        if waiting is not None and waiting[0].life == entry.life:
+        if waiting is not None and waiting[0].incarnation == entry.incarnation:
             since = waiting[1]
         self._unsure[entry.id] = (entry, since)
         return Told.UNSURE
@@ -88,10 +90,10 @@
             born=entry.born,
             earlier=known.born,
         )
-        self._end(known.life)
+        self._end(known.incarnation)
 
-    def _end(self, life: Life) -> None:
-        ended = (*self._ended.pop(life.id, ()), life)
-        self._ended[life.id] = ended[-_MOST_ENDED:]
+    def _end(self, incarnation: Incarnation) -> None:
+        ended = (*self._ended.pop(incarnation.id, ()), incarnation)
+        self._ended[incarnation.id] = ended[-_MOST_ENDED:]
         for oldest in list(self._ended)[:-_MOST_IDS]:
             self._ended.pop(oldest)
--- a/src/cranecart/fleet/_records.py
+++ b/src/cranecart/fleet/_records.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from cranecart.logs import UnreadableRows
-from cranecart.ports import Life, Row
+from cranecart.ports import Incarnation, Row
 
 RECORDS_TABLE = 'placement'
 # One part for all: each node reads them at its start, and a part is a call. Of
@@ -59,10 +59,10 @@
         return self.members[0]
 
     @functools.cached_property
-    def lives(self) -> tuple[Life, ...]:
+    def incarnations(self) -> tuple[Incarnation, ...]:
         """Return the lives of the members, as far as they are known."""
         births = itertools.chain(self.births, itertools.repeat(0))
-        return tuple(map(Life, self.members, births))
+        return tuple(map(Incarnation, self.members, births))
 
     @property
     def key(self) -> str:
--- a/src/cranecart/fleet/_remembered.py
+++ b/src/cranecart/fleet/_remembered.py
@@ -5,7 +5,7 @@
 import attrs
 
 from cranecart.logs import decision
-from cranecart.ports import Life, ListedInstance
+from cranecart.ports import Incarnation, ListedInstance
 
 # Such lives end within a minute.
 _MOST_LIVES = 1024
@@ -17,21 +17,21 @@
 class RememberedLives:
     """The last lives of which something was heard, so many at most."""
 
-    _lives: dict[Life, None] = attrs.field(factory=dict, init=False)
+    _lives: dict[Incarnation, None] = attrs.field(factory=dict, init=False)
 
-    def __contains__(self, life: Life) -> bool:
+    def __contains__(self, incarnation: Incarnation) -> bool:
         """Tell whether a life is remembered."""
-        return life in self._lives
+        return incarnation in self._lives
 
-    def add(self, life: Life) -> None:
+    def add(self, incarnation: Incarnation) -> None:
         """Remember a life, and forget the oldest of too many."""
-        self._lives[life] = None
+        self._lives[incarnation] = None
         if len(self._lives) > _MOST_LIVES:
             self._lives.pop(next(iter(self._lives)))
 
-    def forget(self, life: Life) -> None:
+    def forget(self, incarnation: Incarnation) -> None:
         """Forget a life."""
-        self._lives.pop(life, None)
+        self._lives.pop(incarnation, None)
 
 
 @attrs.define
--- a/src/cranecart/forwarding/_attempts.py
+++ b/src/cranecart/forwarding/_attempts.py
@@ -101,7 +101,7 @@
         except TargetError as error:
             self._note(target, error)
             return False
-        self._router.succeeded(target.instance.life)
+        self._router.succeeded(target.instance.incarnation)
         return True
 
     def _wanted(self) -> Wanted:
@@ -171,15 +171,15 @@
             self._tell_disconnected(target)
 
     def _count_failure(self, target: Target, error: TargetError) -> None:
-        life = target.instance.life
+        incarnation = target.instance.incarnation
         if isinstance(error, TargetWithdrawnError):
             # That it said so in time is no failure.
             return
         if isinstance(error, TargetDisconnectedError) and not target.forming:
-            self._router.broke(life)
+            self._router.broke(incarnation)
             return
         is_reached = not isinstance(error, TargetNotReachedError)
-        self._router.failed(life, reached=is_reached)
+        self._router.failed(incarnation, reached=is_reached)
 
     def _tell_disconnected(self, target: Target) -> None:
         """Log what shows whether the request has ended its target."""
--- a/src/cranecart/forwarding/_connections.py
+++ b/src/cranecart/forwarding/_connections.py
@@ -10,7 +10,7 @@
 from cranecart.exceptions import ConnectFailedError, TargetNotReachedError
 from cranecart.http import HttpConnection, ResponseHead
 from cranecart.logs import decision
-from cranecart.ports import Life, ListedInstance
+from cranecart.ports import Incarnation, ListedInstance
 
 # A live target answers a new connection within a few milliseconds on the
 # deployments' links; a lost first packet is sent again after a second, which
@@ -51,12 +51,14 @@
     _clock: Callable[[], float] = since_boot
     opened: int = attrs.field(default=0, init=False)
     uneven: int = attrs.field(default=0, init=False)
-    _idle: dict[Life, list[_Idle]] = attrs.field(
+    _idle: dict[Incarnation, list[_Idle]] = attrs.field(
         factory=lambda: defaultdict(list),
         init=False,
     )
-    _keep: dict[Life, float] = attrs.field(factory=dict, init=False)
-    _doubted_until: dict[Life, float] = attrs.field(factory=dict, init=False)
+    _keep: dict[Incarnation, float] = attrs.field(factory=dict, init=False)
+    _doubted_until: dict[Incarnation, float] = attrs.field(
+        factory=dict, init=False
+    )
 
     async def take(
         self,
@@ -70,7 +72,7 @@
         One that ``is_sure`` to be alive was used lately, one that ``is_new``
         never.
         """
-        kept = self._idle.get(instance.life)
+        kept = self._idle.get(instance.incarnation)
         must_open = is_new or (is_sure and self._is_doubted(instance))
         while kept and not must_open:
             idle = kept.pop()
@@ -98,7 +100,7 @@
         told = _TIMEOUT.search(head.headers.get('keep-alive', ''))
         if told:
             seconds = float(told.group(1)) - _EARLIER_SECONDS
-            self._keep[instance.life] = max(0, seconds)
+            self._keep[instance.incarnation] = max(0, seconds)
 
     async def give_back(
         self,
@@ -115,14 +117,14 @@
                 bytes=connection.surplus_bytes,
                 carried=connection.earlier_requests,
             )
-        kept = self._idle[instance.life]
+        kept = self._idle[instance.incarnation]
         most = _MOST_IDLE_DOUBTED if self._is_doubted(instance) else _MOST_IDLE
         if not connection.is_reusable or len(kept) >= most:
             await connection.close()
             return
         connection.reset()
         now = self._clock()
-        seconds = self._keep.get(instance.life, _UNTOLD_SECONDS)
+        seconds = self._keep.get(instance.incarnation, _UNTOLD_SECONDS)
         kept.append(_Idle(connection, now, now + seconds))
 
     async def drop(self, instance: ListedInstance) -> None:
@@ -131,38 +133,42 @@
         What made one silent may have made all of them so, and each would
         cost the next request its objective.
         """
-        for idle in self._idle.pop(instance.life, ()):
+        for idle in self._idle.pop(instance.incarnation, ()):
             await idle.connection.close()
 
     def doubt(self, instance: ListedInstance) -> None:
         """Take over that a target broke a connection, or said too much."""
-        self._doubted_until[instance.life] = self._clock() + _DOUBT_SECONDS
+        self._doubted_until[instance.incarnation] = (
+            self._clock() + _DOUBT_SECONDS
+        )
 
     def idle_count(self, instance_id: str) -> int:
         """Return how many connections to an instance are kept."""
         return sum(
             len(kept)
-            for life, kept in self._idle.items()
-            if life.id == instance_id
+            for incarnation, kept in self._idle.items()
+            if incarnation.id == instance_id
         )
 
-    async def close_old(self, listed: Collection[Life]) -> None:
+    async def close_old(self, listed: Collection[Incarnation]) -> None:
         """Close connections that are past their time or to gone instances."""
         now = self._clock()
-        for life, kept in list(self._idle.items()):
-            good = [one for one in kept if now < one.until and life in listed]
+        for incarnation, kept in list(self._idle.items()):
+            good = [
+                one for one in kept if now < one.until and incarnation in listed
+            ]
             for idle in kept:
                 if idle not in good:
                     await idle.connection.close()
-            self._idle[life] = good
+            self._idle[incarnation] = good
             if not good:
-                self._idle.pop(life)
-                self._keep.pop(life, None)
+                self._idle.pop(incarnation)
+                self._keep.pop(incarnation, None)
         self._doubted_until = {
-            life: until
-            for life, until in self._doubted_until.items()
+            incarnation: until
+            for incarnation, until in self._doubted_until.items()
             if now < until
         }
 
     def _is_doubted(self, instance: ListedInstance) -> bool:
-        return self._clock() < self._doubted_until.get(instance.life, 0)
+        return self._clock() < self._doubted_until.get(instance.incarnation, 0)
--- a/src/cranecart/forwarding/_sender.py
+++ b/src/cranecart/forwarding/_sender.py
@@ -187,7 +187,7 @@
         connection: HttpConnection,
         resume_after: str,
     ) -> None:
-        if not self.router.gate.may_reach(target.instance.life):
+        if not self.router.gate.may_reach(target.instance.incarnation):
             # While it waited for a connection another answer asked for rest.
             raise TargetWithdrawnError(
                 f'{target.instance.id} takes nothing any more',
@@ -217,7 +217,9 @@
     ) -> TargetAnswer:
         facts = self.form.read_answer(head)
         self.connections.note_head(target.instance, head)
-        self.router.gate.note_answer(target.instance.life, facts, sent_at)
+        self.router.gate.note_answer(
+            target.instance.incarnation, facts, sent_at
+        )
         if facts.at_fault:
             await self.tell(target, f'cannot work without {facts.at_fault}')
         _check_answer(target, head, facts)
--- a/src/cranecart/forwarding/_stream.py
+++ b/src/cranecart/forwarding/_stream.py
@@ -85,8 +85,8 @@
                 answer.head.status,
                 self._sender.form.answer_lines(answer.head),
             )
-        life = target.instance.life
-        with self._sender.router.pulse.following(life) as pulse:
+        incarnation = target.instance.incarnation
+        with self._sender.router.pulse.following(incarnation) as pulse:
             await self._pass_events(target, answer, pulse)
         if not self.cutter.is_between_events:
             raise TargetDisconnectedError(
--- a/src/cranecart/grouping/_ending.py
+++ b/src/cranecart/grouping/_ending.py
@@ -82,7 +82,7 @@
 
     async def _try_free(self) -> str:
         """Return why the members are free, or nothing if they are not."""
-        if self._fleet.listing.has_ended(self.record.lives[0]):
+        if self._fleet.listing.has_ended(self.record.incarnations[0]):
             return 'the head lives anew'
         if self._member_left_at is None:
             self._note_ended_members()
@@ -100,7 +100,7 @@
 
     def _note_ended_members(self) -> None:
         """Count from now on where a member's life is known to be over."""
-        if any(map(self._fleet.listing.has_ended, self.record.lives)):
+        if any(map(self._fleet.listing.has_ended, self.record.incarnations)):
             self._member_left_at = self._clock()
 
     def _head_to_ask(self) -> ListedInstance | None:
@@ -110,7 +110,7 @@
         now = self._clock()
         if head is None or now - self._head_asked_at < pause:
             return None
-        if self._fleet.listing.lives_anew(self.record.lives[0]):
+        if self._fleet.listing.is_superseded(self.record.incarnations[0]):
             return None
         self._head_asked_at = now
         return head
--- a/src/cranecart/grouping/_judge.py
+++ b/src/cranecart/grouping/_judge.py
@@ -31,8 +31,12 @@
     dead = [name for name in record.members if name in lost]
     if dead:
         return Verdict(RecordState.ENDING, f'lost {", ".join(dead)}')
-    lives_anew = fleet.listing.lives_anew
-    anew = [life.id for life in record.lives if lives_anew(life)]
+    is_superseded = fleet.listing.is_superseded
+    anew = [
+        incarnation.id
+        for incarnation in record.incarnations
+        if is_superseded(incarnation)
+    ]
     if anew:
         return Verdict(RecordState.ENDING, f'{", ".join(anew)} lives anew')
     unknown = [name for name in record.members if fleet.known(name) is None]
--- a/src/cranecart/grouping/_losses.py
+++ b/src/cranecart/grouping/_losses.py
@@ -9,7 +9,7 @@
 from cranecart.fleet import Fleet, RecordState, ReplicaRecord
 from cranecart.grouping._liveness import LivenessCheck
 from cranecart.logs import decision
-from cranecart.ports import Life, ListedInstance
+from cranecart.ports import Incarnation, ListedInstance
 
 # An instance that is listed this long after it was found dead is alive, as
 # a dead one's entry lapses after three heartbeats.
@@ -29,7 +29,7 @@
     _found: Callable[[ReplicaRecord], Awaitable[None]]
     _clock: Callable[[], float] = since_boot
     liveness: LivenessCheck = attrs.field(factory=LivenessCheck, init=False)
-    _lost: dict[Life, float] = attrs.field(factory=dict, init=False)
+    _lost: dict[Incarnation, float] = attrs.field(factory=dict, init=False)
     _doubts: dict[str, ReplicaRecord] = attrs.field(factory=dict, init=False)
     _checked_at: dict[str, float] = attrs.field(factory=dict, init=False)
 
@@ -47,23 +47,23 @@
     def note_lost(self, name: str, why: str) -> None:
         """Take over that an instance's life has ended."""
         known = self._fleet.known(name)
-        life = Life(name) if known is None else known.life
-        if life not in self._lost:
+        incarnation = Incarnation(name) if known is None else known.incarnation
+        if incarnation not in self._lost:
             decision('instance_lost', instance=name, why=why)
-        self._lost[life] = self._clock()
+        self._lost[incarnation] = self._clock()
 
     def current(self) -> frozenset[str]:
         """Return the instances that are held to be lost now."""
         now = self._clock()
         self._lost = {
-            life: at
-            for life, at in self._lost.items()
-            if now - at < _DEAD_SECONDS or life.id in self._fleet.lapsed
+            incarnation: at
+            for incarnation, at in self._lost.items()
+            if now - at < _DEAD_SECONDS or incarnation.id in self._fleet.lapsed
         }
         return frozenset(
-            life.id
-            for life in self._lost
-            if not self._fleet.listing.lives_anew(life)
+            incarnation.id
+            for incarnation in self._lost
+            if not self._fleet.listing.is_superseded(incarnation)
         )
 
     async def check(self, records: Iterable[ReplicaRecord]) -> None:
--- a/src/cranecart/grouping/_stager.py
+++ b/src/cranecart/grouping/_stager.py
@@ -12,7 +12,7 @@
 from cranecart.grouping._supply import Staging, StagingUse
 from cranecart.logs import decision
 from cranecart.models import EngineProfile
-from cranecart.ports import Life, ListedInstance, Orders
+from cranecart.ports import Incarnation, ListedInstance, Orders
 
 # Longer than a load takes while the weight store is busy, so that the same
 # instance is not asked again meanwhile.
@@ -32,11 +32,11 @@
     _has_traffic: Callable[[], bool]
     _clock: Callable[[], float] = since_boot
     _loads: LoadBudget = attrs.field(factory=LoadBudget, init=False)
-    _staged_at: dict[tuple[Life, str], float] = attrs.field(
+    _staged_at: dict[tuple[Incarnation, str], float] = attrs.field(
         factory=dict,
         init=False,
     )
-    _orders_out: dict[Life, tuple[float, str]] = attrs.field(
+    _orders_out: dict[Incarnation, tuple[float, str]] = attrs.field(
         factory=dict,
         init=False,
     )
@@ -48,12 +48,15 @@
         """Return the models that instances are still being brought."""
         now = self._clock()
         self._orders_out = {
-            life: (at, model)
-            for life, (at, model) in self._orders_out.items()
+            incarnation: (at, model)
+            for incarnation, (at, model) in self._orders_out.items()
             if now - at < _STAGE_AGAIN_SECONDS
-            and _is_awaited(instances.get(life.id), life, model)
+            and _is_awaited(instances.get(incarnation.id), incarnation, model)
+        }
+        return {
+            incarnation.id: model
+            for incarnation, (_, model) in self._orders_out.items()
         }
-        return {life.id: model for life, (_, model) in self._orders_out.items()}
 
     def may_load(
         self,
@@ -81,14 +84,14 @@
     ) -> None:
         """Order a staging, unless it was ordered or the budget is spent."""
         instance = staging.instance
-        order = (instance.life, staging.model)
+        order = (instance.incarnation, staging.model)
         last = self._staged_at.get(order, float('-inf'))
         if self._clock() - last < _STAGE_AGAIN_SECONDS:
             return
         reserve = _RESERVE if staging.use is StagingUse.SECOND_MODEL else 0
         if not self.may_load(engine, 1, loading, reserve):
             return
-        self._orders_out[instance.life] = (self._clock(), staging.model)
+        self._orders_out[instance.incarnation] = (self._clock(), staging.model)
         self._staged_at[order] = self._clock()
         decision(
             'staging',
@@ -116,12 +119,12 @@
 
 def _is_awaited(
     instance: ListedInstance | None,
-    life: Life,
+    incarnation: Incarnation,
     model: str,
 ) -> bool:
     """Tell whether the life that was given an order may still carry it out."""
     return (
         instance is not None
-        and instance.life == life
+        and instance.incarnation == incarnation
         and model not in instance.staged
     )
--- a/src/cranecart/grouping/_warmer.py
+++ b/src/cranecart/grouping/_warmer.py
@@ -16,7 +16,7 @@
 from cranecart.exceptions import OrderError
 from cranecart.grouping._supply import Warming
 from cranecart.logs import decision
-from cranecart.ports import Life, Orders
+from cranecart.ports import Incarnation, Orders
 
 # Longer than an instance takes for a staged model; then the list shows it.
 _WARM_AGAIN_SECONDS = 4.0
@@ -29,14 +29,16 @@
     _lease: Lease
     _orders: Orders
     _clock: Callable[[], float] = since_boot
-    _ordered_at: dict[Life, float] = attrs.field(factory=dict, init=False)
+    _ordered_at: dict[Incarnation, float] = attrs.field(
+        factory=dict, init=False
+    )
 
     async def warm(self, warming: Warming) -> None:
         """Order a spare to load its staged model, unless it was ordered."""
-        life = warming.instance.life
+        incarnation = warming.instance.incarnation
         now = self._clock()
         if (
-            now - self._ordered_at.get(life, float('-inf'))
+            now - self._ordered_at.get(incarnation, float('-inf'))
             < _WARM_AGAIN_SECONDS
         ):
             return
@@ -45,8 +47,8 @@
             for spare, at in self._ordered_at.items()
             if now - at < _WARM_AGAIN_SECONDS
         }
-        self._ordered_at[life] = now
-        decision('warming', instance=life.id, model=warming.model)
+        self._ordered_at[incarnation] = now
+        decision('warming', instance=incarnation.id, model=warming.model)
         await curio.spawn(self._order, warming, daemon=True)
 
     async def _order(self, warming: Warming) -> None:
--- a/src/cranecart/mesh/_target_messages.py
+++ b/src/cranecart/mesh/_target_messages.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from cranecart.ports import Life
+from cranecart.ports import Incarnation
 from cranecart.quarantine import CaseNews
 from cranecart.throttling import LimitNews
 
@@ -15,9 +15,9 @@
     born: int
 
     @property
-    def life(self) -> Life:
+    def incarnation(self) -> Incarnation:
         """Return the instance's life."""
-        return Life(self.instance, self.born)
+        return Incarnation(self.instance, self.born)
 
 
 class Broken(_OfLife, tag='broken'):
--- a/src/cranecart/node/_peering.py
+++ b/src/cranecart/node/_peering.py
@@ -99,7 +99,7 @@
         """Build what holds requests that end targets, told by all nodes."""
 
         def is_expected(runner: Runner) -> bool:  # noqa: WPS430
-            listed = book.instances.get(runner.life.id)
+            listed = book.instances.get(runner.incarnation.id)
             return listed is None or listed.leaving
 
         guard = RequestGuard(
--- a/src/cranecart/ports/__init__.py
+++ b/src/cranecart/ports/__init__.py
@@ -7,7 +7,7 @@
 from cranecart.ports._calls import AnswerFacts, CallFacts, CallForm, Dispatch
 from cranecart.ports._listed import (
     Changes,
-    Life,
+    Incarnation,
     ListedInstance,
     MemberPhase,
     Membership,
@@ -25,7 +25,7 @@
     'Changes',
     'Check',
     'Dispatch',
-    'Life',
+    'Incarnation',
     'ListedInstance',
     'MemberPhase',
     'Membership',
@@ -39,4 +39,5 @@
     'era_of',
     'number_of',
     'version_in',
+    'Incarnation',
 )
--- a/src/cranecart/ports/_listed.py
+++ b/src/cranecart/ports/_listed.py
@@ -36,24 +36,28 @@
 
 
 @attrs.frozen
-class Life:
-    """One life of an instance, which may start again under its id.
+class Incarnation:
+    """One run of an instance, which may restart under the same id.
 
-    ``born`` tells lives apart: ms of the instance's own clock at its start,
-    0 where it tells none. Clocks jump, so that it does not order lives.
+    ``born`` distinguishes incarnations: the start time in ms by the clock of
+    the instance, 0 if it reports none. Clocks may be set back, so it does not
+    order incarnations.
     """
 
     id: str
     born: int = 0
 
-    def is_another(self, life: 'Life') -> bool:
-        """Tell whether two lives of an instance are surely not the same."""
-        return bool(self.born and life.born) and self.born != life.born
+    def is_another(self, incarnation: 'Incarnation') -> bool:
+        """Tell whether two incarnations are known to be different."""
+        return (
+            bool(self.born and incarnation.born)
+            and self.born != incarnation.born
+        )
 
 
 @attrs.frozen
 class ListedInstance:
-    """What the platform lists of one life of an instance.
+    """What the platform lists about one incarnation of an instance.
 
     ``loaded`` and ``staged`` name models: in the accelerators, where that of
     the last membership stays, and on the host, from where loading is quick.
@@ -72,9 +76,9 @@
     born: int = 0
 
     @property
-    def life(self) -> Life:
-        """Return what tells this life from others of the same id."""
-        return Life(self.id, self.born)
+    def incarnation(self) -> Incarnation:
+        """Return the incarnation that the entry belongs to."""
+        return Incarnation(self.id, self.born)
 
     def phase_in(self, replica: str, epoch: int) -> MemberPhase | None:
         """Return how far it has come in a replica, if it is a member."""
--- a/src/cranecart/quarantine/_book.py
+++ b/src/cranecart/quarantine/_book.py
@@ -17,7 +17,7 @@
 import attrs
 
 from cranecart.clocks import since_boot
-from cranecart.ports import Life
+from cranecart.ports import Incarnation
 
 # Ends shortly after the request had begun. One or two happen by chance: heads
 # of replicas end every few seconds on bad days. A third costs another replica.
@@ -58,7 +58,7 @@
     The request had ``begun`` there shortly before; else nobody can tell.
     """
 
-    life: Life
+    life: Incarnation
     begun: bool
 
 
@@ -71,7 +71,7 @@
 
     identity: str
     ends: tuple[End, ...] = ()
-    cleared: tuple[Life, ...] = ()
+    cleared: tuple[Incarnation, ...] = ()
 
 
 @attrs.define
@@ -83,9 +83,9 @@
     held_at: float | None = None
     # Whether the end that decided was seen by this node itself.
     is_own: bool = False
-    ends: dict[Life, bool] = attrs.field(factory=dict)
+    ends: dict[Incarnation, bool] = attrs.field(factory=dict)
     # In the order in which they came.
-    cleared: dict[Life, None] = attrs.field(factory=dict)
+    cleared: dict[Incarnation, None] = attrs.field(factory=dict)
 
     @property
     def begun(self) -> int:
@@ -98,7 +98,7 @@
         ends = tuple(End(life, begun) for life, begun in self.ends.items())
         return CaseNews(self.identity, ends, tuple(self.cleared))
 
-    def standing(self, explained: Container[Life] = ()) -> Standing:
+    def standing(self, explained: Container[Incarnation] = ()) -> Standing:
         """Return what its ends say, but for those that others explain."""
         left = [
             had_begun
@@ -152,7 +152,7 @@
     _grave: dict[str, Case] = attrs.field(factory=dict, init=False)
     # By life the most begun ends that a request with enough of them has, as
     # far as one has ended there.
-    _most_begun: dict[Life, int] = attrs.field(factory=dict, init=False)
+    _most_begun: dict[Incarnation, int] = attrs.field(factory=dict, init=False)
 
     @property
     def is_empty(self) -> bool:
--- a/src/cranecart/quarantine/_guard.py
+++ b/src/cranecart/quarantine/_guard.py
@@ -15,7 +15,7 @@
 from cranecart.clocks import since_boot
 from cranecart.exceptions import HeldError, TargetDisconnectedError
 from cranecart.logs import decision
-from cranecart.ports import Life
+from cranecart.ports import Incarnation
 from cranecart.quarantine._book import CaseBook, CaseNews, End, Standing
 from cranecart.quarantine._pending import PendingEnds
 from cranecart.quarantine._probe import EndProbe
@@ -54,7 +54,7 @@
             self._since = self._clock()
 
 
-def _tell_of_none(_life: Life) -> bool:
+def _tell_of_none(_incarnation: Incarnation) -> bool:
     """Find out of no life later that it has ended."""
     return False
 
@@ -73,7 +73,9 @@
     book: CaseBook = attrs.field(factory=CaseBook)
     _clock: Callable[[], float] = since_boot
     probe: EndProbe = attrs.field(factory=EndProbe)
-    _has_ended: Callable[[Life], bool] = attrs.field(default=_tell_of_none)
+    _has_ended: Callable[[Incarnation], bool] = attrs.field(
+        default=_tell_of_none
+    )
     refused: int = attrs.field(default=0, init=False)
     ended: int = attrs.field(default=0, init=False)
     _pending: PendingEnds = attrs.field(init=False)
@@ -167,7 +169,7 @@
             self._log(news.identity, None, f'heard from {sender}')
         return is_news
 
-    def keep(self, listed: Collection[Life]) -> None:
+    def keep(self, listed: Collection[Incarnation]) -> None:
         """Forget lives that are gone, and tell once more what is new."""
         self.probe.forget(listed)
         for news in self._pending.take_ended(self._has_ended):
@@ -201,13 +203,15 @@
         if self._is_expected(runner):
             return
         if watch.progress_seconds > _BEGIN_SECONDS:
-            self._pending.note_alive(runner.life)
+            self._pending.note_alive(runner.incarnation)
             return
         if await self.probe.has_ended(runner):
-            end = End(runner.life, watch.has_begun)
+            end = End(runner.incarnation, watch.has_begun)
             self._note_end(CaseNews(identity, (end,)), 'seen here')
         else:
-            self._pending.note(runner.life, identity, begun=watch.has_begun)
+            self._pending.note(
+                runner.incarnation, identity, begun=watch.has_begun
+            )
 
     def _note_end(self, news: CaseNews, source: str) -> None:
         if self.book.take(news, is_own=True):
@@ -223,18 +227,24 @@
 
     def _why(self, identity: str) -> str:
         case = self.book.find(identity)
-        lives = [] if case is None else [life.id for life in case.ends]
-        return f'request {identity} ended {", ".join(lives)}'
+        incarnations = (
+            []
+            if case is None
+            else [incarnation.id for incarnation in case.ends]
+        )
+        return f'request {identity} ended {", ".join(incarnations)}'
 
-    def _log(self, identity: str, life: Life | None, source: str) -> None:
+    def _log(
+        self, identity: str, incarnation: Incarnation | None, source: str
+    ) -> None:
         case = self.book.find(identity)
         if case is None:
             return
         decision(
             'target_ended',
             identity=identity,
-            instance=life and life.id,
-            born=life and life.born,
+            instance=incarnation and incarnation.id,
+            born=incarnation and incarnation.born,
             source=source,
             standing=self.book.standing(identity).value,
             ends=[one.id for one in case.ends],
--- a/src/cranecart/quarantine/_pending.py
+++ b/src/cranecart/quarantine/_pending.py
@@ -11,7 +11,7 @@
 import attrs
 
 from cranecart.clocks import since_boot
-from cranecart.ports import Life
+from cranecart.ports import Incarnation
 from cranecart.quarantine._book import CaseNews, End
 
 # What an end cuts breaks within this time; what comes later found the target
@@ -57,38 +57,40 @@
     """Breaks of the last seconds, by life."""
 
     _clock: Callable[[], float] = since_boot
-    _broken: dict[Life, _Breaks] = attrs.field(factory=dict, init=False)
+    _broken: dict[Incarnation, _Breaks] = attrs.field(factory=dict, init=False)
 
-    def note(self, life: Life, identity: str, *, begun: bool) -> None:
+    def note(
+        self, incarnation: Incarnation, identity: str, *, begun: bool
+    ) -> None:
         """Take over that a request's connection broke shortly after a begin.
 
         It has not begun where nobody can tell.
         """
         now = self._clock()
-        known = self._broken.setdefault(life, _Breaks(now))
+        known = self._broken.setdefault(incarnation, _Breaks(now))
         known.breaks.append(_Break(identity, begun, now))
         if begun:
             known.alive_at = now
 
-    def note_alive(self, life: Life) -> None:
+    def note_alive(self, incarnation: Incarnation) -> None:
         """Take over that an answer was cut that had been coming for long."""
         now = self._clock()
-        self._broken.setdefault(life, _Breaks(now)).alive_at = now
+        self._broken.setdefault(incarnation, _Breaks(now)).alive_at = now
 
     def take_ended(
         self,
-        has_ended: Callable[[Life], bool],
+        has_ended: Callable[[Incarnation], bool],
     ) -> list[CaseNews]:
         """Return what is known of requests whose targets have ended."""
         oldest = self._clock() - _KEPT_SECONDS
         found: list[CaseNews] = []
-        for life, known in list(self._broken.items()):
-            if has_ended(life):
-                self._broken.pop(life)
+        for incarnation, known in list(self._broken.items()):
+            if has_ended(incarnation):
+                self._broken.pop(incarnation)
                 found.extend(
-                    CaseNews(one.identity, (End(life, one.begun),))
+                    CaseNews(one.identity, (End(incarnation, one.begun),))
                     for one in known.at_the_end()
                 )
             elif known.first_at < oldest:
-                self._broken.pop(life)
+                self._broken.pop(incarnation)
         return found
--- a/src/cranecart/quarantine/_probe.py
+++ b/src/cranecart/quarantine/_probe.py
@@ -8,7 +8,7 @@
 from cranecart.clocks import since_boot
 from cranecart.exceptions import ConnectFailedError, ConnectRefusedError
 from cranecart.http import Address, HttpConnection
-from cranecart.ports import Life
+from cranecart.ports import Incarnation
 from cranecart.quarantine._runner import Runner
 
 # Told by a live host within a few milliseconds on the deployments' links; what
@@ -38,37 +38,39 @@
 
     _connect: Callable[[Address], Awaitable[None]] = connect_once
     _clock: Callable[[], float] = since_boot
-    _found: dict[Life, tuple[bool, float]] = attrs.field(
+    _found: dict[Incarnation, tuple[bool, float]] = attrs.field(
         factory=dict,
         init=False,
     )
-    _locks: dict[Life, curio.Lock] = attrs.field(factory=dict, init=False)
+    _locks: dict[Incarnation, curio.Lock] = attrs.field(
+        factory=dict, init=False
+    )
 
     async def has_ended(self, runner: Runner) -> bool:
         """Tell whether a life has surely ended."""
-        life = runner.life
-        async with self._locks.setdefault(life, curio.Lock()):
-            known = self._recent(life)
+        incarnation = runner.incarnation
+        async with self._locks.setdefault(incarnation, curio.Lock()):
+            known = self._recent(incarnation)
             if known is None:
                 known = await self._ask(runner.address)
-                self._found[life] = (known, self._clock())
+                self._found[incarnation] = (known, self._clock())
         return known
 
-    def forget(self, listed: Collection[Life]) -> None:
+    def forget(self, listed: Collection[Incarnation]) -> None:
         """Forget lives that are not listed and that nobody asks for."""
         old = [
-            life
-            for life in self._found
-            if life not in listed and self._recent(life) is None
+            incarnation
+            for incarnation in self._found
+            if incarnation not in listed and self._recent(incarnation) is None
         ]
-        for life in old:
-            self._found.pop(life)
-            self._locks.pop(life, None)
+        for incarnation in old:
+            self._found.pop(incarnation)
+            self._locks.pop(incarnation, None)
 
-    def _recent(self, life: Life) -> bool | None:
-        if life not in self._found:
+    def _recent(self, incarnation: Incarnation) -> bool | None:
+        if incarnation not in self._found:
             return None
-        has_ended, at = self._found[life]
+        has_ended, at = self._found[incarnation]
         holds = _ENDED_SECONDS if has_ended else _ALIVE_SECONDS
         return has_ended if self._clock() - at < holds else None
 
--- a/src/cranecart/quarantine/_runner.py
+++ b/src/cranecart/quarantine/_runner.py
@@ -5,7 +5,7 @@
 import attrs
 
 from cranecart.http import Address
-from cranecart.ports import Life
+from cranecart.ports import Incarnation
 
 
 class Runner(Protocol):
@@ -16,7 +16,7 @@
         """Return the name that routing knows it by."""
 
     @property
-    def life(self) -> Life:
+    def incarnation(self) -> Incarnation:
         """Return what tells this life from others."""
 
     @property
@@ -29,5 +29,5 @@
     """A target whose life is told by a name and a number."""
 
     id: str
-    life: Life
+    incarnation: Incarnation
     address: Address
--- a/src/cranecart/routing/_heads.py
+++ b/src/cranecart/routing/_heads.py
@@ -22,7 +22,7 @@
 from cranecart.fleet import Fleet, ServingHead
 from cranecart.logs import decision
 from cranecart.models import EngineProfile, RouteConfig
-from cranecart.ports import Life, ListedInstance
+from cranecart.ports import Incarnation, ListedInstance
 from cranecart.routing._ejection import Ejection
 from cranecart.routing._gaps import GapMeter
 from cranecart.routing._places import Places, Target
@@ -45,7 +45,7 @@
 _FULL_SECONDS = 0.2
 
 
-def _tell_nobody(_life: Life) -> None:
+def _tell_nobody(_incarnation: Incarnation) -> None:
     """Serve a router without other nodes."""
 
 
@@ -64,13 +64,17 @@
     _failure_domain: str = ''
     _clock: Callable[[], float] = since_boot
     # Told of instances of plain services that broke a connection.
-    _tell_broken: Callable[[Life], None] = attrs.field(default=_tell_nobody)
+    _tell_broken: Callable[[Incarnation], None] = attrs.field(
+        default=_tell_nobody
+    )
     gate: TargetGate = attrs.field(factory=TargetGate)
     gaps: GapMeter = attrs.field(factory=GapMeter, init=False)
     pulse: Pulse = attrs.field(init=False)
     errors: ForecastErrors = attrs.field(factory=ForecastErrors, init=False)
     _ejection: Ejection = attrs.field(
-        factory=functools.partial(Ejection, key=operator.attrgetter('life')),
+        factory=functools.partial(
+            Ejection, key=operator.attrgetter('incarnation')
+        ),
         init=False,
     )
     _places: Places = attrs.field(factory=Places, init=False)
@@ -95,7 +99,7 @@
             wanted.model,
         )
         expected = min(
-            (self.gate.room_seconds(one.life) for one in targets),
+            (self.gate.room_seconds(one.incarnation) for one in targets),
             default=_NOTHING_FORMS_SECONDS,
         )
         return _return_after(self._random, wanted, expected)
@@ -113,7 +117,8 @@
         """
         is_open = self.gate.is_open
         return any(
-            one.id not in tried and (is_open or self.gate.is_open_to(one.life))
+            one.id not in tried
+            and (is_open or self.gate.is_open_to(one.incarnation))
             for one in _targets(self._fleet, config, service, model)
         )
 
@@ -135,14 +140,14 @@
         if self._places.begin(target):
             seconds = self._clock() - target.sent_at
             late = seconds - target.seconds + target.error_seconds
-            life = target.instance.life
-            self.errors.note(life, model, late, self._clock())
+            incarnation = target.instance.incarnation
+            self.errors.note(incarnation, model, late, self._clock())
 
-    def failed(self, life: Life, *, reached: bool = True) -> None:
+    def failed(self, incarnation: Incarnation, *, reached: bool = True) -> None:
         """Count a failure that was the instance's."""
-        self._ejection.failed(life, reached=reached)
+        self._ejection.failed(incarnation, reached=reached)
 
-    def broke(self, life: Life) -> None:
+    def broke(self, incarnation: Incarnation) -> None:
         """Take over that an instance of a plain service broke a connection.
 
         It may go down and up, and each of many nodes sends it too little to
@@ -150,25 +155,29 @@
         13 of 1,000 calls fail, and 28 where each node waits for three of its
         own.
         """
-        is_news = not self._ejection.is_out(life)
-        self._ejection.failed(life, reached=False)
+        is_news = not self._ejection.is_out(incarnation)
+        self._ejection.failed(incarnation, reached=False)
         if is_news:
-            decision('target_passed_over', instance=life.id, by='this node')
-            self._tell_broken(life)
+            decision(
+                'target_passed_over', instance=incarnation.id, by='this node'
+            )
+            self._tell_broken(incarnation)
 
-    def pass_over(self, life: Life) -> None:
+    def pass_over(self, incarnation: Incarnation) -> None:
         """Take over that an instance broke another node's connection."""
-        if not self._ejection.is_out(life):
-            decision('target_passed_over', instance=life.id, by='another node')
-        self._ejection.pass_over(life)
+        if not self._ejection.is_out(incarnation):
+            decision(
+                'target_passed_over', instance=incarnation.id, by='another node'
+            )
+        self._ejection.pass_over(incarnation)
 
-    def succeeded(self, life: Life) -> None:
+    def succeeded(self, incarnation: Incarnation) -> None:
         """Forget an instance's failures."""
-        self._ejection.succeeded(life)
+        self._ejection.succeeded(incarnation)
 
     def is_still(self, target: Target, model: str) -> bool:
         """Tell whether a replica gives none of its streams anything."""
-        return self.pulse.is_still(target.instance.life, model)
+        return self.pulse.is_still(target.instance.incarnation, model)
 
     def load(self, name: str) -> int:
         """Return the requests in flight at an instance over all nodes."""
@@ -210,7 +219,7 @@
                 retry_after=_return_after(self._random, wanted, chosen.seconds),
             )
         head = heads[chosen.name]
-        self.gate.take(head.life)
+        self.gate.take(head.incarnation)
         return Target(
             head.head,
             head.forming,
@@ -218,7 +227,7 @@
             'behind those in time' if chosen.is_late else 'in time',
             self._clock(),
             chosen.seconds,
-            self._error(head.life, wanted.model),
+            self._error(head.incarnation, wanted.model),
             chosen.is_late,
             passed_over,
         )
@@ -233,7 +242,7 @@
         moving = [
             one
             for one in good
-            if not self.pulse.is_still(one.life, wanted.model)
+            if not self.pulse.is_still(one.incarnation, wanted.model)
         ]
         return moving or good
 
@@ -248,12 +257,12 @@
             head.id,
             self.load(head.id),
             self._places.behind[head.id],
-            self._error(head.life, wanted.model),
+            self._error(head.incarnation, wanted.model),
             head.head.failure_domain == self._failure_domain,
         )
 
-    def _error(self, life: Life, model: str) -> float:
-        return self.errors.expected(life, model, self._clock())
+    def _error(self, incarnation: Incarnation, model: str) -> float:
+        return self.errors.expected(incarnation, model, self._clock())
 
     def _no_replica(self, wanted: Wanted) -> NoReplicaError:
         forms = self._fleet.recorded.is_forming(wanted.service, wanted.model)
@@ -287,7 +296,7 @@
                 f'the least loaded target has {load} requests',
                 retry_after=_return_after(self._random, wanted, _FULL_SECONDS),
             )
-        self.gate.take(chosen.life)
+        self.gate.take(chosen.incarnation)
         return Target(
             chosen,
             None,
--- a/src/cranecart/routing/_taking.py
+++ b/src/cranecart/routing/_taking.py
@@ -52,8 +52,8 @@
     taking = _open_ones(targets, gate, rank)
     if taking:
         return taking
-    gate.note_turned_away((one.life for one in targets), rank)
-    seconds = min(gate.room_seconds(one.life) for one in targets)
+    gate.note_turned_away((one.incarnation for one in targets), rank)
+    seconds = min(gate.room_seconds(one.incarnation) for one in targets)
     raise OverloadedError(
         f'none of {len(targets)} targets takes more, as they have said; '
         f'the first does in {seconds:.2f} s',
@@ -66,4 +66,4 @@
     gate: TargetGate,
     rank: int,
 ) -> list[Named]:
-    return [one for one in targets if gate.is_open_to(one.life, rank)]
+    return [one for one in targets if gate.is_open_to(one.incarnation, rank)]
--- a/src/cranecart/serving/_holding.py
+++ b/src/cranecart/serving/_holding.py
@@ -8,7 +8,7 @@
 
 from cranecart.fleet import Fleet
 from cranecart.mesh import Mesh, RequestCases
-from cranecart.ports import Life, Table
+from cranecart.ports import Incarnation, Table
 from cranecart.quarantine import CaseNews, HeldRows, RequestGuard, Runner
 
 
@@ -37,12 +37,12 @@
             listed = fleet.instances.get(runner.id)
             return listed is None or listed.leaving
 
-        def has_ended(life: Life) -> bool:  # noqa: WPS430
-            known = fleet.known(life.id)
+        def has_ended(incarnation: Incarnation) -> bool:  # noqa: WPS430
+            known = fleet.known(incarnation.id)
             if known is None:
                 return True
-            if life.id in fleet.instances:
-                return known.life.is_another(life)
+            if incarnation.id in fleet.instances:
+                return known.incarnation.is_another(incarnation)
             # Its entry went, but not as it was leaving.
             return not known.leaving
 
@@ -56,7 +56,7 @@
 
     async def keep(self) -> None:
         """Repeat what is new, forget what is old, write what must last."""
-        self.guard.keep(self._fleet.listing.lives())
+        self.guard.keep(self._fleet.listing.incarnations())
         if self.rows.is_behind:
             # The store may be slow: nothing else is kept waiting for it.
             await curio.spawn(self.rows.write, daemon=True)
--- a/src/cranecart/serving/_making.py
+++ b/src/cranecart/serving/_making.py
@@ -16,7 +16,7 @@
     sharing_node_count,
 )
 from cranecart.models import ClientLimits
-from cranecart.ports import Life
+from cranecart.ports import Incarnation
 from cranecart.retries import RetryRules
 from cranecart.settings import ServingSettings
 from cranecart.throttling import TargetGate
@@ -79,9 +79,11 @@
 ) -> TargetGate:
     """Return what keeps to the words of targets, shared with other nodes."""
 
-    def leave(life: Life) -> None:  # noqa: WPS430
-        if note_leaving(fleet, life, 'an answer'):
-            read_mesh().tell_all(Leaving(node_id, life.id, life.born))
+    def leave(incarnation: Incarnation) -> None:  # noqa: WPS430
+        if note_leaving(fleet, incarnation, 'an answer'):
+            read_mesh().tell_all(
+                Leaving(node_id, incarnation.id, incarnation.born)
+            )
 
     return TargetGate(
         lambda domain, name, most: sharing_node_count(
--- a/src/cranecart/serving/_node.py
+++ b/src/cranecart/serving/_node.py
@@ -79,8 +79,8 @@
             lambda name: self._mesh.in_flight_elsewhere(name),
             self._demand.mean_seconds,
             settings.failure_domain,
-            tell_broken=lambda life: self._mesh.tell_all(
-                Broken(settings.node_id, life.id, life.born),
+            tell_broken=lambda incarnation: self._mesh.tell_all(
+                Broken(settings.node_id, incarnation.id, incarnation.born),
             ),
             gate=make_gate(settings.node_id, self._fleet, lambda: self._mesh),
         )
@@ -178,9 +178,11 @@
             self._config.current,
             self._config.take_from_peer,
             self._renew_own,
-            lambda told: self._router.pass_over(told.life),
+            lambda told: self._router.pass_over(told.incarnation),
             lambda told: self._router.gate.hear(told.limits, told.sender),
-            lambda told: note_leaving(self._fleet, told.life, told.sender),
+            lambda told: note_leaving(
+                self._fleet, told.incarnation, told.sender
+            ),
         )
         return make_mesh(self._live.current, events)
 
@@ -236,7 +238,7 @@
             if turn % _FIGURES_TURNS == 0:
                 decision('figures', **self._counts())
             self._fleet.settle_lives()
-            listed = self._fleet.listing.lives()
+            listed = self._fleet.listing.incarnations()
             await self._connections.close_old(listed)
             self._router.errors.forget(listed)
             self._router.gate.renew(listed)
--- a/src/cranecart/standins/_membership.py
+++ b/src/cranecart/standins/_membership.py
@@ -56,7 +56,7 @@
         self._options = options
         self._record = record
         self._healthy = curio.Event()
-        self._life: curio.Task | None = None
+        self._incarnation: curio.Task | None = None
 
     @property
     def leads(self) -> bool:
@@ -119,9 +119,9 @@
         await responder.send(json_response(_OK, answer))
 
     async def _become(self, order: Order) -> None:
-        if self._life is not None:
-            await self._life.cancel()
-            self._life = None
+        if self._incarnation is not None:
+            await self._incarnation.cancel()
+            self._incarnation = None
         keeps_weights = (order.model, order.version) == (
             self.order.model,
             self.order.version,
@@ -132,7 +132,7 @@
             MemberState.LOADING if order.replica else MemberState.IDLE,
         )
         if order.replica:
-            self._life = await curio.spawn(
+            self._incarnation = await curio.spawn(
                 self._live_in_replica,
                 order,
                 keeps_weights,
--- a/src/cranecart/throttling/_gate.py
+++ b/src/cranecart/throttling/_gate.py
@@ -11,7 +11,7 @@
 
 from cranecart.clocks import since_boot
 from cranecart.logs import decision
-from cranecart.ports import AnswerFacts, Life, ListedInstance
+from cranecart.ports import AnswerFacts, Incarnation, ListedInstance
 from cranecart.throttling._bucket import TokenBucket
 from cranecart.throttling._limits import LimitBook, LimitNews
 from cranecart.throttling._rests import RestBook
@@ -41,11 +41,11 @@
     """Know no instance's failure domain."""
 
 
-def _hear_of_none(_life: Life) -> None:
+def _hear_of_none(_incarnation: Incarnation) -> None:
     """Serve where no target leaves."""
 
 
-def _has_none(_life: Life) -> bool:
+def _has_none(_incarnation: Incarnation) -> bool:
     """Know of no target that leaves."""
     return False
 
@@ -98,13 +98,13 @@
     _tell: Callable[[Sequence[LimitNews]], None] = attrs.field(
         default=_tell_nobody,
     )
-    _leave: Callable[[Life], None] = attrs.field(default=_hear_of_none)
-    _is_leaving: Callable[[Life], bool] = attrs.field(default=_has_none)
+    _leave: Callable[[Incarnation], None] = attrs.field(default=_hear_of_none)
+    _is_leaving: Callable[[Incarnation], bool] = attrs.field(default=_has_none)
     _clock: Callable[[], float] = since_boot
     _rule: ShareRule = attrs.field(factory=FewNodes)
     _book: LimitBook = attrs.field(init=False)
     _rests: RestBook = attrs.field(init=False)
-    _parts: dict[Life, _Part] = attrs.field(factory=dict, init=False)
+    _parts: dict[Incarnation, _Part] = attrs.field(factory=dict, init=False)
     _repeated_at: float = attrs.field(default=0, init=False)
     _turned_away: int = attrs.field(default=0, init=False)
 
@@ -115,7 +115,7 @@
 
     def note_answer(
         self,
-        life: Life,
+        incarnation: Incarnation,
         facts: AnswerFacts,
         sent_at: float,
     ) -> None:
@@ -124,10 +124,10 @@
         ``sent_at`` is when the request was sent that it answers.
         """
         if facts.rest_seconds:
-            self._rests.note(life, facts.rest_seconds)
+            self._rests.note(incarnation, facts.rest_seconds)
         if facts.is_leaving:
-            self._leave(life)
-        news = self._book.note_answer(life, facts, sent_at)
+            self._leave(incarnation)
+        news = self._book.note_answer(incarnation, facts, sent_at)
         if news is not None:
             self._put(news)
             self._tell((news,))
@@ -138,70 +138,79 @@
             if self._book.note_news(news, by):
                 self._put(news)
 
-    def is_open_to(self, life: Life, rank: int = 0) -> bool:
+    def is_open_to(self, incarnation: Incarnation, rank: int = 0) -> bool:
         """Tell whether a target takes a request of this node now.
 
         Ranks that are smaller are more urgent. What leaves is not asked for
         here, as the fleet leaves it out.
         """
-        if self._rests and self._rests.seconds_left(life):
+        if self._rests and self._rests.seconds_left(incarnation):
             return False
-        part = self._parts.get(life)
+        part = self._parts.get(incarnation)
         if part is None:
             return True
         now = self._clock()
-        self._look(life, part, now)
+        self._look(incarnation, part, now)
         wanted = part.tokens_for(rank, now)
         return part.nodes > 0 and part.bucket.has_tokens(wanted, now)
 
-    def may_reach(self, life: Life) -> bool:
+    def may_reach(self, incarnation: Incarnation) -> bool:
         """Tell whether what was chosen for a target may still be sent."""
-        return not (self._rests.seconds_left(life) or self._is_leaving(life))
+        return not (
+            self._rests.seconds_left(incarnation)
+            or self._is_leaving(incarnation)
+        )
 
-    def take(self, life: Life) -> None:
+    def take(self, incarnation: Incarnation) -> None:
         """Count a request that goes to a target."""
-        part = self._parts.get(life)
+        part = self._parts.get(incarnation)
         if part is not None:
             part.bucket.take(self._clock())
 
-    def room_seconds(self, life: Life) -> float:
+    def room_seconds(self, incarnation: Incarnation) -> float:
         """Return after how long a target should take a request again."""
-        rest = self._rests.seconds_left(life)
-        part = self._parts.get(life)
+        rest = self._rests.seconds_left(incarnation)
+        part = self._parts.get(incarnation)
         if part is None:
             return rest
         if part.nodes:
             return max(rest, part.bucket.seconds_to_token(self._clock()))
         return max(rest, 1 / self._rule.share(part.limit, 1).per_second)
 
-    def share_of(self, life: Life) -> Share | None:
+    def share_of(self, incarnation: Incarnation) -> Share | None:
         """Return this node's part of a target's limit, if it has one."""
-        part = self._parts.get(life)
+        part = self._parts.get(incarnation)
         if part is None or not part.nodes:
             return None
         return self._rule.share(part.limit, part.nodes)
 
-    def note_turned_away(self, lives: Iterable[Life], rank: int) -> None:
+    def note_turned_away(
+        self, incarnations: Iterable[Incarnation], rank: int
+    ) -> None:
         """Take over that none of some targets took a request of a rank."""
         self._turned_away += 1
         now = self._clock()
-        for life in lives:
-            part = self._parts.get(life)
+        for incarnation in incarnations:
+            part = self._parts.get(incarnation)
             if part is not None:
                 part.note_waiting(rank, now)
 
-    def renew(self, listed: Collection[Life]) -> None:
+    def renew(self, listed: Collection[Incarnation]) -> None:
         """Look anew who sends, and repeat what others have to know."""
         now = self._clock()
         self._rests.forget_ended()
-        for life, part in self._parts.items():
-            self._look(life, part, now)
-        sends = {life for life, part in self._parts.items() if part.nodes}
+        for incarnation, part in self._parts.items():
+            self._look(incarnation, part, now)
+        sends = {
+            incarnation
+            for incarnation, part in self._parts.items()
+            if part.nodes
+        }
         self._book.forget(listed, sends)
         self._parts = {
-            life: part
-            for life, part in self._parts.items()
-            if self._book.limit(life) is not None
+            incarnation: part
+            for incarnation, part in self._parts.items()
+            if self._book.limit(incarnation) is not None
         }
         if now - self._repeated_at >= _REPEAT_SECONDS:
             self._repeated_at = now
@@ -227,42 +236,44 @@
 
     def _put(self, news: LimitNews) -> None:
         if news.per_second is None:
-            self._parts.pop(news.life, None)
+            self._parts.pop(news.incarnation, None)
             return
         now = self._clock()
-        part = self._parts.get(news.life)
+        part = self._parts.get(news.incarnation)
         if part is None:
-            self._parts[news.life] = self._new_part(news, now)
+            self._parts[news.incarnation] = self._new_part(news, now)
         else:
             part.limit = news.per_second
-            self._share_anew(part, self._nodes(news.life, part.limit), now)
-        self._tell_share(news.life)
+            self._share_anew(
+                part, self._nodes(news.incarnation, part.limit), now
+            )
+        self._tell_share(news.incarnation)
 
     def _new_part(self, news: LimitNews, now: float) -> _Part:
         limit = news.per_second or 0
-        nodes = self._nodes(news.life, limit)
+        nodes = self._nodes(news.incarnation, limit)
         share = self._rule.share(limit, max(1, nodes))
         bucket = TokenBucket(share.per_second, share.burst, now)
         return _Part(limit, nodes, bucket, now)
 
-    def _look(self, life: Life, part: _Part, now: float) -> None:
+    def _look(self, incarnation: Incarnation, part: _Part, now: float) -> None:
         """Find out whether this node is among those that send."""
         if now - part.looked_at < _LOOK_SECONDS:
             return
         part.looked_at = now
-        nodes = self._nodes(life, part.limit)
+        nodes = self._nodes(incarnation, part.limit)
         if nodes != part.nodes:
             self._share_anew(part, nodes, now)
-            self._tell_share(life)
+            self._tell_share(incarnation)
 
-    def _tell_share(self, life: Life) -> None:
-        share = self.share_of(life)
+    def _tell_share(self, incarnation: Incarnation) -> None:
+        share = self.share_of(incarnation)
         decision(
             'target_share',
-            instance=life.id,
-            born=life.born,
+            instance=incarnation.id,
+            born=incarnation.born,
             per_second=share and share.per_second,
-            nodes=self._parts[life].nodes,
+            nodes=self._parts[incarnation].nodes,
         )
 
     def _share_anew(self, part: _Part, nodes: int, now: float) -> None:
@@ -278,8 +289,10 @@
             part.bucket.change(share.per_second, share.burst, now)
         part.nodes = nodes
 
-    def _nodes(self, life: Life, limit: float) -> int:
-        instance = self._known(life.id)
+    def _nodes(self, incarnation: Incarnation, limit: float) -> int:
+        instance = self._known(incarnation.id)
         domain = '' if instance is None else instance.failure_domain
         most = self._rule.nodes_for(limit)
-        return self._sharing_nodes(domain, f'{life.id} {life.born}', most)
+        return self._sharing_nodes(
+            domain, f'{incarnation.id} {incarnation.born}', most
+        )
--- a/src/cranecart/throttling/_limits.py
+++ b/src/cranecart/throttling/_limits.py
@@ -13,7 +13,7 @@
 
 from cranecart.clocks import since_boot
 from cranecart.logs import decision
-from cranecart.ports import AnswerFacts, Life
+from cranecart.ports import AnswerFacts, Incarnation
 
 # Who told of a limit, in log lines.
 _ANSWER = 'an answer'
@@ -36,9 +36,9 @@
     per_second: float | None
 
     @property
-    def life(self) -> Life:
+    def incarnation(self) -> Incarnation:
         """Return the life that the news is of."""
-        return Life(self.instance, self.born)
+        return Incarnation(self.instance, self.born)
 
     def is_after(self, other: 'LimitNews') -> bool:
         """Tell whether this counts and the other does not.
@@ -80,12 +80,14 @@
     """The limits that are in force, and those that ended lately, by life."""
 
     _clock: Callable[[], float] = since_boot
-    _known: dict[Life, KnownLimit] = attrs.field(factory=dict, init=False)
-    _unreadable: set[Life] = attrs.field(factory=set, init=False)
+    _known: dict[Incarnation, KnownLimit] = attrs.field(
+        factory=dict, init=False
+    )
+    _unreadable: set[Incarnation] = attrs.field(factory=set, init=False)
 
-    def limit(self, life: Life) -> float | None:
+    def limit(self, incarnation: Incarnation) -> float | None:
         """Return the limit that a life names, if it names one."""
-        known = self._known.get(life)
+        known = self._known.get(incarnation)
         return None if known is None else known.news.per_second
 
     def in_force(self) -> list[LimitNews]:
@@ -94,7 +96,7 @@
 
     def note_answer(
         self,
-        life: Life,
+        incarnation: Incarnation,
         facts: AnswerFacts,
         sent_at: float,
     ) -> LimitNews | None:
@@ -103,23 +105,23 @@
         ``sent_at`` is when the request was sent that it answers.
         """
         if facts.unreadable:
-            self._tell_unreadable(life, facts.unreadable)
-        known = self._known.get(life)
+            self._tell_unreadable(incarnation, facts.unreadable)
+        known = self._known.get(incarnation)
         if known is None:
             if facts.limit is None:
                 return None
-            return self._change(life, 1, facts.limit)
+            return self._change(incarnation, 1, facts.limit)
         if facts.limit == known.news.per_second:
             known.named_at = self._clock()
             return None
         if sent_at < known.named_at and not _is_stricter(facts.limit, known):
             # It may be older than the answer that said so.
             return None
-        return self._change(life, known.news.version + 1, facts.limit)
+        return self._change(incarnation, known.news.version + 1, facts.limit)
 
     def note_news(self, news: LimitNews, by: str) -> bool:
         """Take over what another node knows; return whether it is new."""
-        known = self._known.get(news.life)
+        known = self._known.get(news.incarnation)
         if known is not None and news == known.news:
             known.heard_at = self._clock()
         if known is not None and not news.is_after(known.news):
@@ -129,7 +131,7 @@
 
     def to_repeat(
         self,
-        sends: Collection[Life],
+        sends: Collection[Incarnation],
         seconds: float,
     ) -> list[LimitNews]:
         """Return what this node has to say again.
@@ -140,34 +142,38 @@
         oldest = self._clock() - seconds
         return [
             known.news
-            for life, known in self._known.items()
-            if _is_to_repeat(known, oldest, is_sent=life in sends)
+            for incarnation, known in self._known.items()
+            if _is_to_repeat(known, oldest, is_sent=incarnation in sends)
         ]
 
-    def forget(self, listed: Collection[Life], sends: Collection[Life]) -> None:
+    def forget(
+        self, listed: Collection[Incarnation], sends: Collection[Incarnation]
+    ) -> None:
         """Forget lives that are listed no more, and limits nobody repeats."""
         now = self._clock()
         self._known = {
-            life: known
-            for life, known in self._known.items()
-            if (life in listed or now - known.told_at < _UNLISTED_SECONDS)
-            and (life in sends or _is_believed(known, now))
+            incarnation: known
+            for incarnation, known in self._known.items()
+            if (
+                incarnation in listed or now - known.told_at < _UNLISTED_SECONDS
+            )
+            and (incarnation in sends or _is_believed(known, now))
         }
         self._unreadable.intersection_update(listed)
 
     def _change(
         self,
-        life: Life,
+        incarnation: Incarnation,
         version: int,
         per_second: float | None,
     ) -> LimitNews:
-        news = LimitNews(life.id, life.born, version, per_second)
+        news = LimitNews(incarnation.id, incarnation.born, version, per_second)
         self._put(news, _ANSWER)
         return news
 
     def _put(self, news: LimitNews, by: str) -> None:
         now = self._clock()
-        known = self._known.get(news.life)
+        known = self._known.get(news.incarnation)
         decision(
             'target_limit',
             instance=news.instance,
@@ -178,15 +184,19 @@
             by=by,
             version=news.version,
         )
-        self._known[news.life] = KnownLimit(news, by == _ANSWER, now, now, now)
+        self._known[news.incarnation] = KnownLimit(
+            news, by == _ANSWER, now, now, now
+        )
 
-    def _tell_unreadable(self, life: Life, texts: Iterable[str]) -> None:
-        if life not in self._unreadable:
-            self._unreadable.add(life)
+    def _tell_unreadable(
+        self, incarnation: Incarnation, texts: Iterable[str]
+    ) -> None:
+        if incarnation not in self._unreadable:
+            self._unreadable.add(incarnation)
             decision(
                 'target_word_unreadable',
-                instance=life.id,
-                born=life.born,
+                instance=incarnation.id,
+                born=incarnation.born,
                 texts=list(texts),
             )
 
--- a/src/cranecart/throttling/_rests.py
+++ b/src/cranecart/throttling/_rests.py
@@ -6,7 +6,7 @@
 
 from cranecart.clocks import since_boot
 from cranecart.logs import decision
-from cranecart.ports import Life
+from cranecart.ports import Incarnation
 
 
 @attrs.define
@@ -18,34 +18,38 @@
     """
 
     _clock: Callable[[], float] = since_boot
-    _until: dict[Life, float] = attrs.field(factory=dict, init=False)
+    _until: dict[Incarnation, float] = attrs.field(factory=dict, init=False)
 
     def __len__(self) -> int:
         """Return how many targets rest."""
         return len(self._until)
 
-    def note(self, life: Life, seconds: float) -> None:
+    def note(self, incarnation: Incarnation, seconds: float) -> None:
         """Take over that a target asks for so many seconds from now on."""
         until = self._clock() + seconds
-        earlier = self._until.get(life, 0)
-        self._until[life] = max(earlier, until)
+        earlier = self._until.get(incarnation, 0)
+        self._until[incarnation] = max(earlier, until)
         decision(
             'target_rest',
-            instance=life.id,
-            born=life.born,
+            instance=incarnation.id,
+            born=incarnation.born,
             seconds=seconds,
-            left=round(self.seconds_left(life), 3),
+            left=round(self.seconds_left(incarnation), 3),
         )
 
-    def seconds_left(self, life: Life) -> float:
+    def seconds_left(self, incarnation: Incarnation) -> float:
         """Return for how long a target still rests, 0 if it does not."""
-        until = self._until.get(life)
+        until = self._until.get(incarnation)
         return 0 if until is None else max(0, until - self._clock())
 
     def forget_ended(self) -> None:
         """Forget the rests that are over."""
         now = self._clock()
-        for life, until in list(self._until.items()):
+        for incarnation, until in list(self._until.items()):
             if until <= now:
-                self._until.pop(life)
-                decision('target_rest_over', instance=life.id, born=life.born)
+                self._until.pop(incarnation)
+                decision(
+                    'target_rest_over',
+                    instance=incarnation.id,
+                    born=incarnation.born,
+                )
--- a/tests/lib/ending_targets.py
+++ b/tests/lib/ending_targets.py
@@ -50,7 +50,7 @@
         """Listen; nothing is served until ``run``."""
         super().__init__(name, self._serve_or_end)
         self.born = 1
-        self.lives = 1
+        self.incarnations = 1
         self.is_down = False
         self._mute = mute
         self._keeps_port = keeps_port
@@ -78,7 +78,7 @@
             self._deployment.note_end(self)
             await self._stay_down()
             self.is_down = False
-            self.lives += 1
+            self.incarnations += 1
             self._is_ending = False
             self._deployment.list_anew(self)
 
@@ -261,13 +261,13 @@
     def _list(self, node: GatewayWorld, target: EndingTarget) -> None:
         name = target.name
         if self._renamed:
-            name = f'{name}-{target.lives}'
-        replica = f'{target.name}-{target.lives}'
+            name = f'{name}-{target.incarnations}'
+        replica = f'{target.name}-{target.incarnations}'
         listed = instance(name, target.address, self._service)
         anew = attrs.evolve(
             listed,
             membership=Membership(replica, 1, 0, MemberPhase.OPEN),
-            born=target.lives,
+            born=target.incarnations,
         )
         earlier = [
             known
@@ -284,10 +284,10 @@
             'east',
             'east-0',
             (name,),
-            births=(target.lives,),
+            births=(target.incarnations,),
         )
         node.fleet.take_records({record.key: record}, False)
-        node.guard.keep(node.fleet.listing.lives())
+        node.guard.keep(node.fleet.listing.incarnations())
 
 
 async def ask_in_turn(
--- a/tests/lib/fake_targets.py
+++ b/tests/lib/fake_targets.py
@@ -36,7 +36,7 @@
     hash_key,
 )
 from cranecart.platform import PlatformCallForm
-from cranecart.ports import Life, ListedInstance, MemberPhase, Membership
+from cranecart.ports import Incarnation, ListedInstance, MemberPhase, Membership
 from cranecart.quarantine import CaseNews, RequestGuard
 from cranecart.retries import RetryRules, SharedRetryBudget
 from cranecart.routing import HeadRouter
@@ -305,14 +305,16 @@
         # How a test has this node share targets with others, and tell them.
         self.sharing_node_count: SharingNodes = _send_alone
         self.tell_limits: Callable[[Sequence[LimitNews]], None] = _tell_nobody
-        self.tell_leaving: Callable[[Life], None] = _tell_nobody
+        self.tell_leaving: Callable[[Incarnation], None] = _tell_nobody
         self.router = HeadRouter(
             self.fleet,
             source,
             lambda _name: 0,
             lambda _model: 0.1,
             'east',
-            tell_broken=lambda life: self.told_broken.append(life.id),
+            tell_broken=lambda incarnation: self.told_broken.append(
+                incarnation.id
+            ),
             gate=self._gate(),
         )
         self.connections = TargetConnections()
@@ -392,13 +394,13 @@
             self.fleet.listing.is_leaving,
         )
 
-    def _has_ended(self, life: Life) -> bool:
-        known = self.fleet.instances.get(life.id)
-        return known is None or known.life.is_another(life)
+    def _has_ended(self, incarnation: Incarnation) -> bool:
+        known = self.fleet.instances.get(incarnation.id)
+        return known is None or known.incarnation.is_another(incarnation)
 
-    def _leave(self, life: Life) -> None:
-        if note_leaving(self.fleet, life, 'an answer'):
-            self.tell_leaving(life)
+    def _leave(self, incarnation: Incarnation) -> None:
+        if note_leaving(self.fleet, incarnation, 'an answer'):
+            self.tell_leaving(incarnation)
 
     async def _note_evidence(
         self,
--- a/tests/lib/hail.py
+++ b/tests/lib/hail.py
@@ -15,7 +15,7 @@
 
 import attrs
 
-from cranecart.ports import Life
+from cranecart.ports import Incarnation
 from cranecart.quarantine import CaseBook, CaseNews, End, Standing
 
 _DAY_SECONDS = 60.0
@@ -196,7 +196,7 @@
     def _end(self, spot: Spot) -> None:
         there = spot.there
         spot.there = []
-        life = Life(f'i{spot.number}', spot.life)
+        life = Incarnation(f'i{spot.number}', spot.life)
         spot.is_up = False
         self._at(_BACK_SECONDS, lambda: self._back(spot))
         for one in there:
@@ -204,7 +204,7 @@
         for one in there:
             self._send(one)
 
-    def _blame(self, one: Asked, life: Life) -> None:
+    def _blame(self, one: Asked, life: Incarnation) -> None:
         begun = one.begun_at is not None
         ran = 0 if one.begun_at is None else self._now - one.begun_at
         if ran <= _BEGIN_SECONDS:
--- a/tests/lib/limit_world.py
+++ b/tests/lib/limit_world.py
@@ -15,7 +15,7 @@
 import attrs
 
 from cranecart.mesh._rendezvous import first_names
-from cranecart.ports import AnswerFacts, Life
+from cranecart.ports import AnswerFacts, Incarnation
 from cranecart.throttling import (
     FewNodes,
     LimitNews,
@@ -25,7 +25,7 @@
 )
 from tests.lib.spans import most_in_span
 
-_LIFE = Life('i1', 1)
+_LIFE = Incarnation('i1', 1)
 _DOMAINS = 3
 _A_SECOND_EACH = 10.0
 _RENEW_SECONDS = 0.5
--- a/tests/lib/speaking_targets.py
+++ b/tests/lib/speaking_targets.py
@@ -11,7 +11,7 @@
 
 from cranecart.exceptions import HttpError
 from cranecart.fleet import note_leaving
-from cranecart.ports import Life
+from cranecart.ports import Incarnation
 from cranecart.throttling import LimitNews
 from tests.lib.fake_targets import (
     ENGINES,
@@ -226,9 +226,9 @@
         for node in self._others(teller):
             node.router.gate.hear(told, f'node-{teller}')
 
-    def _tell_leaving(self, teller: int, life: Life) -> None:
+    def _tell_leaving(self, teller: int, incarnation: Incarnation) -> None:
         for node in self._others(teller):
-            note_leaving(node.fleet, life, f'node-{teller}')
+            note_leaving(node.fleet, incarnation, f'node-{teller}')
 
     def _others(self, teller: int) -> list[GatewayWorld]:
         return self.nodes[:teller] + self.nodes[teller + 1 :]
--- a/tests/lib/store_rig.py
+++ b/tests/lib/store_rig.py
@@ -169,7 +169,7 @@
             renew_own,
             lambda _told: None,
             lambda _told: None,
-            lambda told: note_leaving(fleet, told.life, told.sender),
+            lambda told: note_leaving(fleet, told.incarnation, told.sender),
         )
         domain = f'd{int(name.rpartition("-")[2]) % _DOMAINS}'
         own = LocalState(name, _peer_address(name), domain)
--- a/tests/unit/test_limit_book.py
+++ b/tests/unit/test_limit_book.py
@@ -7,10 +7,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cranecart.ports import AnswerFacts, Life
+from cranecart.ports import AnswerFacts, Incarnation
 from cranecart.throttling import LimitBook, LimitNews
 
-_LIFE = Life('i1', 7)
+_LIFE = Incarnation('i1', 7)
 _PLAIN = AnswerFacts('r1', True, False)
 
 _NEWS = st.lists(
@@ -75,9 +75,9 @@
     def test_another_life_has_no_limit(self) -> None:
         """What one life has named says nothing of the next."""
         self.book.note_answer(_LIFE, _naming(2.0), 9.9)
-        self.book.note_answer(Life('i1', 8), _PLAIN, 10.5)
-        lives = {one.life for one in self.book.in_force()}
-        self.assertEqual(lives, {_LIFE})
+        self.book.note_answer(Incarnation('i1', 8), _PLAIN, 10.5)
+        incarnations = {one.incarnation for one in self.book.in_force()}
+        self.assertEqual(incarnations, {_LIFE})
 
     def test_old_news_changes_nothing(self) -> None:
         """A node that has not heard of the end says what it knew."""
--- a/tests/unit/test_lives.py
+++ b/tests/unit/test_lives.py
@@ -123,8 +123,10 @@
         self._list(_entry('i0', _FIRST // 2, is_member=False))
         self.now += _LONG_SECONDS
         self.fleet.settle_lives()
-        self.assertTrue(self.fleet.listing.lives_anew(record.lives[0]))
-        self.assertFalse(self.fleet.listing.has_ended(record.lives[0]))
+        self.assertTrue(
+            self.fleet.listing.is_superseded(record.incarnations[0])
+        )
+        self.assertFalse(self.fleet.listing.has_ended(record.incarnations[0]))
 
     def test_without_births(self) -> None:
         """Entries that tell none go on as one life."""
@@ -273,7 +275,7 @@
             born=_FIRST,
         )
         world.fleet.take_instances({old.id: old}, False)
-        world.router.failed(old.life, reached=False)
+        world.router.failed(old.incarnation, reached=False)
         self.assertEqual(_chosen(world), {world.targets[1].name})
         new = attrs.evolve(old, born=_SECOND)
         world.fleet.take_instances({new.id: new}, False)
--- a/tests/unit/test_mesh.py
+++ b/tests/unit/test_mesh.py
@@ -9,7 +9,7 @@
 from cranecart.mesh import Broken, ConfigAsk, ListNews, RequestCases, Stopped
 from cranecart.mesh._stop_notices import StopNotices
 from cranecart.models import RouteConfig
-from cranecart.ports import Life, ListedInstance
+from cranecart.ports import Incarnation, ListedInstance
 from cranecart.quarantine import CaseNews, End, Standing
 from tests.lib.simulated_cluster import SimulatedCluster
 
@@ -358,7 +358,7 @@
 
 
 def _tell_end(cluster: SimulatedCluster, name: str, number: int) -> None:
-    news = CaseNews('a', (End(Life(f'i{number}', 1), True),))
+    news = CaseNews('a', (End(Incarnation(f'i{number}', 1), True),))
     node = cluster.nodes[name]
     node.book.take(news, is_own=True)
     node.mesh.tell_all(RequestCases(name, [news]))
--- a/tests/unit/test_pulse.py
+++ b/tests/unit/test_pulse.py
@@ -4,7 +4,7 @@
 import time
 import unittest
 
-from cranecart.ports import Life
+from cranecart.ports import Incarnation
 from cranecart.routing import Ejection, Wanted
 from cranecart.routing._pulse import Pulse
 from tests.lib.fake_targets import (
@@ -71,7 +71,7 @@
     def test_new_requests_go_elsewhere(self) -> None:
         """They lost their objective there for over a second."""
         world = GatewayWorld(_never, _never)
-        still = Life(world.targets[0].name)
+        still = Incarnation(world.targets[0].name)
         with contextlib.ExitStack() as streams:
             for _stream in range(2):
                 following = world.router.pulse.following(still)
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -16,7 +16,7 @@
     TargetDisconnectedError,
 )
 from cranecart.http import Address
-from cranecart.ports import Life, ListedInstance, Row
+from cranecart.ports import Incarnation, ListedInstance, Row
 from cranecart.quarantine import (
     CaseBook,
     CaseNews,
@@ -36,7 +36,7 @@
     FakePlatform,
 )
 
-_LIVES = tuple(Life(f'i{number}', number) for number in range(12))
+_LIVES = tuple(Incarnation(f'i{number}', number) for number in range(12))
 _ENDS = st.builds(End, st.sampled_from(_LIVES), st.booleans())
 _NEWS = st.builds(
     CaseNews,
@@ -293,7 +293,7 @@
         """Know of no break."""
         self.clock = _Clock()
         self.pending = PendingEnds(self.clock)
-        self.ended: set[Life] = set()
+        self.ended: set[Incarnation] = set()
 
     def found(self) -> dict[str, bool]:
         """Return who was there at ends that show now, and whether begun."""
@@ -469,9 +469,11 @@
 
 
 def _listed(number: int) -> ListedInstance:
-    life = _LIVES[number]
+    incarnation = _LIVES[number]
     address = Address('127.0.0.1', 1)
-    return ListedInstance(life.id, 's', address, 'east', 1, born=life.born)
+    return ListedInstance(
+        incarnation.id, 's', address, 'east', 1, born=incarnation.born
+    )
 
 
 async def _ask_together(probe: EndProbe, count: int) -> None:
--- a/tests/unit/test_said_to_leave.py
+++ b/tests/unit/test_said_to_leave.py
@@ -15,7 +15,7 @@
 from cranecart.fleet import Fleet, ReplicaRecord, note_leaving
 from cranecart.http import Address
 from cranecart.mesh import Leaving, decode_mesh_message, encode_mesh_message
-from cranecart.ports import Life
+from cranecart.ports import Incarnation
 from tests.lib.fake_targets import ENGINES, MODEL, ClientAnswer, instance
 from tests.lib.simulated_cluster import SimulatedCluster
 from tests.lib.speaking_targets import SpeakingDeployment, Words
@@ -67,7 +67,9 @@
     def test_nothing_new_goes_there(self) -> None:
         """Nor when its entry says again that it is ready."""
         self.assertEqual(len(self.fleet.heads(ENGINES, MODEL)), 1)
-        self.assertTrue(note_leaving(self.fleet, self.listed.life, 'an answer'))
+        self.assertTrue(
+            note_leaving(self.fleet, self.listed.incarnation, 'an answer')
+        )
         self.assertEqual(len(self.fleet.heads(ENGINES, MODEL)), 0)
         self.fleet.take_instances({'i0': self.listed}, False)
         self.assertEqual(len(self.fleet.heads(ENGINES, MODEL)), 0)
@@ -75,19 +77,23 @@
 
     def test_it_is_news_once(self) -> None:
         """All its answers say so, and other nodes do."""
-        self.assertTrue(note_leaving(self.fleet, self.listed.life, 'an answer'))
-        self.assertFalse(note_leaving(self.fleet, self.listed.life, 'n2'))
+        self.assertTrue(
+            note_leaving(self.fleet, self.listed.incarnation, 'an answer')
+        )
+        self.assertFalse(
+            note_leaving(self.fleet, self.listed.incarnation, 'n2')
+        )
 
     def test_its_next_life_serves(self) -> None:
         """What comes back under the same id has not said so."""
-        note_leaving(self.fleet, self.listed.life, 'an answer')
+        note_leaving(self.fleet, self.listed.incarnation, 'an answer')
         anew = attrs.evolve(self.listed, born=8)
         self.fleet.take_instances({'i0': anew}, False)
         self.assertFalse(self.fleet.instances['i0'].leaving)
 
     def test_known_before_it_is_listed(self) -> None:
         """The news may come first."""
-        note_leaving(self.fleet, Life('i1', 3), 'n2')
+        note_leaving(self.fleet, Incarnation('i1', 3), 'n2')
         later = attrs.evolve(self.listed, id='i1', born=3)
         self.fleet.take_instances({'i1': later}, False)
         self.assertTrue(self.fleet.instances['i1'].leaving)
--- a/tests/unit/test_target_gate.py
+++ b/tests/unit/test_target_gate.py
@@ -11,12 +11,12 @@
 
 from cranecart.forwarding import TargetConnections
 from cranecart.http import HttpConnection
-from cranecart.ports import AnswerFacts, Life, ListedInstance
+from cranecart.ports import AnswerFacts, Incarnation, ListedInstance
 from cranecart.routing import Wanted
 from cranecart.throttling import TargetGate
 from tests.lib.fake_targets import CONFIG, MODEL, Exchange, GatewayWorld
 
-_LIFE = Life('i1', 7)
+_LIFE = Incarnation('i1', 7)
 _REFUSAL = AnswerFacts('r1', False, True, rest_seconds=3)
 _SUCCESS = AnswerFacts('r1', True, False)
 
@@ -60,7 +60,7 @@
 
     def test_another_life_rests_not(self) -> None:
         """What comes back under the same id has asked for nothing."""
-        self.assertTrue(self.gate.is_open_to(Life('i1', 8)))
+        self.assertTrue(self.gate.is_open_to(Incarnation('i1', 8)))
 
     def test_the_share_of_a_limit_is_told(self) -> None:
         """What this node may send could not be seen in any line."""
@@ -157,7 +157,7 @@
         wanted = Wanted(CONFIG, route, 'drafts', MODEL, 100, 2)
         ask = (CONFIG, 'drafts', MODEL, ['i0'])
         self.assertTrue(world.router.has_untried(*ask))
-        world.router.gate.note_answer(Life('i1'), _REFUSAL, 0)
+        world.router.gate.note_answer(Incarnation('i1'), _REFUSAL, 0)
         self.assertFalse(world.router.has_untried(*ask))
         chosen = {world.router.choose(wanted).instance.id for _ in range(20)}
         self.assertEqual(chosen, {'i0'})
@@ -184,7 +184,7 @@
         is_new: bool = False,
     ) -> HttpConnection:
         """Hear of the rest, then return a connection."""
-        self.gate.note_answer(Life('i0'), _REFUSAL, 0)
+        self.gate.note_answer(Incarnation('i0'), _REFUSAL, 0)
         return await super().take(instance, is_sure=is_sure, is_new=is_new)
 
 
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -132,7 +132,7 @@
     Mutation(
         'members-freed-at-once',
         'grouping/_ending.py',
-        """        if self._fleet.listing.has_ended(self.record.lives[0]):
+        """        if self._fleet.listing.has_ended(self.record.incarnations[0]):
             return 'the head lives anew'
         if self._member""",
         """        return 'at once'
@@ -268,7 +268,7 @@
     Mutation(
         'broken-targets-are-told-to-nobody',
         'routing/_heads.py',
-        'self._tell_broken(life)',
+        'self._tell_broken(incarnation)',
         'return',
         'tests.unit.test_broken_plain.BrokenPlainTest'
         '.test_it_is_passed_over_at_once',
@@ -304,21 +304,21 @@
     Mutation(
         'rests-are-not-kept',
         'throttling/_gate.py',
-        'self._rests.seconds_left(life) or ',
+        'self._rests.seconds_left(incarnation)\n            or ',
         '',
         'tests.unit.test_target_gate',
     ),
     Mutation(
         'words-are-not-looked-at-before-sending',
         'forwarding/_sender.py',
-        'if not self.router.gate.may_reach(target.instance.life):',
+        'if not self.router.gate.may_reach(target.instance.incarnation):',
         'if not target:',
         'tests.unit.test_target_gate',
     ),
     Mutation(
         'own-word-of-leaving-is-forgotten',
         'fleet/_listing.py',
-        'if entry.leaving or entry.life not in self._leaving:',
+        'if entry.leaving or entry.incarnation not in self._leaving:',
         'if entry:',
         'tests.unit.test_said_to_leave.FleetTest',
     ),
@@ -353,7 +353,7 @@
     Mutation(
         'what-had-gone-is-not-awaited',
         'fleet/_listing.py',
-        'if name not in self.instances and item.life in self._gone',
+        'if name not in self.instances and item.incarnation in self._gone',
         'if not name',
         f'{_RESTORED}.test_gone_target_taken_again_from_a_copy',
     ),
