--- a/src/cranecart/clients/_relay.py
+++ b/src/cranecart/clients/_relay.py
@@ -11,7 +11,7 @@
 from cranecart.http import Responder, Response
 from cranecart.logs import decision
 from cranecart.ports import Incarnation
-from cranecart.quarantine import NamedRunner, RequestGuard, Watch
+from cranecart.quarantine import AttemptProgress, NamedRunner, RequestGuard
 from cranecart.selection import Router
 from cranecart.targets import (
     CompletionCall,
@@ -87,7 +87,9 @@
             b''.join(self._pieces),
         )
 
-    async def _relay(self, replica: ServingReplica, watch: Watch) -> None:
+    async def _relay(
+        self, replica: ServingReplica, watch: AttemptProgress
+    ) -> None:
         self._counter.restart()
         answer = await self._engines.start(
             replica,
@@ -116,7 +118,9 @@
             },
         )
 
-    async def _pass_all_on(self, answer: EngineAnswer, watch: Watch) -> None:
+    async def _pass_all_on(
+        self, answer: EngineAnswer, watch: AttemptProgress
+    ) -> None:
         while piece := await answer.read_chunk():
             watch.progressing()
             whole = self._counter.feed(piece)
--- a/src/cranecart/door/_returns.py
+++ b/src/cranecart/dispatch/_client_retries.py
@@ -21,7 +21,7 @@
 _MEMORY_SECONDS = 3.0
 
 
-def return_seconds(
+def spread_retry_after(
     expected_seconds: float,
     left_seconds: float,
     drawn: float,
@@ -36,7 +36,7 @@
 
 
 @attrs.define
-class Returns:
+class ClientRetryDetector:
     """Tells by its deadline how long ago a request's client first asked.
 
     Clients name what they have left; the longest that came on a route is
--- a/src/cranecart/door/_choice.py
+++ b/src/cranecart/dispatch/_decision.py
@@ -11,8 +11,8 @@
 
 import attrs
 
-from cranecart.door._belief import Ask, Standing
-from cranecart.door._forecast import forecast
+from cranecart.dispatch._forecast import forecast
+from cranecart.dispatch._inputs import DispatchRequest, ReplicaState
 
 # A part of the objective that a replica in another failure domain must be
 # quicker to be chosen: bytes between failure domains are paid for, and what
@@ -45,7 +45,9 @@
     seconds: float
 
 
-def decide(ask: Ask, standings: Sequence[Standing]) -> Send | Refuse:
+def decide(
+    ask: DispatchRequest, standings: Sequence[ReplicaState]
+) -> Send | Refuse:
     """Choose between replicas, at least one of which is given.
 
     They are given in an order that was drawn for this request.
@@ -64,18 +66,18 @@
     return Refuse(over)
 
 
-def _drawn(standings: Sequence[Standing]) -> Sequence[Standing]:
+def _drawn(standings: Sequence[ReplicaState]) -> Sequence[ReplicaState]:
     near = [one for one in standings if one.is_near]
     far = [one for one in standings if not one.is_near]
     return (*near[:_DRAWN], *far[:_DRAWN])
 
 
 def _quickest(
-    ask: Ask,
-    standings: Sequence[Standing],
+    ask: DispatchRequest,
+    standings: Sequence[ReplicaState],
     *,
     behind: bool,
-) -> tuple[Standing, float]:
+) -> tuple[ReplicaState, float]:
     forecasts = [(forecast(ask, one, behind=behind), one) for one in standings]
     seconds, best = min(
         forecasts,
@@ -84,7 +86,7 @@
     return best, seconds
 
 
-def _penalty(ask: Ask, standing: Standing) -> float:
+def _penalty(ask: DispatchRequest, standing: ReplicaState) -> float:
     if standing.is_near:
         return 0
     return _FAR_PART * ask.route.objective_seconds
--- a/src/cranecart/door/_forecast.py
+++ b/src/cranecart/dispatch/_forecast.py
@@ -4,14 +4,16 @@
 replica for one that is nearly free, and a slow replica for a quick one.
 """
 
-from cranecart.door._belief import Ask, Standing
+from cranecart.dispatch._inputs import DispatchRequest, ReplicaState
 
 # A request is let in between passes, half a pass after it came on average,
 # and its first event ends a pass of its own.
 _PASSES = 1.5
 
 
-def forecast(ask: Ask, standing: Standing, *, behind: bool = False) -> float:
+def forecast(
+    ask: DispatchRequest, standing: ReplicaState, *, behind: bool = False
+) -> float:
     """Return the seconds to the first event, by what is believed.
 
     A request that goes ``behind`` waits for those that wait there already,
--- a/src/cranecart/door/_belief.py
+++ b/src/cranecart/dispatch/_inputs.py
@@ -12,7 +12,7 @@
 
 
 @attrs.frozen
-class Standing:
+class ReplicaState:
     """One replica as it is believed to stand now.
 
     ``in_flight`` counts the requests there, of all nodes, ``behind`` those
@@ -29,7 +29,7 @@
 
 
 @attrs.frozen
-class Ask:
+class DispatchRequest:
     """One request; times in seconds.
 
     ``elapsed_seconds`` is how long ago its client first asked, as far as that
--- a/src/cranecart/emulation/_policies.py
+++ b/src/cranecart/emulation/_policies.py
@@ -6,14 +6,14 @@
 
 import attrs
 
-from cranecart.door import (
-    Ask,
+from cranecart.dispatch import (
+    DispatchRequest,
     ForecastErrors,
     Refuse,
+    ReplicaState,
     Send,
-    Standing,
     decide,
-    return_seconds,
+    spread_retry_after,
 )
 from cranecart.emulation._engine import Engine, Run
 
@@ -95,7 +95,7 @@
     ) -> Send | Refuse:
         """Return what the door decides."""
         left = run.route.timeout_seconds - (now - run.asked_at)
-        ask = Ask(
+        ask = DispatchRequest(
             run.route,
             engines[0].profile,
             run.model,
@@ -107,7 +107,7 @@
             run.first_at is not None,
         )
         standings = [
-            Standing(
+            ReplicaState(
                 one.name,
                 counts.get(one.name, 0),
                 behind.get(one.name, 0),
@@ -119,7 +119,7 @@
         chosen = decide(ask, standings)
         if isinstance(chosen, Refuse):
             drawn = self._random.random()
-            return Refuse(return_seconds(chosen.seconds, left, drawn))
+            return Refuse(spread_retry_after(chosen.seconds, left, drawn))
         return chosen
 
     def note_first(self, run: Run, sent: Send, took: float, now: float) -> None:
--- a/src/cranecart/emulation/_world.py
+++ b/src/cranecart/emulation/_world.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from cranecart.door import Refuse, Send
+from cranecart.dispatch import Refuse, Send
 from cranecart.emulation._engine import Engine, Run
 from cranecart.emulation._load import Death, Load
 from cranecart.emulation._policies import Policy
--- a/src/cranecart/forwarding/_attempts.py
+++ b/src/cranecart/forwarding/_attempts.py
@@ -20,9 +20,9 @@
     TimeoutPassedError,
 )
 from cranecart.forwarding._call import RoutedCall, wanted
-from cranecart.quarantine import RequestGuard, Watch
+from cranecart.quarantine import AttemptProgress, RequestGuard
 from cranecart.retries import SharedRetryBudget
-from cranecart.routing import HeadRouter, Target, Wanted
+from cranecart.routing import RoutingRequest, Target, TargetRouter
 
 # When to come back with more time left, in seconds.
 _NO_TIME_SECONDS = 0.2
@@ -42,7 +42,7 @@
     """The targets that one request was sent to, and what came of it."""
 
     call: RoutedCall
-    _router: HeadRouter
+    _router: TargetRouter
     _budget: SharedRetryBudget
     _guard: RequestGuard
     tried: list[str] = attrs.field(factory=list, init=False)
@@ -50,7 +50,7 @@
     _sent: int = attrs.field(default=0, init=False)
     _not_reached: int = attrs.field(default=0, init=False)
     _last: TargetError | None = attrs.field(default=None, init=False)
-    _watch: Watch | None = attrs.field(default=None, init=False)
+    _watch: AttemptProgress | None = attrs.field(default=None, init=False)
 
     async def run(self, attempt: Callable[[Target], Awaitable[None]]) -> None:
         """Attempt until one succeeds; raise ``RequestError`` for the last."""
@@ -104,7 +104,7 @@
         self._router.succeeded(target.instance.incarnation)
         return True
 
-    def _wanted(self) -> Wanted:
+    def _wanted(self) -> RoutingRequest:
         return wanted(
             self.call,
             self.tried,
--- a/src/cranecart/forwarding/_call.py
+++ b/src/cranecart/forwarding/_call.py
@@ -10,8 +10,8 @@
 from cranecart.logs import RequestTrace
 from cranecart.models import Route, RouteConfig
 from cranecart.ports import CallFacts
-from cranecart.quarantine import identity_of
-from cranecart.routing import Wanted
+from cranecart.quarantine import request_identity
+from cranecart.routing import RoutingRequest
 
 # A client that names no deadline waits as long as its route allows.
 _NO_DEADLINE = float('inf')
@@ -46,7 +46,7 @@
     def identity(self) -> str:
         """Return what all tries of its client at this request share."""
         request = self.request
-        return identity_of(
+        return request_identity(
             self.organisation,
             self.facts.host,
             request.method,
@@ -71,10 +71,10 @@
     passed_over: Collection[str] = (),
     *,
     has_begun: bool,
-) -> Wanted:
+) -> RoutingRequest:
     """Return what the router needs to know of a call now."""
     here = since_boot() - call.started_at
-    return Wanted(
+    return RoutingRequest(
         call.config,
         call.route,
         call.service,
--- a/src/cranecart/forwarding/_gateway.py
+++ b/src/cranecart/forwarding/_gateway.py
@@ -9,7 +9,7 @@
 import curio
 
 from cranecart.clocks import since_boot
-from cranecart.door import Returns
+from cranecart.dispatch import ClientRetryDetector
 from cranecart.exceptions import (
     ConnectionBrokenError,
     InternalFaultError,
@@ -52,7 +52,9 @@
     # Told of each stream that ended well, and how many events it had.
     _streamed: Callable[[RoutedCall, int], None]
     _starting: StartGate = attrs.field(factory=StartGate)
-    _returns: Returns = attrs.field(factory=Returns, init=False)
+    _returns: ClientRetryDetector = attrs.field(
+        factory=ClientRetryDetector, init=False
+    )
     inside: int = attrs.field(default=0, init=False)
     taken: int = attrs.field(default=0, init=False)
 
--- a/src/cranecart/forwarding/_sender.py
+++ b/src/cranecart/forwarding/_sender.py
@@ -23,7 +23,7 @@
 from cranecart.forwarding._own_head import OwnHead
 from cranecart.http import HttpConnection, ResponseHead
 from cranecart.ports import AnswerFacts, CallForm, Dispatch
-from cranecart.routing import HeadRouter, Target
+from cranecart.routing import Target, TargetRouter
 
 Answer = TypeVar('Answer')
 
@@ -72,7 +72,7 @@
     """Sends attempts and checks the answers' heads."""
 
     form: CallForm
-    router: HeadRouter
+    router: TargetRouter
     connections: TargetConnections
     _is_stopped: Callable[[tuple[str, int]], bool]
     _evidence: Evidence
--- a/src/cranecart/forwarding/_stream.py
+++ b/src/cranecart/forwarding/_stream.py
@@ -8,7 +8,7 @@
 from cranecart.forwarding._events import EventCutter
 from cranecart.forwarding._sender import Patience, Sender, TargetAnswer
 from cranecart.http import Responder, Response
-from cranecart.routing import StreamPulse, Target
+from cranecart.routing import StreamActivity, Target
 
 # Without its placer's finding a stream is moved after this silence only: in
 # plays with too few replicas, live engines were silent for over half a
@@ -97,7 +97,7 @@
         self,
         target: Target,
         answer: TargetAnswer,
-        pulse: StreamPulse,
+        pulse: StreamActivity,
     ) -> None:
         patience = self._first_patience()
         while piece := await self._sender.wait(
--- a/src/cranecart/limits/__init__.py
+++ b/src/cranecart/limits/__init__.py
@@ -1,7 +1,7 @@
 """Admission: organisations' shares, and shedding when full."""
 
 from cranecart.limits._admission import Admission, Capacity
-from cranecart.limits._rates import TokenRates
-from cranecart.limits._shares import Shares
+from cranecart.limits._rates import TokenRateLimiter
+from cranecart.limits._shares import LimitShares
 
-__all__ = ('Admission', 'Capacity', 'Shares', 'TokenRates')
+__all__ = ('Admission', 'Capacity', 'LimitShares', 'TokenRateLimiter')
--- a/src/cranecart/limits/_admission.py
+++ b/src/cranecart/limits/_admission.py
@@ -9,8 +9,8 @@
 
 from cranecart.declarations import OrganisationSpec, Priority
 from cranecart.exceptions import LimitedError, OverloadedError
-from cranecart.limits._rates import TokenRates
-from cranecart.limits._shares import Shares
+from cranecart.limits._rates import TokenRateLimiter
+from cranecart.limits._shares import LimitShares
 
 _ALL = 1.0
 
@@ -38,8 +38,8 @@
     """
 
     _capacity: Capacity
-    _shares: Shares
-    _rates: TokenRates
+    _shares: LimitShares
+    _rates: TokenRateLimiter
     _inside: Counter[str] = attrs.field(factory=Counter, init=False)
 
     @property
--- a/src/cranecart/limits/_rates.py
+++ b/src/cranecart/limits/_rates.py
@@ -18,7 +18,7 @@
 
 
 @attrs.define
-class TokenRates:
+class TokenRateLimiter:
     """A token bucket for each organisation."""
 
     _share: Callable[[str], float]
--- a/src/cranecart/limits/_shares.py
+++ b/src/cranecart/limits/_shares.py
@@ -17,8 +17,8 @@
 
 from cranecart.clocks import since_boot
 
-RAISE_SECONDS = 3.0
-KEEP_SECONDS = 60.0
+RAISE_DELAY_SECONDS = 3.0
+DEMAND_RETENTION_SECONDS = 60.0
 _HOLD_SECONDS = 3.0
 # A node's own demand counts for its share once the others know it as well, so
 # that all work with the same figures; otherwise shares added up to 1.9 while
@@ -48,7 +48,7 @@
 
 
 @attrs.define
-class Shares:
+class LimitShares:
     """This node's share of each organisation's limits."""
 
     _clock: Callable[[], float] = since_boot
@@ -143,7 +143,7 @@
             return target
         waiting = self._raises.setdefault(organisation, _Raise(now, target))
         waiting.share = min(waiting.share, target)
-        if now - waiting.since >= RAISE_SECONDS:
+        if now - waiting.since >= RAISE_DELAY_SECONDS:
             self._shares[organisation] = waiting.share
             self._raises.pop(organisation)
         return self._shares[organisation]
@@ -162,7 +162,7 @@
         self._heard = {
             source: heard
             for source, heard in self._heard.items()
-            if now - heard.at < KEEP_SECONDS
+            if now - heard.at < DEMAND_RETENTION_SECONDS
         }
 
     def _target(self, organisation: str) -> float:
--- a/src/cranecart/mesh/_target_messages.py
+++ b/src/cranecart/mesh/_target_messages.py
@@ -3,8 +3,8 @@
 import msgspec
 
 from cranecart.ports import Incarnation
-from cranecart.quarantine import CaseNews
-from cranecart.throttling import LimitNews
+from cranecart.quarantine import CaseUpdate
+from cranecart.throttling import LimitUpdate
 
 
 class _OfLife(msgspec.Struct, array_like=True):
@@ -32,11 +32,11 @@
     """What the sender knows of requests under which targets have ended."""
 
     sender: str
-    cases: list[CaseNews]
+    cases: list[CaseUpdate]
 
 
 class TargetLimits(msgspec.Struct, tag='limits', array_like=True):
     """What the sender knows of the limits that targets name."""
 
     sender: str
-    limits: list[LimitNews]
+    limits: list[LimitUpdate]
--- a/src/cranecart/node/_demand_sharing.py
+++ b/src/cranecart/node/_demand_sharing.py
@@ -3,7 +3,7 @@
 import attrs
 
 from cranecart.gossip import Entry, GossipProtocol, Members, Topic
-from cranecart.limits import Shares
+from cranecart.limits import LimitShares
 from cranecart.targets import Summary
 
 _TELL_TICKS = 10
@@ -15,7 +15,7 @@
     """Keeps the shares of limits in step with other nodes' demand."""
 
     _members: Members
-    _shares: Shares
+    _shares: LimitShares
     _told: dict[str, int] = attrs.field(factory=dict, init=False)
 
     def publish(self, peers: GossipProtocol, ticks: int) -> None:
--- a/src/cranecart/node/_node.py
+++ b/src/cranecart/node/_node.py
@@ -12,7 +12,7 @@
 from cranecart.gossip import Topic
 from cranecart.http import HttpServer
 from cranecart.instances import Instance, InstanceKind
-from cranecart.limits import Admission, Capacity, Shares, TokenRates
+from cranecart.limits import Admission, Capacity, LimitShares, TokenRateLimiter
 from cranecart.logs import decision
 from cranecart.metrics import Metrics
 from cranecart.native import PlatformClient, WriteBatcher
@@ -57,7 +57,7 @@
         self._platform = PlatformClient(settings.platform)
         platform = self._platform
         self._directory = Directory(settings.failure_domain, self._book)
-        shares = Shares()
+        shares = LimitShares()
         self._peering = Peering.from_settings(
             settings,
             self._directory,
@@ -82,7 +82,7 @@
         self._admission = Admission(
             Capacity(),
             shares,
-            TokenRates(shares.share),
+            TokenRateLimiter(shares.share),
         )
         self._guard = self._peering.make_guard(self._book)
         gateway = Gateway(
--- a/src/cranecart/node/_peering.py
+++ b/src/cranecart/node/_peering.py
@@ -24,7 +24,7 @@
     encode_message,
 )
 from cranecart.http import Address
-from cranecart.limits import Shares
+from cranecart.limits import LimitShares
 from cranecart.node._demand_sharing import DemandSharing
 from cranecart.node._shared_state import SharedState
 from cranecart.quarantine import RequestGuard, Runner
@@ -52,7 +52,7 @@
         settings: NodeSettings,
         directory: Directory,
         config: CurrentConfig,
-        shares: Shares,
+        shares: LimitShares,
         source: random.Random,
     ) -> Self:
         """Bind the peer address and build the parts."""
--- a/src/cranecart/node/_shared_state.py
+++ b/src/cranecart/node/_shared_state.py
@@ -19,7 +19,7 @@
 )
 from cranecart.instances import Instance
 from cranecart.node._demand_sharing import DemandSharing
-from cranecart.quarantine import CaseNews
+from cranecart.quarantine import CaseUpdate
 from cranecart.rollout import CurrentConfig, Release
 from cranecart.targets import Directory, Probe, Reach, ReportBook, Summary
 
@@ -46,7 +46,7 @@
     _config: CurrentConfig
     _demand_sharing: DemandSharing
     # Told what other nodes know of requests that end targets, and who says so.
-    on_case: Callable[[CaseNews, str], object] = attrs.field(
+    on_case: Callable[[CaseUpdate, str], object] = attrs.field(
         default=lambda _news, _sender: None,
         init=False,
     )
@@ -92,14 +92,14 @@
                 self._directory.note(summary)
                 self._demand_sharing.take_summary(summary)
             case Topic.CASE:
-                news = msgspec.convert(entry.body, CaseNews)
+                news = msgspec.convert(entry.body, CaseUpdate)
                 self.on_case(news, entry.key.origin)
                 self._forget_cases()
             case _:
                 self._demand_sharing.take_entry(entry)
 
     def tell_cases(
-        self, peers: GossipProtocol, cases: Iterable[CaseNews]
+        self, peers: GossipProtocol, cases: Iterable[CaseUpdate]
     ) -> None:
         """Tell the other nodes of requests under which targets have ended."""
         for news in cases:
--- a/src/cranecart/quarantine/__init__.py
+++ b/src/cranecart/quarantine/__init__.py
@@ -1,29 +1,29 @@
 """Requests that end the targets that run them: found, told, held."""
 
-from cranecart.quarantine._book import (
-    CaseBook,
-    CaseNews,
-    End,
-    Standing,
+from cranecart.quarantine._cases import (
+    CaseRegistry,
+    CaseUpdate,
+    Termination,
+    Verdict,
 )
-from cranecart.quarantine._guard import RequestGuard, Watch
-from cranecart.quarantine._identity import identity_of
-from cranecart.quarantine._probe import EndProbe
+from cranecart.quarantine._guard import AttemptProgress, RequestGuard
+from cranecart.quarantine._identity import request_identity
+from cranecart.quarantine._probe import TerminationProbe
 from cranecart.quarantine._rows import HeldRows, held_from_rows, held_key
 from cranecart.quarantine._runner import NamedRunner, Runner
 
 __all__ = (
-    'CaseBook',
-    'CaseNews',
-    'End',
-    'EndProbe',
+    'CaseRegistry',
+    'CaseUpdate',
+    'Termination',
+    'TerminationProbe',
     'HeldRows',
     'NamedRunner',
     'RequestGuard',
     'Runner',
-    'Standing',
-    'Watch',
+    'Verdict',
+    'AttemptProgress',
     'held_from_rows',
     'held_key',
-    'identity_of',
+    'request_identity',
 )
--- a/src/cranecart/quarantine/_book.py
+++ b/src/cranecart/quarantine/_cases.py
@@ -39,7 +39,7 @@
 _FORGET_SECONDS = 3600.0
 
 
-class Standing(enum.Enum):
+class Verdict(enum.Enum):
     """What is done with a request."""
 
     FREE = 'free'
@@ -52,7 +52,7 @@
 
 
 @attrs.frozen
-class End:
+class Termination:
     """A life that ended while a request was there.
 
     The request had ``begun`` there shortly before; else nobody can tell.
@@ -63,14 +63,14 @@
 
 
 @attrs.frozen
-class CaseNews:
+class CaseUpdate:
     """What is known of one request, by the digest that all its tries share.
 
     Ends of ``cleared`` lives were others' doing.
     """
 
     identity: str
-    ends: tuple[End, ...] = ()
+    ends: tuple[Termination, ...] = ()
     cleared: tuple[Incarnation, ...] = ()
 
 
@@ -93,12 +93,14 @@
         return sum(self.ends.values())
 
     @property
-    def news(self) -> CaseNews:
+    def news(self) -> CaseUpdate:
         """Return all that is known, to be told."""
-        ends = tuple(End(life, begun) for life, begun in self.ends.items())
-        return CaseNews(self.identity, ends, tuple(self.cleared))
+        ends = tuple(
+            Termination(life, begun) for life, begun in self.ends.items()
+        )
+        return CaseUpdate(self.identity, ends, tuple(self.cleared))
 
-    def standing(self, explained: Container[Incarnation] = ()) -> Standing:
+    def standing(self, explained: Container[Incarnation] = ()) -> Verdict:
         """Return what its ends say, but for those that others explain."""
         left = [
             had_begun
@@ -107,10 +109,10 @@
         ]
         begun = sum(left)
         if begun >= _HELD_BEGUN or len(left) >= _HELD_ALL:
-            return Standing.HELD
+            return Verdict.HELD
         if len(left) >= _APART:
-            return Standing.APART
-        return Standing.SUSPECT if begun else Standing.FREE
+            return Verdict.APART
+        return Verdict.SUSPECT if begun else Verdict.FREE
 
     def grave_since(self, now: float, *, is_own: bool) -> None:
         """Take over that there are ends enough to hold it."""
@@ -118,7 +120,7 @@
             self.held_at = now
             self.is_own = is_own
 
-    def take(self, news: CaseNews) -> bool:
+    def take(self, news: CaseUpdate) -> bool:
         """Join what somebody knows; return whether anything is new."""
         before = (dict(self.ends), set(self.cleared))
         self.cleared.update(dict.fromkeys(news.cleared))
@@ -130,7 +132,7 @@
             self.cleared.pop(oldest)
         return before != (self.ends, set(self.cleared))
 
-    def _add(self, end: End) -> None:
+    def _add(self, end: Termination) -> None:
         if end.life in self.cleared:
             return
         known = self.ends.get(end.life)
@@ -140,7 +142,7 @@
 
 
 @attrs.define
-class CaseBook:
+class CaseRegistry:
     """The requests that are suspected or held, as one node knows them.
 
     Both are kept in the order in which they changed last.
@@ -165,10 +167,10 @@
         known = len(self._suspected) + len(self._grave)
         return {'requests_suspected': known - held, 'requests_held': held}
 
-    def standing(self, identity: str) -> Standing:
+    def standing(self, identity: str) -> Verdict:
         """Return what is done with a request now."""
         case = self.find(identity)
-        return Standing.FREE if case is None else self._judged(case)
+        return Verdict.FREE if case is None else self._judged(case)
 
     def find(self, identity: str) -> Case | None:
         """Return what is known of a request."""
@@ -183,10 +185,10 @@
         return [
             case
             for case in self._grave.values()
-            if self._judged(case) is Standing.HELD
+            if self._judged(case) is Verdict.HELD
         ]
 
-    def take(self, news: CaseNews, *, is_own: bool) -> bool:
+    def take(self, news: CaseUpdate, *, is_own: bool) -> bool:
         """Join what this node saw, or was told; return whether it is new."""
         now = self._clock()
         case = self.find(news.identity) or Case(news.identity, now)
@@ -195,7 +197,7 @@
         case.changed_at = now
         self._suspected.pop(case.identity, None)
         was_grave = self._grave.pop(case.identity, None) is not None
-        if case.standing() is Standing.HELD:
+        if case.standing() is Verdict.HELD:
             case.grave_since(now, is_own=is_own)
             self._grave[case.identity] = case
         else:
@@ -206,14 +208,14 @@
             self._count_begun()
         return True
 
-    def cleared(self, identity: str) -> CaseNews | None:
+    def cleared(self, identity: str) -> CaseUpdate | None:
         """Return the news that a request was not the cause of any end."""
         case = self.find(identity)
         if case is None or not case.ends:
             return None
-        return CaseNews(identity, cleared=tuple(case.ends))
+        return CaseUpdate(identity, cleared=tuple(case.ends))
 
-    def _judged(self, case: Case) -> Standing:
+    def _judged(self, case: Case) -> Verdict:
         """Judge a case beside the others.
 
         What many targets ended under explains the ends of those who were there
--- a/src/cranecart/quarantine/_guard.py
+++ b/src/cranecart/quarantine/_guard.py
@@ -16,9 +16,14 @@
 from cranecart.exceptions import HeldError, TargetDisconnectedError
 from cranecart.logs import decision
 from cranecart.ports import Incarnation
-from cranecart.quarantine._book import CaseBook, CaseNews, End, Standing
-from cranecart.quarantine._pending import PendingEnds
-from cranecart.quarantine._probe import EndProbe
+from cranecart.quarantine._cases import (
+    CaseRegistry,
+    CaseUpdate,
+    Termination,
+    Verdict,
+)
+from cranecart.quarantine._pending import PendingTerminations
+from cranecart.quarantine._probe import TerminationProbe
 from cranecart.quarantine._runner import Runner
 
 # What ends a target does so as it begins there: within 0.04 to 0.13 s where it
@@ -28,11 +33,11 @@
 # Three turns of housekeeping: a connection between nodes that carries nothing
 # any more is found out after 1.5 s.
 _REPEAT_SECONDS = 2.0
-_SUSPECTS = frozenset((Standing.SUSPECT, Standing.APART))
+_SUSPECTS = frozenset((Verdict.SUSPECT, Verdict.APART))
 
 
 @attrs.define
-class Watch:
+class AttemptProgress:
     """One attempt: whether its target has begun, and what came since."""
 
     _clock: Callable[[], float]
@@ -69,16 +74,16 @@
     """
 
     _is_expected: Callable[[Runner], bool]
-    _tell: Callable[[Sequence[CaseNews]], None]
-    book: CaseBook = attrs.field(factory=CaseBook)
+    _tell: Callable[[Sequence[CaseUpdate]], None]
+    book: CaseRegistry = attrs.field(factory=CaseRegistry)
     _clock: Callable[[], float] = since_boot
-    probe: EndProbe = attrs.field(factory=EndProbe)
+    probe: TerminationProbe = attrs.field(factory=TerminationProbe)
     _has_ended: Callable[[Incarnation], bool] = attrs.field(
         default=_tell_of_none
     )
     refused: int = attrs.field(default=0, init=False)
     ended: int = attrs.field(default=0, init=False)
-    _pending: PendingEnds = attrs.field(init=False)
+    _pending: PendingTerminations = attrs.field(init=False)
     _told_at: dict[str, float] = attrs.field(factory=dict, init=False)
     # This node's suspects by instance, and those of them that run apart.
     _suspects: Counter[str] = attrs.field(factory=Counter, init=False)
@@ -102,7 +107,7 @@
             return ()
         named = identity()
         standing = self.book.standing(named)
-        if standing is Standing.HELD:
+        if standing is Verdict.HELD:
             self.refused += 1
             raise HeldError(self._why(named))
         suspected = standing in _SUSPECTS
@@ -113,9 +118,9 @@
         self,
         identity: Callable[[], str],
         runner: Runner,
-    ) -> AsyncGenerator['Watch', None]:
+    ) -> AsyncGenerator['AttemptProgress', None]:
         """Watch one attempt; it succeeded if the context ends without error."""
-        watch = Watch(self._clock)
+        watch = AttemptProgress(self._clock)
         try:
             with self.running(identity, runner):
                 yield watch
@@ -131,14 +136,14 @@
         runner: Runner,
     ) -> Generator[None, None, None]:
         """Count a suspected request at an instance while the context lasts."""
-        standing = Standing.FREE
+        standing = Verdict.FREE
         if not self.book.is_empty:
             standing = self.book.standing(identity())
         counts = [
             count
             for count, counted in (
                 (self._suspects, _SUSPECTS),
-                (self._apart, frozenset((Standing.APART,))),
+                (self._apart, frozenset((Verdict.APART,))),
             )
             if standing in counted
         ]
@@ -162,10 +167,10 @@
         if len(news.cleared) > 1:
             decision('request_cleared', identity=news.identity)
 
-    def hear(self, news: CaseNews, sender: str) -> bool:
+    def hear(self, news: CaseUpdate, sender: str) -> bool:
         """Take over what another node knows; return whether it is news."""
         is_news = self.book.take(news, is_own=False)
-        if is_news and self.book.standing(news.identity) is Standing.HELD:
+        if is_news and self.book.standing(news.identity) is Verdict.HELD:
             self._log(news.identity, None, f'heard from {sender}')
         return is_news
 
@@ -177,8 +182,8 @@
         self._repeat()
 
     @_pending.default
-    def _make_pending(self) -> PendingEnds:
-        return PendingEnds(self._clock)
+    def _make_pending(self) -> PendingTerminations:
+        return PendingTerminations(self._clock)
 
     def _repeat(self) -> None:
         """Tell what was told lately; some of it may be lost."""
@@ -197,7 +202,7 @@
         self,
         identity: str,
         runner: Runner,
-        watch: Watch,
+        watch: AttemptProgress,
     ) -> None:
         """Look whether a request has ended the target that it was at."""
         if self._is_expected(runner):
@@ -206,14 +211,14 @@
             self._pending.note_alive(runner.incarnation)
             return
         if await self.probe.has_ended(runner):
-            end = End(runner.incarnation, watch.has_begun)
-            self._note_end(CaseNews(identity, (end,)), 'seen here')
+            end = Termination(runner.incarnation, watch.has_begun)
+            self._note_end(CaseUpdate(identity, (end,)), 'seen here')
         else:
             self._pending.note(
                 runner.incarnation, identity, begun=watch.has_begun
             )
 
-    def _note_end(self, news: CaseNews, source: str) -> None:
+    def _note_end(self, news: CaseUpdate, source: str) -> None:
         if self.book.take(news, is_own=True):
             self.ended += 1
             self._log(news.identity, news.ends[0].life, source)
--- a/src/cranecart/quarantine/_identity.py
+++ b/src/cranecart/quarantine/_identity.py
@@ -8,7 +8,7 @@
 _LENGTH_BYTES = 8
 
 
-def identity_of(
+def request_identity(
     organisation: str,
     host: str,
     method: str,
--- a/src/cranecart/quarantine/_pending.py
+++ b/src/cranecart/quarantine/_pending.py
@@ -12,7 +12,7 @@
 
 from cranecart.clocks import since_boot
 from cranecart.ports import Incarnation
-from cranecart.quarantine._book import CaseNews, End
+from cranecart.quarantine._cases import CaseUpdate, Termination
 
 # What an end cuts breaks within this time; what comes later found the target
 # gone, and had no part in its end.
@@ -53,7 +53,7 @@
 
 
 @attrs.define
-class PendingEnds:
+class PendingTerminations:
     """Breaks of the last seconds, by life."""
 
     _clock: Callable[[], float] = since_boot
@@ -80,15 +80,17 @@
     def take_ended(
         self,
         has_ended: Callable[[Incarnation], bool],
-    ) -> list[CaseNews]:
+    ) -> list[CaseUpdate]:
         """Return what is known of requests whose targets have ended."""
         oldest = self._clock() - _KEPT_SECONDS
-        found: list[CaseNews] = []
+        found: list[CaseUpdate] = []
         for incarnation, known in list(self._broken.items()):
             if has_ended(incarnation):
                 self._broken.pop(incarnation)
                 found.extend(
-                    CaseNews(one.identity, (End(incarnation, one.begun),))
+                    CaseUpdate(
+                        one.identity, (Termination(incarnation, one.begun),)
+                    )
                     for one in known.at_the_end()
                 )
             elif known.first_at < oldest:
--- a/src/cranecart/quarantine/_probe.py
+++ b/src/cranecart/quarantine/_probe.py
@@ -28,7 +28,7 @@
 
 
 @attrs.define
-class EndProbe:
+class TerminationProbe:
     """Asks the port of a life whose connection broke, once for all.
 
     A refused connection says that nothing listens there any more. One that is
--- a/src/cranecart/quarantine/_rows.py
+++ b/src/cranecart/quarantine/_rows.py
@@ -11,7 +11,7 @@
 from cranecart.fleet import RECORDS_PART, RECORDS_TABLE
 from cranecart.logs import UnreadableRows, decision
 from cranecart.ports import Put, Row, Table, Transaction
-from cranecart.quarantine._book import Case, CaseBook, CaseNews
+from cranecart.quarantine._cases import Case, CaseRegistry, CaseUpdate
 
 _PREFIX = f'{RECORDS_TABLE}/{RECORDS_PART}/held/'
 _UNREADABLE = UnreadableRows('held_row_unreadable')
@@ -28,7 +28,7 @@
 class _Value:
     """What a row says; ``held_at`` is Unix seconds, for people."""
 
-    news: CaseNews
+    news: CaseUpdate
     node: str
     held_at: float
 
@@ -40,7 +40,7 @@
 
 def held_from_rows(
     items: Mapping[str, Row | None],
-) -> dict[str, CaseNews | None]:
+) -> dict[str, CaseUpdate | None]:
     """Return the held requests among changed rows, by their digests.
 
     A row that is gone names none; one that can't be read changes nothing.
@@ -57,7 +57,7 @@
     }
 
 
-def _read(row: Row) -> CaseNews | None:
+def _read(row: Row) -> CaseUpdate | None:
     try:
         news = msgspec.json.decode(row.value, type=_Value).news
     except (msgspec.MsgspecError, RecursionError) as error:
@@ -78,7 +78,7 @@
 
     _node_id: str
     _table: Table
-    _book: CaseBook
+    _book: CaseRegistry
     _clock: Callable[[], float] = since_boot
     # Digests whose rows were read, and those that were written since: a whole
     # read that is older than a write does not show that its row has gone.
--- a/src/cranecart/retries/__init__.py
+++ b/src/cranecart/retries/__init__.py
@@ -1,6 +1,6 @@
 """How much may be sent again."""
 
 from cranecart.retries._budget import RetryBudget
-from cranecart.retries._window import RetryRules, SharedRetryBudget
+from cranecart.retries._window import RetryLimits, SharedRetryBudget
 
-__all__ = ('RetryBudget', 'RetryRules', 'SharedRetryBudget')
+__all__ = ('RetryBudget', 'RetryLimits', 'SharedRetryBudget')
--- a/src/cranecart/retries/_window.py
+++ b/src/cranecart/retries/_window.py
@@ -9,7 +9,7 @@
 
 
 @attrs.frozen
-class RetryRules:
+class RetryLimits:
     """What a deployment allows: repeats within a sliding window.
 
     ``ratio`` is the part of the requests that may be sent again, ``slack``
@@ -34,7 +34,7 @@
     and the ratio of its own requests, so that nothing has to be agreed.
     """
 
-    rules: RetryRules
+    rules: RetryLimits
     _nodes: Callable[[], int]
     _clock: Callable[[], float] = since_boot
     _requests: dict[str, deque[float]] = attrs.field(factory=dict, init=False)
--- a/src/cranecart/routing/__init__.py
+++ b/src/cranecart/routing/__init__.py
@@ -1,9 +1,15 @@
 """Choose the replica, or the instance of a plain service, for a call."""
 
-from cranecart.routing._ejection import Ejection
-from cranecart.routing._heads import HeadRouter
-from cranecart.routing._places import Target
-from cranecart.routing._pulse import StreamPulse
-from cranecart.routing._wanted import Wanted
+from cranecart.routing._ejection import OutlierEjection
+from cranecart.routing._in_flight import Target
+from cranecart.routing._request import RoutingRequest
+from cranecart.routing._router import TargetRouter
+from cranecart.routing._stalls import StreamActivity
 
-__all__ = ('Ejection', 'HeadRouter', 'StreamPulse', 'Target', 'Wanted')
+__all__ = (
+    'OutlierEjection',
+    'TargetRouter',
+    'StreamActivity',
+    'Target',
+    'RoutingRequest',
+)
--- a/src/cranecart/routing/_taking.py
+++ b/src/cranecart/routing/_availability.py
@@ -6,16 +6,16 @@
 from cranecart.exceptions import OverloadedError
 from cranecart.fleet import ServingHead
 from cranecart.ports import ListedInstance
-from cranecart.throttling import TargetGate
+from cranecart.throttling import TargetThrottle
 
 Named = TypeVar('Named', ServingHead, ListedInstance)
 # Draws some targets to decide between.
 Draw = Callable[[Sequence[ServingHead]], Sequence[ServingHead]]
 
 
-def drawn_taking(
+def draw_available(
     heads: Sequence[ServingHead],
-    gate: TargetGate,
+    gate: TargetThrottle,
     rank: int,
     draw: Draw,
     return_after: Callable[[float], float],
@@ -32,13 +32,13 @@
     taking = _open_ones(drawn, gate, rank)
     if taking:
         return taking, len(drawn) - len(taking)
-    every = taking_now(heads, gate, rank, return_after)
+    every = available_targets(heads, gate, rank, return_after)
     return draw(every), len(heads) - len(every)
 
 
-def taking_now(
+def available_targets(
     targets: Sequence[Named],
-    gate: TargetGate,
+    gate: TargetThrottle,
     rank: int,
     return_after: Callable[[float], float],
 ) -> Sequence[Named]:
@@ -63,7 +63,7 @@
 
 def _open_ones(
     targets: Sequence[Named],
-    gate: TargetGate,
+    gate: TargetThrottle,
     rank: int,
 ) -> list[Named]:
     return [one for one in targets if gate.is_open_to(one.incarnation, rank)]
--- a/src/cranecart/routing/_ejection.py
+++ b/src/cranecart/routing/_ejection.py
@@ -24,7 +24,7 @@
 
 
 @attrs.define
-class Ejection:
+class OutlierEjection:
     """Failures in a row by target; each one more doubles the time out.
 
     ``_key`` returns what failures of a target are counted under.
--- a/src/cranecart/routing/_gaps.py
+++ b/src/cranecart/routing/_event_gaps.py
@@ -31,7 +31,7 @@
 
 
 @attrs.define
-class GapMeter:
+class EventGapTracker:
     """The gaps between events by model, as this node sees them."""
 
     _models: dict[str, _ModelGaps] = attrs.field(factory=dict, init=False)
--- a/src/cranecart/routing/_places.py
+++ b/src/cranecart/routing/_in_flight.py
@@ -29,7 +29,7 @@
 
 
 @attrs.define
-class Places:
+class InFlightCounts:
     """Counts by instance; what is late counts as behind until it begins."""
 
     in_flight: Counter[str] = attrs.field(factory=Counter, init=False)
--- a/src/cranecart/routing/_wanted.py
+++ b/src/cranecart/routing/_request.py
@@ -8,7 +8,7 @@
 
 
 @attrs.frozen
-class Wanted:
+class RoutingRequest:
     """One request that looks for a target; times in seconds.
 
     ``elapsed_seconds`` is how long ago its client first asked; it
--- a/src/cranecart/routing/_heads.py
+++ b/src/cranecart/routing/_router.py
@@ -10,26 +10,30 @@
 import attrs
 
 from cranecart.clocks import since_boot
-from cranecart.door import (
-    Ask,
+from cranecart.dispatch import (
+    DispatchRequest,
     ForecastErrors,
     Refuse,
-    Standing,
+    ReplicaState,
     decide,
-    return_seconds,
+    spread_retry_after,
 )
 from cranecart.exceptions import NoReplicaError, OverloadedError
 from cranecart.fleet import Fleet, ServingHead
 from cranecart.logs import decision
 from cranecart.models import EngineProfile, RouteConfig
 from cranecart.ports import Incarnation, ListedInstance
-from cranecart.routing._ejection import Ejection
-from cranecart.routing._gaps import GapMeter
-from cranecart.routing._places import Places, Target
-from cranecart.routing._pulse import Pulse
-from cranecart.routing._taking import Named, drawn_taking, taking_now
-from cranecart.routing._wanted import Wanted
-from cranecart.throttling import TargetGate
+from cranecart.routing._availability import (
+    Named,
+    available_targets,
+    draw_available,
+)
+from cranecart.routing._ejection import OutlierEjection
+from cranecart.routing._event_gaps import EventGapTracker
+from cranecart.routing._in_flight import InFlightCounts, Target
+from cranecart.routing._request import RoutingRequest
+from cranecart.routing._stalls import StallDetector
+from cranecart.throttling import TargetThrottle
 
 # So many replicas near and as many far are drawn to decide between; more
 # bring nothing where counts of other nodes are a beat old, and each one that is
@@ -50,7 +54,7 @@
 
 
 @attrs.define
-class HeadRouter:
+class TargetRouter:
     """Routes by the forecast of the first event, or by counts.
 
     ``_elsewhere`` tells the requests that other nodes have at an instance,
@@ -67,19 +71,19 @@
     _tell_broken: Callable[[Incarnation], None] = attrs.field(
         default=_tell_nobody
     )
-    gate: TargetGate = attrs.field(factory=TargetGate)
-    gaps: GapMeter = attrs.field(factory=GapMeter, init=False)
-    pulse: Pulse = attrs.field(init=False)
+    gate: TargetThrottle = attrs.field(factory=TargetThrottle)
+    gaps: EventGapTracker = attrs.field(factory=EventGapTracker, init=False)
+    pulse: StallDetector = attrs.field(init=False)
     errors: ForecastErrors = attrs.field(factory=ForecastErrors, init=False)
-    _ejection: Ejection = attrs.field(
+    _ejection: OutlierEjection = attrs.field(
         factory=functools.partial(
-            Ejection, key=operator.attrgetter('incarnation')
+            OutlierEjection, key=operator.attrgetter('incarnation')
         ),
         init=False,
     )
-    _places: Places = attrs.field(factory=Places, init=False)
+    _places: InFlightCounts = attrs.field(factory=InFlightCounts, init=False)
 
-    def choose(self, wanted: Wanted) -> Target:
+    def choose(self, wanted: RoutingRequest) -> Target:
         """Return where to send.
 
         Raise ``NoReplicaError`` if nowhere, and ``OverloadedError`` where all
@@ -90,7 +94,7 @@
             return self._choose_plain(wanted)
         return self._choose_head(wanted, engine)
 
-    def return_after(self, wanted: Wanted) -> float:
+    def return_after(self, wanted: RoutingRequest) -> float:
         """Return when a client should come back that targets have refused."""
         targets = _targets(
             self._fleet,
@@ -184,15 +188,17 @@
         return self._places.in_flight[name] + self._elsewhere(name)
 
     @pulse.default
-    def _make_pulse(self) -> Pulse:
-        return Pulse(self.gaps.suspect_seconds)
+    def _make_pulse(self) -> StallDetector:
+        return StallDetector(self.gaps.suspect_seconds)
 
-    def _choose_head(self, wanted: Wanted, engine: EngineProfile) -> Target:
+    def _choose_head(
+        self, wanted: RoutingRequest, engine: EngineProfile
+    ) -> Target:
         model = engine.model(wanted.model)
         allowed = self._allowed_heads(wanted)
         if not allowed or model is None:
             raise self._no_replica(wanted)
-        taking, passed_over = drawn_taking(
+        taking, passed_over = draw_available(
             allowed,
             self.gate,
             wanted.rank,
@@ -200,7 +206,7 @@
             functools.partial(_return_after, self._random, wanted),
         )
         heads = {head.id: head for head in self._sound(taking, wanted)}
-        ask = Ask(
+        ask = DispatchRequest(
             wanted.route,
             engine,
             model,
@@ -235,7 +241,7 @@
     def _sound(
         self,
         drawn: Sequence[ServingHead],
-        wanted: Wanted,
+        wanted: RoutingRequest,
     ) -> Sequence[ServingHead]:
         """Leave out replicas in doubt, but where no other is left."""
         good = self._ejection.without_ejected(drawn)
@@ -246,14 +252,16 @@
         ]
         return moving or good
 
-    def _allowed_heads(self, wanted: Wanted) -> Sequence[ServingHead]:
+    def _allowed_heads(self, wanted: RoutingRequest) -> Sequence[ServingHead]:
         heads = self._fleet.heads(wanted.service, wanted.model)
         if not wanted.tried and not wanted.passed_over:
             return heads
         return _allowed(heads, wanted)
 
-    def _standing(self, head: ServingHead, wanted: Wanted) -> Standing:
-        return Standing(
+    def _standing(
+        self, head: ServingHead, wanted: RoutingRequest
+    ) -> ReplicaState:
+        return ReplicaState(
             head.id,
             self.load(head.id),
             self._places.behind[head.id],
@@ -264,7 +272,7 @@
     def _error(self, incarnation: Incarnation, model: str) -> float:
         return self.errors.expected(incarnation, model, self._clock())
 
-    def _no_replica(self, wanted: Wanted) -> NoReplicaError:
+    def _no_replica(self, wanted: RoutingRequest) -> NoReplicaError:
         forms = self._fleet.recorded.is_forming(wanted.service, wanted.model)
         expected = _FORMING_SECONDS if forms else _NOTHING_FORMS_SECONDS
         return NoReplicaError(
@@ -272,14 +280,14 @@
             retry_after=_return_after(self._random, wanted, expected),
         )
 
-    def _choose_plain(self, wanted: Wanted) -> Target:
+    def _choose_plain(self, wanted: RoutingRequest) -> Target:
         allowed = _allowed(self._fleet.plain(wanted.service), wanted)
         if not allowed:
             raise NoReplicaError(
                 f'no instance of {wanted.service!r} serves',
                 retry_after=_NOTHING_FORMS_SECONDS,
             )
-        instances = taking_now(
+        instances = available_targets(
             allowed,
             self.gate,
             wanted.rank,
@@ -330,11 +338,11 @@
 
 def _return_after(
     source: random.Random,
-    wanted: Wanted,
+    wanted: RoutingRequest,
     expected: float,
 ) -> float:
     """Return when a refused client should come back, drawn for it."""
-    return return_seconds(expected, wanted.left_seconds, source.random())
+    return spread_retry_after(expected, wanted.left_seconds, source.random())
 
 
 def _targets(
@@ -352,7 +360,7 @@
     return load >= instance.slots * (1 + _PLAIN_QUEUE_PART)
 
 
-def _allowed(targets: Sequence[Named], wanted: Wanted) -> list[Named]:
+def _allowed(targets: Sequence[Named], wanted: RoutingRequest) -> list[Named]:
     """Leave out those that were tried, and if possible those passed over."""
     left = [one for one in targets if one.id not in wanted.tried]
     good = [one for one in left if one.id not in wanted.passed_over]
--- a/src/cranecart/routing/_pulse.py
+++ b/src/cranecart/routing/_stalls.py
@@ -23,7 +23,7 @@
 
 
 @attrs.define
-class Pulse:
+class StallDetector:
     """When each replica last gave an event, and how many streams are due.
 
     ``_suspect_seconds`` tells how long a stream of a model may be silent.
@@ -35,9 +35,11 @@
     _at: dict[Hashable, float] = attrs.field(factory=dict, init=False)
 
     @contextlib.contextmanager
-    def following(self, name: Hashable) -> Generator['StreamPulse', None, None]:
+    def following(
+        self, name: Hashable
+    ) -> Generator['StreamActivity', None, None]:
         """Follow a stream of an instance; it counts from its first event."""
-        stream = StreamPulse(self, name)
+        stream = StreamActivity(self, name)
         try:
             yield stream
         finally:
@@ -64,10 +66,10 @@
 
 
 @attrs.define
-class StreamPulse:
+class StreamActivity:
     """One stream's part in what is known of its instance."""
 
-    _pulse: Pulse
+    _pulse: StallDetector
     _name: Hashable
     is_due: bool = attrs.field(default=False, init=False)
 
--- a/src/cranecart/selection/_router.py
+++ b/src/cranecart/selection/_router.py
@@ -14,7 +14,7 @@
 )
 from cranecart.instances import Instance
 from cranecart.logs import decision
-from cranecart.routing import Ejection
+from cranecart.routing import OutlierEjection
 from cranecart.selection._policies import Policy, PrefixAffinity, choose
 from cranecart.targets import (
     CompletionCall,
@@ -31,7 +31,9 @@
     _directory: Directory
     _random: random.Random
     _policy: Policy = attrs.field(factory=PrefixAffinity)
-    _ejection: Ejection = attrs.field(factory=Ejection, init=False)
+    _ejection: OutlierEjection = attrs.field(
+        factory=OutlierEjection, init=False
+    )
     _in_flight: Counter[str] = attrs.field(factory=Counter, init=False)
 
     def choose_replica(
--- a/src/cranecart/serving/_holding.py
+++ b/src/cranecart/serving/_holding.py
@@ -9,7 +9,7 @@
 from cranecart.fleet import Fleet
 from cranecart.mesh import Mesh, RequestCases
 from cranecart.ports import Incarnation, Table
-from cranecart.quarantine import CaseNews, HeldRows, RequestGuard, Runner
+from cranecart.quarantine import CaseUpdate, HeldRows, RequestGuard, Runner
 
 
 @attrs.frozen
@@ -30,7 +30,7 @@
     ) -> Self:
         """Know of no request yet."""
 
-        def tell(cases: Sequence[CaseNews]) -> None:  # noqa: WPS430
+        def tell(cases: Sequence[CaseUpdate]) -> None:  # noqa: WPS430
             mesh().tell_all(RequestCases(node_id, list(cases)))
 
         def is_expected(runner: Runner) -> bool:  # noqa: WPS430
--- a/src/cranecart/serving/_making.py
+++ b/src/cranecart/serving/_making.py
@@ -17,9 +17,9 @@
 )
 from cranecart.models import ClientLimits
 from cranecart.ports import Incarnation
-from cranecart.retries import RetryRules
+from cranecart.retries import RetryLimits
 from cranecart.settings import ServingSettings
-from cranecart.throttling import TargetGate
+from cranecart.throttling import TargetThrottle
 from cranecart.transport import PeerTransport
 
 # What machines keep back for files, and what clients get of the rest: each
@@ -63,9 +63,9 @@
     )
 
 
-def retry_rules(settings: ServingSettings) -> RetryRules:
+def retry_rules(settings: ServingSettings) -> RetryLimits:
     """Return how much may be sent again."""
-    return RetryRules(
+    return RetryLimits(
         settings.retry_ratio,
         settings.retry_slack,
         settings.retry_window_seconds,
@@ -76,7 +76,7 @@
     node_id: str,
     fleet: Fleet,
     read_mesh: Callable[[], Mesh],
-) -> TargetGate:
+) -> TargetThrottle:
     """Return what keeps to the words of targets, shared with other nodes."""
 
     def leave(incarnation: Incarnation) -> None:  # noqa: WPS430
@@ -85,7 +85,7 @@
                 Leaving(node_id, incarnation.id, incarnation.born)
             )
 
-    return TargetGate(
+    return TargetThrottle(
         lambda domain, name, most: sharing_node_count(
             read_mesh().circle,
             domain,
--- a/src/cranecart/serving/_node.py
+++ b/src/cranecart/serving/_node.py
@@ -24,7 +24,7 @@
 from cranecart.mesh import Broken, Mesh, MeshCallbacks, Stopped, Suspect
 from cranecart.models import ClientLimits, RouteConfig
 from cranecart.retries import SharedRetryBudget
-from cranecart.routing import HeadRouter
+from cranecart.routing import TargetRouter
 from cranecart.serving._configuration import ForceConfig
 from cranecart.serving._endpoints import (
     MetricsEndpoint,
@@ -73,7 +73,7 @@
         self._demand = DemandMeter()
         self._surroundings = Surroundings.from_settings(settings)
         self._registry = NodeRegistry(settings, self._surroundings.table)
-        self._router = HeadRouter(
+        self._router = TargetRouter(
             self._fleet,
             self._random,
             lambda name: self._mesh.in_flight_elsewhere(name),
--- a/src/cranecart/targets/_calls.py
+++ b/src/cranecart/targets/_calls.py
@@ -6,7 +6,7 @@
 
 from cranecart.clocks import since_boot
 from cranecart.declarations import Priority
-from cranecart.quarantine import identity_of
+from cranecart.quarantine import request_identity
 
 
 @attrs.frozen(kw_only=True)
@@ -37,7 +37,7 @@
     @functools.cached_property
     def identity(self) -> str:
         """Return what all tries of its caller at this call share."""
-        return identity_of(
+        return request_identity(
             self.organisation,
             '',
             '',
--- a/src/cranecart/throttling/__init__.py
+++ b/src/cranecart/throttling/__init__.py
@@ -1,15 +1,15 @@
 """What targets say about the load that they take; no I/O."""
 
-from cranecart.throttling._gate import SharingNodes, TargetGate
-from cranecart.throttling._limits import LimitBook, LimitNews
-from cranecart.throttling._shares import FewNodes, Share, ShareRule
+from cranecart.throttling._limits import LimitRegistry, LimitUpdate
+from cranecart.throttling._shares import FewestNodes, Share, ShareRule
+from cranecart.throttling._throttle import CountSharingNodes, TargetThrottle
 
 __all__ = (
-    'FewNodes',
-    'LimitBook',
-    'LimitNews',
+    'FewestNodes',
+    'LimitRegistry',
+    'LimitUpdate',
     'Share',
     'ShareRule',
-    'SharingNodes',
-    'TargetGate',
+    'CountSharingNodes',
+    'TargetThrottle',
 )
--- a/src/cranecart/throttling/_rests.py
+++ b/src/cranecart/throttling/_backoffs.py
@@ -10,7 +10,7 @@
 
 
 @attrs.define
-class RestBook:
+class BackoffRegistry:
     """The rests that targets have asked this node for, by life.
 
     A later one makes a rest longer and never shorter, as answers pass each
--- a/src/cranecart/throttling/_limits.py
+++ b/src/cranecart/throttling/_limits.py
@@ -24,7 +24,7 @@
 _BELIEVED_SECONDS = 10.0
 
 
-class LimitNews(msgspec.Struct, array_like=True, frozen=True):
+class LimitUpdate(msgspec.Struct, array_like=True, frozen=True):
     """What a node knows of one life's limit, requests a second.
 
     No limit means that it named one before and does so no more.
@@ -40,7 +40,7 @@
         """Return the life that the news is of."""
         return Incarnation(self.instance, self.born)
 
-    def is_after(self, other: 'LimitNews') -> bool:
+    def is_after(self, other: 'LimitUpdate') -> bool:
         """Tell whether this counts and the other does not.
 
         Of two changes that were seen at once, the stricter counts.
@@ -58,7 +58,7 @@
     other nodes said so last at ``heard_at``.
     """
 
-    news: LimitNews
+    news: LimitUpdate
     is_own: bool
     changed_at: float
     named_at: float
@@ -76,7 +76,7 @@
 
 
 @attrs.define
-class LimitBook:
+class LimitRegistry:
     """The limits that are in force, and those that ended lately, by life."""
 
     _clock: Callable[[], float] = since_boot
@@ -90,7 +90,7 @@
         known = self._known.get(incarnation)
         return None if known is None else known.news.per_second
 
-    def in_force(self) -> list[LimitNews]:
+    def in_force(self) -> list[LimitUpdate]:
         """Return the limits that are named now."""
         return [one.news for one in self._known.values() if one.is_in_force]
 
@@ -99,7 +99,7 @@
         incarnation: Incarnation,
         facts: AnswerFacts,
         sent_at: float,
-    ) -> LimitNews | None:
+    ) -> LimitUpdate | None:
         """Take over what an answer names; return what others have to hear.
 
         ``sent_at`` is when the request was sent that it answers.
@@ -119,7 +119,7 @@
             return None
         return self._change(incarnation, known.news.version + 1, facts.limit)
 
-    def note_news(self, news: LimitNews, by: str) -> bool:
+    def note_news(self, news: LimitUpdate, by: str) -> bool:
         """Take over what another node knows; return whether it is new."""
         known = self._known.get(news.incarnation)
         if known is not None and news == known.news:
@@ -133,7 +133,7 @@
         self,
         sends: Collection[Incarnation],
         seconds: float,
-    ) -> list[LimitNews]:
+    ) -> list[LimitUpdate]:
         """Return what this node has to say again.
 
         That is what it ``sends`` by; and of what it was told itself, what has
@@ -166,12 +166,14 @@
         incarnation: Incarnation,
         version: int,
         per_second: float | None,
-    ) -> LimitNews:
-        news = LimitNews(incarnation.id, incarnation.born, version, per_second)
+    ) -> LimitUpdate:
+        news = LimitUpdate(
+            incarnation.id, incarnation.born, version, per_second
+        )
         self._put(news, _ANSWER)
         return news
 
-    def _put(self, news: LimitNews, by: str) -> None:
+    def _put(self, news: LimitUpdate, by: str) -> None:
         now = self._clock()
         known = self._known.get(news.incarnation)
         decision(
@@ -201,7 +203,7 @@
             )
 
 
-def _strictness(news: LimitNews) -> float:
+def _strictness(news: LimitUpdate) -> float:
     return float('inf') if news.per_second is None else news.per_second
 
 
--- a/src/cranecart/throttling/_shares.py
+++ b/src/cranecart/throttling/_shares.py
@@ -48,7 +48,7 @@
         """Return what each of so many nodes may send."""
 
 
-class FewNodes:
+class FewestNodes:
     """As few nodes send as can use the limit."""
 
     def nodes_for(self, limit: float) -> int:
--- a/src/cranecart/throttling/_gate.py
+++ b/src/cranecart/throttling/_throttle.py
@@ -12,10 +12,10 @@
 from cranecart.clocks import since_boot
 from cranecart.logs import decision
 from cranecart.ports import AnswerFacts, Incarnation, ListedInstance
+from cranecart.throttling._backoffs import BackoffRegistry
 from cranecart.throttling._bucket import TokenBucket
-from cranecart.throttling._limits import LimitBook, LimitNews
-from cranecart.throttling._rests import RestBook
-from cranecart.throttling._shares import FewNodes, Share, ShareRule
+from cranecart.throttling._limits import LimitRegistry, LimitUpdate
+from cranecart.throttling._shares import FewestNodes, Share, ShareRule
 
 # How long a node that comes to send in another's place waits before it does:
 # nodes learn of each other within that time, and both would send.
@@ -29,7 +29,7 @@
 
 # Tells how many nodes share a target if this node is one of them, else 0; by
 # failure domain, what tells the target from others, and how many at most.
-SharingNodes = Callable[[str, str, int], int]
+CountSharingNodes = Callable[[str, str, int], int]
 
 
 def _send_alone(_domain: str, _name: str, _most: int) -> int:
@@ -50,7 +50,7 @@
     return False
 
 
-def _tell_nobody(_news: Sequence[LimitNews]) -> None:
+def _tell_nobody(_news: Sequence[LimitUpdate]) -> None:
     """Serve a node without others."""
 
 
@@ -83,7 +83,7 @@
 
 
 @attrs.define
-class TargetGate:
+class TargetThrottle:
     """What may be sent to targets now, as far as they have said.
 
     ``_known`` finds a listed instance by id, ``_tell`` tells all other nodes.
@@ -91,19 +91,19 @@
     which do; the fleet leaves them out itself.
     """
 
-    _sharing_nodes: SharingNodes = attrs.field(default=_send_alone)
+    _sharing_nodes: CountSharingNodes = attrs.field(default=_send_alone)
     _known: Callable[[str], ListedInstance | None] = attrs.field(
         default=_know_nothing,
     )
-    _tell: Callable[[Sequence[LimitNews]], None] = attrs.field(
+    _tell: Callable[[Sequence[LimitUpdate]], None] = attrs.field(
         default=_tell_nobody,
     )
     _leave: Callable[[Incarnation], None] = attrs.field(default=_hear_of_none)
     _is_leaving: Callable[[Incarnation], bool] = attrs.field(default=_has_none)
     _clock: Callable[[], float] = since_boot
-    _rule: ShareRule = attrs.field(factory=FewNodes)
-    _book: LimitBook = attrs.field(init=False)
-    _rests: RestBook = attrs.field(init=False)
+    _rule: ShareRule = attrs.field(factory=FewestNodes)
+    _book: LimitRegistry = attrs.field(init=False)
+    _rests: BackoffRegistry = attrs.field(init=False)
     _parts: dict[Incarnation, _Part] = attrs.field(factory=dict, init=False)
     _repeated_at: float = attrs.field(default=0, init=False)
     _turned_away: int = attrs.field(default=0, init=False)
@@ -132,7 +132,7 @@
             self._put(news)
             self._tell((news,))
 
-    def hear(self, told: Iterable[LimitNews], by: str) -> None:
+    def hear(self, told: Iterable[LimitUpdate], by: str) -> None:
         """Take over what another node knows."""
         for news in told:
             if self._book.note_news(news, by):
@@ -227,14 +227,14 @@
         }
 
     @_rests.default
-    def _make_rests(self) -> RestBook:
-        return RestBook(self._clock)
+    def _make_rests(self) -> BackoffRegistry:
+        return BackoffRegistry(self._clock)
 
     @_book.default
-    def _make_book(self) -> LimitBook:
-        return LimitBook(self._clock)
+    def _make_book(self) -> LimitRegistry:
+        return LimitRegistry(self._clock)
 
-    def _put(self, news: LimitNews) -> None:
+    def _put(self, news: LimitUpdate) -> None:
         if news.per_second is None:
             self._parts.pop(news.incarnation, None)
             return
@@ -249,7 +249,7 @@
             )
         self._tell_share(news.incarnation)
 
-    def _new_part(self, news: LimitNews, now: float) -> _Part:
+    def _new_part(self, news: LimitUpdate, now: float) -> _Part:
         limit = news.per_second or 0
         nodes = self._nodes(news.incarnation, limit)
         share = self._rule.share(limit, max(1, nodes))
--- a/tests/lib/hail.py
+++ b/tests/lib/crash_simulation.py
@@ -3,7 +3,7 @@
 A model in simulated time: requests wait at a target, begin, run, and move when
 it ends; all evidence is seen, and all nodes know the same at once, which is the
 worst for those who are there by chance. Usage, by hand:
-python -m tests.lib.hail DAYS
+python -m tests.lib.crash_simulation DAYS
 """
 
 import heapq
@@ -16,7 +16,7 @@
 import attrs
 
 from cranecart.ports import Incarnation
-from cranecart.quarantine import CaseBook, CaseNews, End, Standing
+from cranecart.quarantine import CaseRegistry, CaseUpdate, Termination, Verdict
 
 _DAY_SECONDS = 60.0
 # Streams on the users' sheets: some tenths of a second of waiting, a second of
@@ -59,7 +59,7 @@
 
 
 @attrs.define
-class Hail:
+class CrashSimulation:
     """One drawn day."""
 
     replicas: int
@@ -74,7 +74,7 @@
     refused_cause: int = 0
     _now: float = 0
     _random: random.Random = attrs.field(init=False)
-    _book: CaseBook = attrs.field(init=False)
+    _book: CaseRegistry = attrs.field(init=False)
     _spots: list[Spot] = attrs.field(init=False)
     _due: list[_Due] = attrs.field(
         factory=list,
@@ -88,10 +88,10 @@
     def __attrs_post_init__(self) -> None:
         """Draw nothing yet."""
         self._random = random.Random(self.seed)
-        self._book = CaseBook(lambda: self._now)
+        self._book = CaseRegistry(lambda: self._now)
         self._spots = [Spot(number) for number in range(self.replicas)]
 
-    def play(self) -> 'Hail':
+    def play(self) -> 'CrashSimulation':
         """Play the day."""
         self._arrive()
         self._strike()
@@ -133,7 +133,7 @@
 
     def _send(self, one: Asked) -> None:
         standing = self._book.standing(one.name)
-        if standing is Standing.HELD:
+        if standing is Verdict.HELD:
             self.held_by_chance += not one.is_cause
             self.refused_cause += one.is_cause
             return
@@ -150,11 +150,11 @@
             lambda: self._begin(one, stay, spot),
         )
 
-    def _choose(self, standing: Standing) -> Spot | None:
+    def _choose(self, standing: Verdict) -> Spot | None:
         up = [spot for spot in self._spots if spot.is_up]
-        suspects = standing in {Standing.SUSPECT, Standing.APART}
+        suspects = standing in {Verdict.SUSPECT, Verdict.APART}
         shunned = (
-            {Standing.SUSPECT, Standing.APART} if suspects else {Standing.APART}
+            {Verdict.SUSPECT, Verdict.APART} if suspects else {Verdict.APART}
         )
         good = [
             spot
@@ -208,11 +208,11 @@
         begun = one.begun_at is not None
         ran = 0 if one.begun_at is None else self._now - one.begun_at
         if ran <= _BEGIN_SECONDS:
-            news = CaseNews(one.name, (End(life, begun),))
+            news = CaseUpdate(one.name, (Termination(life, begun),))
             seconds = _BACK_SECONDS if self.tells_late else 0
             self._at(seconds, lambda: self._hear(news))
 
-    def _hear(self, news: CaseNews) -> None:
+    def _hear(self, news: CaseUpdate) -> None:
         self._book.take(news, is_own=True)
 
     def _back(self, spot: Spot) -> None:
@@ -226,7 +226,7 @@
     for replicas, has_cause, tells_late in kinds:
         rate = 1.0 if replicas > 8 else 0.4
         played = [
-            Hail(replicas, seed, rate, has_cause, tells_late).play()
+            CrashSimulation(replicas, seed, rate, has_cause, tells_late).play()
             for seed in range(days)
         ]
         ends = [one.cause_ends for one in played]
--- a/tests/lib/ending_targets.py
+++ b/tests/lib/crashing_targets.py
@@ -13,7 +13,7 @@
 from cranecart.fleet import ReplicaRecord
 from cranecart.http import Address
 from cranecart.ports import MemberPhase, Membership
-from cranecart.quarantine import CaseNews
+from cranecart.quarantine import CaseUpdate
 from tests.lib.fake_targets import (
     ENGINES,
     MODEL,
@@ -32,7 +32,7 @@
 _EVENT_SECONDS = 0.02
 
 
-class EndingTarget(FakeTarget):
+class CrashingTarget(FakeTarget):
     """A target that ends as it begins a marked request, and comes back.
 
     One that is ``mute`` ends before a byte of an answer; before one that
@@ -187,7 +187,7 @@
         self._service = service
         self.is_plain = service != ENGINES
         self.targets = [
-            EndingTarget(f'i{number}', self, **kind)
+            CrashingTarget(f'i{number}', self, **kind)
             for number in range(targets)
         ]
         self.nodes = [self.new_node(number) for number in range(nodes)]
@@ -223,15 +223,15 @@
         node.server.open()
         return await curio.spawn(node.server.run, daemon=True)
 
-    def note_end(self, _target: EndingTarget) -> None:
+    def note_end(self, _target: CrashingTarget) -> None:
         """Take over that a target has ended."""
         self.ends.append(time.monotonic())
 
-    def note_sent(self, _target: EndingTarget, is_marked: bool) -> None:
+    def note_sent(self, _target: CrashingTarget, is_marked: bool) -> None:
         """Take over that a request came to a target."""
         self.sent.append(Sent(time.monotonic(), is_marked))
 
-    def list_anew(self, target: EndingTarget) -> None:
+    def list_anew(self, target: CrashingTarget) -> None:
         """Tell all nodes of a target's next life."""
         for node in self.nodes:
             self._list(node, target)
@@ -251,14 +251,14 @@
         come = sum(one.is_marked and one.at <= decided_at for one in self.sent)
         return come - ends
 
-    def _tell(self, teller: GatewayWorld, cases: Sequence[CaseNews]) -> None:
+    def _tell(self, teller: GatewayWorld, cases: Sequence[CaseUpdate]) -> None:
         """Pass news on to the other nodes."""
         for node in self.nodes:
             if node is not teller and node not in self.cut_off:
                 for news in cases:
                     node.guard.hear(news, 'another node')
 
-    def _list(self, node: GatewayWorld, target: EndingTarget) -> None:
+    def _list(self, node: GatewayWorld, target: CrashingTarget) -> None:
         name = target.name
         if self._renamed:
             name = f'{name}-{target.incarnations}'
--- a/tests/lib/fake_targets.py
+++ b/tests/lib/fake_targets.py
@@ -37,10 +37,10 @@
 )
 from cranecart.platform import PlatformCallForm
 from cranecart.ports import Incarnation, ListedInstance, MemberPhase, Membership
-from cranecart.quarantine import CaseNews, RequestGuard
-from cranecart.retries import RetryRules, SharedRetryBudget
-from cranecart.routing import HeadRouter
-from cranecart.throttling import LimitNews, SharingNodes, TargetGate
+from cranecart.quarantine import CaseUpdate, RequestGuard
+from cranecart.retries import RetryLimits, SharedRetryBudget
+from cranecart.routing import TargetRouter
+from cranecart.throttling import CountSharingNodes, LimitUpdate, TargetThrottle
 
 ENGINES = 'drafts'
 PLAIN = 'crew'
@@ -303,10 +303,10 @@
         # Instances that all nodes were told to pass over.
         self.told_broken: list[str] = []
         # How a test has this node share targets with others, and tell them.
-        self.sharing_node_count: SharingNodes = _send_alone
-        self.tell_limits: Callable[[Sequence[LimitNews]], None] = _tell_nobody
+        self.sharing_node_count: CountSharingNodes = _send_alone
+        self.tell_limits: Callable[[Sequence[LimitUpdate]], None] = _tell_nobody
         self.tell_leaving: Callable[[Incarnation], None] = _tell_nobody
-        self.router = HeadRouter(
+        self.router = TargetRouter(
             self.fleet,
             source,
             lambda _name: 0,
@@ -319,7 +319,7 @@
         )
         self.connections = TargetConnections()
         # Told of requests that end targets.
-        self.tell: Callable[[Sequence[CaseNews]], None] = _tell_nobody
+        self.tell: Callable[[Sequence[CaseUpdate]], None] = _tell_nobody
         self.guard = RequestGuard(
             lambda one: one.id not in self.fleet.instances,
             lambda cases: self.tell(cases),
@@ -335,7 +335,7 @@
                 self._note_evidence,
             ),
             SharedRetryBudget(
-                RetryRules(retries / 500, retries, 10), lambda: 1
+                RetryLimits(retries / 500, retries, 10), lambda: 1
             ),
             self.guard,
             source,
@@ -383,8 +383,8 @@
         gone = attrs.evolve(known, address=Address(known.address.host, 1))
         self.fleet.take_instances({name: gone}, False)
 
-    def _gate(self) -> TargetGate:
-        return TargetGate(
+    def _gate(self) -> TargetThrottle:
+        return TargetThrottle(
             lambda domain, name, most: self.sharing_node_count(
                 domain, name, most
             ),
--- a/tests/lib/limit_world.py
+++ b/tests/lib/limit_simulation.py
@@ -2,7 +2,7 @@
 
 The books and buckets are the product's; who lives is seen late, news may be
 lost, and requests arrive later than they were sent. Usage, by hand, for a table
-of the ways to divide a limit: python -m tests.lib.limit_world
+of the ways to divide a limit: python -m tests.lib.limit_simulation
 """
 
 import functools
@@ -17,11 +17,11 @@
 from cranecart.mesh._rendezvous import first_names
 from cranecart.ports import AnswerFacts, Incarnation
 from cranecart.throttling import (
-    FewNodes,
-    LimitNews,
+    FewestNodes,
+    LimitUpdate,
     Share,
     ShareRule,
-    TargetGate,
+    TargetThrottle,
 )
 from tests.lib.spans import most_in_span
 
@@ -65,7 +65,7 @@
         return Share(limit / nodes, 1)
 
 
-class OneNode(FewNodes):
+class OneNode(FewestNodes):
     """The other way not taken: one node sends all."""
 
     def nodes_for(self, _limit: float) -> int:
@@ -79,7 +79,7 @@
 
     name: str
     domain: int
-    gate: TargetGate
+    gate: TargetThrottle
     lag: float
     is_alive: bool = True
     is_cut: bool = False
@@ -87,7 +87,7 @@
     told_at: float | None = None
 
 
-class LimitWorld:
+class LimitSimulation:
     """A target that names a limit from the start, and the nodes before it."""
 
     def __init__(
@@ -105,7 +105,7 @@
         self.arrivals: list[tuple[float, str]] = []
         # Nodes that the others do not hear now, though they live.
         self.hidden: set[str] = set()
-        self._rule = rule or FewNodes()
+        self._rule = rule or FewestNodes()
         self._random = random.Random(seed)
         self._numbers: Iterator[int] = itertools.count()
         self._due: list[_Due] = []
@@ -128,7 +128,7 @@
     def start(self, name: str, domain: int = 0) -> None:
         """Start a node, anew if there was one of that name."""
         lag = self._random.uniform(_LEAST_LAG_SECONDS, _MOST_LAG_SECONDS)
-        gate = TargetGate(
+        gate = TargetThrottle(
             lambda _domain, _name, most: self._sharing_nodes(name, most),
             tell=lambda told: self._tell(node, told),
             clock=lambda: self.now,
@@ -205,7 +205,7 @@
             names for since, names in reversed(self._lived) if since <= at
         )
 
-    def _tell(self, teller: Node, told: Sequence[LimitNews]) -> None:
+    def _tell(self, teller: Node, told: Sequence[LimitUpdate]) -> None:
         for node in self._alive():
             if node is teller or node.is_cut or teller.is_cut:
                 continue
@@ -252,7 +252,7 @@
 
 def _main() -> None:
     """Print what each way lets through, beside the aim."""
-    rules: tuple[ShareRule, ...] = (DividedByAll(), OneNode(), FewNodes())
+    rules: tuple[ShareRule, ...] = (DividedByAll(), OneNode(), FewestNodes())
     for nodes, limit in itertools.product(
         (4, 9, 30, 78, 300),
         (0.3, 1.4, 2.0, 5.0, 10.0, 50.0),
@@ -268,7 +268,7 @@
 
 def _measured(nodes: int, limit: float, rule: ShareRule) -> tuple[int, float]:
     seconds = max(30, 20 / limit)
-    world = LimitWorld(nodes, limit, rule=rule)
+    world = LimitSimulation(nodes, limit, rule=rule)
     world.run(RULE_BEGINS_SECONDS + seconds)
     return (
         world.most_in_span(RULE_BEGINS_SECONDS),
--- a/tests/lib/simulated_cluster.py
+++ b/tests/lib/simulated_cluster.py
@@ -21,8 +21,8 @@
 from cranecart.mesh._sender import MessageSender
 from cranecart.mesh._state import MeshState
 from cranecart.models import RouteConfig
-from cranecart.quarantine import CaseBook
-from cranecart.throttling import LimitNews
+from cranecart.quarantine import CaseRegistry
+from cranecart.throttling import LimitUpdate
 from cranecart.transport import PeerTransport
 
 BEAT_SECONDS = 0.25
@@ -155,9 +155,9 @@
     stopped: set[str]
     versions: list[int]
     configs: list[RouteConfig]
-    book: CaseBook
+    book: CaseRegistry
     broken: set[str]
-    limits: list[LimitNews]
+    limits: list[LimitUpdate]
     leaving: set[str]
     cluster: SimulatedCluster
 
@@ -171,9 +171,9 @@
         stopped: set[str] = set()
         versions: list[int] = []
         configs: list[RouteConfig] = []
-        book = CaseBook(lambda: cluster.now)
+        book = CaseRegistry(lambda: cluster.now)
         broken: set[str] = set()
-        limits: list[LimitNews] = []
+        limits: list[LimitUpdate] = []
         leaving: set[str] = set()
         events = MeshCallbacks(
             lambda message: stopped.add(message.replica),
--- a/tests/lib/store_rig.py
+++ b/tests/lib/store_rig.py
@@ -39,7 +39,7 @@
     PlatformTargetList,
     StoreClient,
 )
-from cranecart.quarantine import CaseBook, HeldRows
+from cranecart.quarantine import CaseRegistry, HeldRows
 from cranecart.serving._configuration import ForceConfig
 from cranecart.serving._knowledge import Knowledge, RowTaker
 from cranecart.serving._surroundings import Surroundings
@@ -140,7 +140,7 @@
     config: ForceConfig
     fleet: Fleet
     held: HeldRows
-    book: CaseBook
+    book: CaseRegistry
     mesh: Mesh
     knowledge: Knowledge
 
@@ -151,7 +151,7 @@
         surroundings = _surroundings(gate)
         config = ForceConfig()
         fleet = Fleet()
-        book = CaseBook()
+        book = CaseRegistry()
         held = HeldRows(name, surroundings.table, book)
 
         def renew_own() -> None:  # noqa: WPS430
--- a/tests/lib/speaking_targets.py
+++ b/tests/lib/throttling_targets.py
@@ -12,7 +12,7 @@
 from cranecart.exceptions import HttpError
 from cranecart.fleet import note_leaving
 from cranecart.ports import Incarnation
-from cranecart.throttling import LimitNews
+from cranecart.throttling import LimitUpdate
 from tests.lib.fake_targets import (
     ENGINES,
     PLAIN,
@@ -61,7 +61,7 @@
     words: Words
 
 
-class SpeakingDeployment:
+class ThrottlingDeployment:
     """Nodes before the same targets, in one event loop."""
 
     def __init__(
@@ -92,7 +92,7 @@
 
     async def run(
         self,
-        play: Callable[['SpeakingDeployment'], Awaitable[None]],
+        play: Callable[['ThrottlingDeployment'], Awaitable[None]],
     ) -> None:
         """Run everything while a play lasts."""
         tasks = [await curio.spawn(target.run) for target in self.targets]
@@ -222,7 +222,7 @@
         turn = (number - zlib.crc32(name.encode())) % count
         return min(most, count) if turn < most else 0
 
-    def _tell_limits(self, teller: int, told: Sequence[LimitNews]) -> None:
+    def _tell_limits(self, teller: int, told: Sequence[LimitUpdate]) -> None:
         for node in self._others(teller):
             node.router.gate.hear(told, f'node-{teller}')
 
--- a/tests/unit/test_broken_plain.py
+++ b/tests/unit/test_broken_plain_instances.py
@@ -11,7 +11,7 @@
 import curio
 
 from cranecart.ports import Incarnation
-from cranecart.routing import Ejection, Wanted
+from cranecart.routing import OutlierEjection, RoutingRequest
 from tests.lib.fake_targets import CONFIG, PLAIN, Exchange, GatewayWorld
 from tools.bench import _plain
 
@@ -53,7 +53,7 @@
         world = GatewayWorld(_whole, _whole, service=PLAIN)
         first, second = world.fleet.plain(PLAIN)
         world.router.pass_over(second.incarnation)
-        call = Wanted(CONFIG, CONFIG.routes[0], PLAIN, '', 0, 2)
+        call = RoutingRequest(CONFIG, CONFIG.routes[0], PLAIN, '', 0, 2)
         for _held in range(first.slots * 3):
             self.assertIs(world.router.choose(call).instance, first)
             world.router.counts()[first.id] += 1
@@ -75,7 +75,7 @@
     def test_it_is_tried_again_after_a_second(self) -> None:
         """What it broke once does not keep it out."""
         clock = mock.Mock(return_value=5)
-        ejection = Ejection(clock)
+        ejection = OutlierEjection(clock)
         ejection.pass_over(Incarnation('a'))
         self.assertTrue(ejection.is_out(Incarnation('a')))
         clock.return_value = 6.1
--- a/tests/unit/test_hail.py
+++ b/tests/unit/test_crash_simulation.py
@@ -3,28 +3,30 @@
 import statistics
 import unittest
 
-from tests.lib.hail import Hail
+from tests.lib.crash_simulation import CrashSimulation
 
 _DAYS = 8
 _MOST_ENDS = 6
 
 
 class HailTest(unittest.TestCase):
-    """Drawn days; a thousand of them by ``python -m tests.lib.hail 1000``."""
+    """Drawn days; a thousand of them by ``python -m tests.lib.crash_simulation 1000``."""
 
     def test_without_a_cause(self) -> None:
         """A target ends each second of a hundred, or each 2.5 s of eight."""
         for replicas, rate in ((100, 1.0), (8, 0.4)):
             for seed in range(_DAYS // 2):
                 with self.subTest(replicas=replicas, seed=seed):
-                    day = Hail(replicas, seed, rate, has_cause=False).play()
+                    day = CrashSimulation(
+                        replicas, seed, rate, has_cause=False
+                    ).play()
                     self.assertEqual(day.held_by_chance, 0)
 
     def test_ends_that_show_late(self) -> None:
         """Nobody is held who was there by chance, beside a cause or not."""
         for seed in range(_DAYS):
             with self.subTest(seed=seed):
-                day = Hail(
+                day = CrashSimulation(
                     8,
                     seed,
                     0.4,
@@ -36,7 +38,8 @@
     def test_with_a_cause(self) -> None:
         """It is held after a few ends, and nobody with it."""
         days = [
-            Hail(8, seed, 0.4, has_cause=True).play() for seed in range(_DAYS)
+            CrashSimulation(8, seed, 0.4, has_cause=True).play()
+            for seed in range(_DAYS)
         ]
         ends = [day.cause_ends for day in days]
         self.assertLessEqual(statistics.median(ends), 5)
--- a/tests/unit/test_ending_requests.py
+++ b/tests/unit/test_crashing_requests.py
@@ -17,8 +17,8 @@
 
 import curio
 
-from cranecart.quarantine import CaseNews, HeldRows
-from tests.lib.ending_targets import MARK, Deployment, ask_in_turn
+from cranecart.quarantine import CaseUpdate, HeldRows
+from tests.lib.crashing_targets import MARK, Deployment, ask_in_turn
 from tests.lib.fake_platform import FakePlatform
 from tests.lib.fake_targets import PLAIN, ClientAnswer, GatewayWorld
 
@@ -211,7 +211,7 @@
         await curio.sleep(0.2)
 
 
-def _tell_nobody(_cases: Sequence[CaseNews]) -> None:
+def _tell_nobody(_cases: Sequence[CaseUpdate]) -> None:
     """Reach no other node."""
 
 
--- a/tests/unit/test_door.py
+++ b/tests/unit/test_dispatch.py
@@ -6,15 +6,15 @@
 
 import attrs
 
-from cranecart.door import (
-    Ask,
+from cranecart.dispatch import (
+    ClientRetryDetector,
+    DispatchRequest,
     ForecastErrors,
     Refuse,
-    Returns,
+    ReplicaState,
     Send,
-    Standing,
     decide,
-    return_seconds,
+    spread_retry_after,
 )
 from cranecart.emulation import Burst, Death, Engine
 from tools.engine_loads import (
@@ -27,7 +27,7 @@
     worth,
 )
 
-_ASK = Ask(route(), PROFILE, SMALL, 600, 0, 6, 0.065)
+_ASK = DispatchRequest(route(), PROFILE, SMALL, 600, 0, 6, 0.065)
 _DECISIONS = 200
 
 
@@ -36,38 +36,42 @@
 
     def test_a_free_replica_is_in_time(self) -> None:
         """Whatever another one has."""
-        chosen = decide(_ASK, [Standing('full', 20), Standing('free', 2)])
+        chosen = decide(
+            _ASK, [ReplicaState('full', 20), ReplicaState('free', 2)]
+        )
         self.assertEqual(_name(chosen), 'free')
         self.assertFalse(chosen.is_late)  # type: ignore[union-attr]
 
     def test_a_slow_one_is_passed_over(self) -> None:
         """What came late from it counts more than its numbers."""
-        slow = Standing('slow', 0, error_seconds=0.5)
-        self.assertEqual(_name(decide(_ASK, [slow, Standing('ok', 9)])), 'ok')
+        slow = ReplicaState('slow', 0, error_seconds=0.5)
+        self.assertEqual(
+            _name(decide(_ASK, [slow, ReplicaState('ok', 9)])), 'ok'
+        )
 
     def test_a_near_one_is_preferred_to_a_little_quicker_one(self) -> None:
         """But not if it is full."""
-        far = Standing('far', 0, is_near=False)
+        far = ReplicaState('far', 0, is_near=False)
         self.assertEqual(
-            _name(decide(_ASK, [far, Standing('near', 9)])), 'near'
+            _name(decide(_ASK, [far, ReplicaState('near', 9)])), 'near'
         )
         self.assertEqual(
-            _name(decide(_ASK, [far, Standing('near', 16)])), 'far'
+            _name(decide(_ASK, [far, ReplicaState('near', 16)])), 'far'
         )
 
     def test_what_is_late_lets_others_pass(self) -> None:
         """It waits as long as its client does."""
-        chosen = decide(_ASK, [Standing('full', 22)])
+        chosen = decide(_ASK, [ReplicaState('full', 22)])
         self.assertTrue(isinstance(chosen, Send) and chosen.is_late)
 
     def test_what_cannot_be_served_is_refused_at_once(self) -> None:
         """With the time after which it could be."""
-        chosen = decide(_ASK, [Standing('full', 18, behind=60)])
+        chosen = decide(_ASK, [ReplicaState('full', 18, behind=60)])
         self.assertTrue(isinstance(chosen, Refuse) and chosen.seconds > 0)
 
     def test_one_that_came_back_is_refused_later_than_a_new_one(self) -> None:
         """It has waited already, and this is its last try."""
-        late = [Standing('full', 18, behind=20)]
+        late = [ReplicaState('full', 18, behind=20)]
         self.assertIsInstance(decide(_ASK, late), Refuse)
         back = attrs.evolve(_ASK, elapsed_seconds=1, has_returned=True)
         self.assertIsInstance(decide(back, late), Send)
@@ -75,14 +79,15 @@
     def test_a_stream_that_moves_is_never_refused(self) -> None:
         """Its client has a part of the answer already."""
         begun = attrs.evolve(_ASK, has_begun=True, elapsed_seconds=3)
-        chosen = decide(begun, [Standing('full', 40)])
+        chosen = decide(begun, [ReplicaState('full', 40)])
         self.assertTrue(isinstance(chosen, Send) and not chosen.is_late)
 
     def test_a_decision_is_quick(self) -> None:
         """Under 50 us at 50 replicas and 200 us at 760 alone on a machine."""
         for replicas, seconds in ((50, 0.0005), (760, 0.006)):
             standings = [
-                Standing(f'r{number}', number % 9) for number in range(replicas)
+                ReplicaState(f'r{number}', number % 9)
+                for number in range(replicas)
             ]
             started = time.perf_counter()
             for _decision in range(_DECISIONS):
@@ -96,7 +101,7 @@
 
     def test_a_shorter_deadline_while_requests_are_refused(self) -> None:
         """What is missing of it is how long ago its client first asked."""
-        returns = Returns()
+        returns = ClientRetryDetector()
         self.assertEqual(returns.elapsed_seconds('r', 6, 10), 0)
         self.assertEqual(returns.elapsed_seconds('r', 5.5, 10), 0)
         returns.note_refused('r', 10)
@@ -106,9 +111,9 @@
 
     def test_times_are_spread_and_heeded(self) -> None:
         """A third of what a client has left is the most that it heeds."""
-        early, late = (return_seconds(0.4, 6, drawn) for drawn in (0, 1))
+        early, late = (spread_retry_after(0.4, 6, drawn) for drawn in (0, 1))
         self.assertLess(early, late)
-        self.assertLessEqual(return_seconds(5, 3, 1), 1)
+        self.assertLessEqual(spread_retry_after(5, 3, 1), 1)
 
 
 class ForecastErrorsTest(unittest.TestCase):
--- a/tests/unit/test_gaps.py
+++ b/tests/unit/test_event_gaps.py
@@ -6,10 +6,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cranecart.routing._gaps import GapMeter
+from cranecart.routing._event_gaps import EventGapTracker
 
 
-def _note(meter: GapMeter, model: str, gap: float, times: int) -> None:
+def _note(meter: EventGapTracker, model: str, gap: float, times: int) -> None:
     for one in itertools.repeat(gap, times):
         meter.note(model, one)
 
@@ -19,7 +19,7 @@
 
     def test_quick_models_are_looked_at_earlier(self) -> None:
         """Each model has its own bound."""
-        meter = GapMeter()
+        meter = EventGapTracker()
         _note(meter, 'quick', 0.03, 100)
         _note(meter, 'slow', 0.13, 100)
         self.assertLess(meter.suspect_seconds('quick'), 0.1)
@@ -27,7 +27,7 @@
 
     def test_one_long_gap_changes_little(self) -> None:
         """A single stall does not make a node blind to the next one."""
-        meter = GapMeter()
+        meter = EventGapTracker()
         _note(meter, 'm', 0.04, 300)
         _note(meter, 'm', 3, 1)
         _note(meter, 'm', 0.04, 50)
@@ -36,7 +36,7 @@
     @given(st.lists(st.floats(0, 30), max_size=120))
     def test_always_within_bounds(self, gaps: list[float]) -> None:
         """Whatever comes, a stopped replica is looked at within 0.2 s."""
-        meter = GapMeter()
+        meter = EventGapTracker()
         for gap in gaps:
             meter.note('m', gap)
         self.assertLessEqual(meter.suspect_seconds('m'), 0.2)
--- a/tests/unit/test_leaving_targets.py
+++ b/tests/unit/test_leaving_targets.py
@@ -10,7 +10,7 @@
 from cranecart.exceptions import HistoryLostError, PlatformUnavailableError
 from cranecart.fleet import News, SourceFollower
 from cranecart.ports import Changes, ListedInstance, Snapshot
-from cranecart.routing import Wanted
+from cranecart.routing import RoutingRequest
 from tests.lib.fake_targets import CONFIG, ENGINES, MODEL, PLAIN, GatewayWorld
 from tests.lib.waiting import until
 
@@ -108,7 +108,7 @@
             if one.shares[0].service == self.service
         )
         model = MODEL if self.service == ENGINES else ''
-        wanted = Wanted(CONFIG, route, self.service, model, 100, 2)
+        wanted = RoutingRequest(CONFIG, route, self.service, model, 100, 2)
         return {self.router.choose(wanted).instance.id for _ in range(_CHOICES)}
 
 
--- a/tests/unit/test_limit_book.py
+++ b/tests/unit/test_limit_registry.py
@@ -8,14 +8,14 @@
 from hypothesis import strategies as st
 
 from cranecart.ports import AnswerFacts, Incarnation
-from cranecart.throttling import LimitBook, LimitNews
+from cranecart.throttling import LimitRegistry, LimitUpdate
 
 _LIFE = Incarnation('i1', 7)
 _PLAIN = AnswerFacts('r1', True, False)
 
 _NEWS = st.lists(
     st.builds(
-        LimitNews,
+        LimitUpdate,
         st.just(_LIFE.id),
         st.just(_LIFE.born),
         st.integers(1, 4),
@@ -35,7 +35,7 @@
     def setUp(self) -> None:
         """Know nothing."""
         self.now = float(10)
-        self.book = LimitBook(self.clock)
+        self.book = LimitRegistry(self.clock)
 
     def clock(self) -> float:
         """Return what the test has turned the clock to."""
@@ -48,11 +48,11 @@
     def test_an_answer_names_a_limit(self) -> None:
         """It is news once, and again when it changes."""
         first = self.book.note_answer(_LIFE, _naming(2.0), 9.9)
-        self.assertEqual(first, LimitNews('i1', 7, 1, 2.0))
+        self.assertEqual(first, LimitUpdate('i1', 7, 1, 2.0))
         again = self.book.note_answer(_LIFE, _naming(2.0), 9.95)
         self.assertIsNone(again)
         changed = self.book.note_answer(_LIFE, _naming(1.4), 9.95)
-        self.assertEqual(changed, LimitNews('i1', 7, 2, 1.4))
+        self.assertEqual(changed, LimitUpdate('i1', 7, 2, 1.4))
 
     def test_one_without_lifts_it(self) -> None:
         """But only if its request was sent after it had been named."""
@@ -101,12 +101,12 @@
     @given(_NEWS)
     def test_order_and_repeats_do_not_matter(
         self,
-        news: list[LimitNews],
+        news: list[LimitUpdate],
     ) -> None:
         """All nodes that hear the same believe the same."""
         believed = set()
         for order in itertools.islice(itertools.permutations(news), 24):
-            book = LimitBook(self.clock)
+            book = LimitRegistry(self.clock)
             for one in (*order, *order):
                 book.note_news(one, 'n2')
             believed.add(tuple(book.in_force()))
--- a/tests/unit/test_limit_shares.py
+++ b/tests/unit/test_limit_shares.py
@@ -7,11 +7,11 @@
 import itertools
 import unittest
 
-from tests.lib.limit_world import (
+from tests.lib.limit_simulation import (
     MOST_EXTRA,
     RULE_BEGINS_SECONDS,
     SPAN_SECONDS,
-    LimitWorld,
+    LimitSimulation,
 )
 
 _NODES = (4, 9, 30, 78, 300)
@@ -36,7 +36,7 @@
         """The limit is kept, and used."""
         for nodes, limit in itertools.product(_NODES, _LIMITS):
             with self.subTest(nodes=nodes, limit=limit):
-                world = LimitWorld(nodes, limit)
+                world = LimitSimulation(nodes, limit)
                 world.run(RULE_BEGINS_SECONDS + _PLAY_SECONDS)
                 most = world.most_in_span(RULE_BEGINS_SECONDS)
                 self.assertLessEqual(most, _allowed(limit))
@@ -47,7 +47,7 @@
         """Where several nodes share one."""
         for nodes in _NODES:
             with self.subTest(nodes=nodes):
-                world = LimitWorld(nodes, 50)
+                world = LimitSimulation(nodes, 50)
                 world.run(RULE_BEGINS_SECONDS + SPAN_SECONDS)
                 most = world.most_in_span(RULE_BEGINS_SECONDS)
                 self.assertLessEqual(most, _allowed(50))
@@ -55,7 +55,7 @@
     def test_a_surge_at_all_nodes(self) -> None:
         """Ten times the load changes nothing for the target."""
         for nodes in (4, 30):
-            world = LimitWorld(nodes, 1.4)
+            world = LimitSimulation(nodes, 1.4)
             world.run(RULE_BEGINS_SECONDS)
             world.per_second *= 10
             world.run(_PLAY_SECONDS)
@@ -65,7 +65,7 @@
     def test_a_sender_dies(self) -> None:
         """Another takes its place, and no span holds both."""
         for seed, nodes in itertools.product(range(5), (4, 9, 30)):
-            world = LimitWorld(nodes, 2, seed=seed)
+            world = LimitSimulation(nodes, 2, seed=seed)
             world.run(6)
             for name in world.senders():
                 world.stop(name)
@@ -78,7 +78,7 @@
         """Whoever comes first in the ranking then waits before it sends."""
         for seed, nodes in itertools.product(range(8), (4, 9)):
             for limit in (2, 7):
-                world = LimitWorld(nodes, limit, seed=seed)
+                world = LimitSimulation(nodes, limit, seed=seed)
                 world.run(6)
                 for number in range(6):
                     world.start(f'new-{number}')
@@ -92,7 +92,7 @@
     def test_a_sender_restarts(self) -> None:
         """What it sends before it knows is its own; the others keep to it."""
         for seed in range(5):
-            world = LimitWorld(9, 2, seed=seed)
+            world = LimitSimulation(9, 2, seed=seed)
             world.run(6)
             sender = world.senders()[0]
             world.stop(sender)
@@ -107,7 +107,7 @@
     def test_a_node_that_hears_no_other(self) -> None:
         """It keeps to the limit too; the others are not affected."""
         for seed in range(5):
-            world = LimitWorld(9, 2, seed=seed)
+            world = LimitSimulation(9, 2, seed=seed)
             world.run(4)
             cut = world.nodes['node-003']
             cut.is_cut = True
@@ -119,7 +119,7 @@
     def test_a_sender_is_not_heard_for_a_moment(self) -> None:
         """Who would take its place has not waited long enough to send."""
         for seed, nodes in itertools.product(range(5), (9, 30)):
-            world = LimitWorld(nodes, 5, seed=seed)
+            world = LimitSimulation(nodes, 5, seed=seed)
             world.run(4)
             for _turn in range(6):
                 world.hidden = set(world.senders())
@@ -131,7 +131,7 @@
 
     def test_a_limit_ends(self) -> None:
         """One answer without it, and all nodes send again."""
-        world = LimitWorld(9, 1.4)
+        world = LimitSimulation(9, 1.4)
         world.run(6)
         world.limit = None
         world.run(_KNOWN_SECONDS)
@@ -141,7 +141,7 @@
 
     def test_a_target_that_takes_nothing(self) -> None:
         """It is asked now and then, or nobody would learn of the end."""
-        world = LimitWorld(9, 0)
+        world = LimitSimulation(9, 0)
         world.run(30)
         self.assertLessEqual(world.most_in_span(RULE_BEGINS_SECONDS), 2)
         world.limit = None
--- a/tests/unit/test_limits.py
+++ b/tests/unit/test_limits.py
@@ -9,7 +9,7 @@
 
 from cranecart.declarations import LimitsSpec, OrganisationSpec, Priority
 from cranecart.exceptions import LimitedError, OverloadedError
-from cranecart.limits import Admission, Capacity, Shares, TokenRates
+from cranecart.limits import Admission, Capacity, LimitShares, TokenRateLimiter
 from cranecart.retries import RetryBudget
 
 _NAME = 'o'
@@ -33,7 +33,7 @@
     def __init__(self, limit: int = 0) -> None:
         self.limit = limit
         self.clock = _Clock()
-        self.nodes = [Shares(self.clock) for _ in range(_NODES)]
+        self.nodes = [LimitShares(self.clock) for _ in range(_NODES)]
         self.demands = list(itertools.repeat(0, _NODES))
         for one, other in itertools.permutations(range(_NODES), 2):
             self.nodes[one].hear(str(other), {})
@@ -90,7 +90,7 @@
 
     def test_a_node_that_starts_gets_a_part_of_what_is_free(self) -> None:
         """Three others have five calls each, of forty that are allowed."""
-        shares = Shares(float)
+        shares = LimitShares(float)
         for source in ('b', 'c', 'd'):
             shares.hear(source, {'org': 5})
         shares.want('org')
@@ -98,7 +98,7 @@
 
     def test_a_stopping_node_leaves_its_part_at_once(self) -> None:
         """Its clients come to the others at once, so the share does too."""
-        shares = Shares(float)
+        shares = LimitShares(float)
         for source in ('b', 'c'):
             shares.hear(source, {'org': 3})
         before = shares.share('org')
@@ -121,8 +121,8 @@
     def setUp(self) -> None:
         """Make an admission for a node that is alone."""
         self.clock = _Clock()
-        self.shares = Shares(self.clock)
-        rates = TokenRates(self.shares.share, self.clock)
+        self.shares = LimitShares(self.clock)
+        rates = TokenRateLimiter(self.shares.share, self.clock)
         self.admission = Admission(Capacity(calls=8), self.shares, rates)
 
     def test_low_priority_is_shed_first(self) -> None:
@@ -139,13 +139,13 @@
         self.admission = Admission(
             Capacity(),
             self.shares,
-            TokenRates(self.shares.share, self.clock),
+            TokenRateLimiter(self.shares.share, self.clock),
         )
         self.assertEqual(self._fill(Priority.HIGH), 10)
 
     def test_a_refusal_says_when_to_come_back(self) -> None:
         """After that time the tokens are there."""
-        rates = TokenRates(self.shares.share, self.clock)
+        rates = TokenRateLimiter(self.shares.share, self.clock)
         rates.take(_ORGANISATION, 400)
         with self.assertRaises(LimitedError) as caught:
             rates.take(_ORGANISATION, 50)
--- a/tests/unit/test_lives.py
+++ b/tests/unit/test_lives.py
@@ -20,7 +20,7 @@
 from cranecart.grouping._losses import Losses
 from cranecart.http import Address
 from cranecart.ports import ListedInstance, MemberPhase, Membership
-from cranecart.routing import Wanted
+from cranecart.routing import RoutingRequest
 from tests.lib.fake_engines import BIG, SERVICE, listed
 from tests.lib.fake_targets import (
     CONFIG,
@@ -39,7 +39,7 @@
 # Less than a heartbeat and a half of a late write, more than two and a half.
 _SHORT_SECONDS = 2.0
 _LONG_SECONDS = 3.2
-_WANTED = Wanted(CONFIG, CONFIG.routes[0], ENGINES, MODEL, 500, 5)
+_WANTED = RoutingRequest(CONFIG, CONFIG.routes[0], ENGINES, MODEL, 500, 5)
 
 
 def _entry(name: str, born: int, *, is_member: bool = True) -> ListedInstance:
--- a/tests/unit/test_mesh.py
+++ b/tests/unit/test_mesh.py
@@ -10,7 +10,7 @@
 from cranecart.mesh._stop_notices import StopNotices
 from cranecart.models import RouteConfig
 from cranecart.ports import Incarnation, ListedInstance
-from cranecart.quarantine import CaseNews, End, Standing
+from cranecart.quarantine import CaseUpdate, Termination, Verdict
 from tests.lib.simulated_cluster import SimulatedCluster
 
 _SMALL = 9
@@ -344,7 +344,7 @@
                     _tell_end(cluster, f'node-{number:03}', number)
                 cluster.deliver()
                 held = [node.book.standing('a') for node in cluster.alive]
-                self.assertEqual(set(held), {Standing.HELD})
+                self.assertEqual(set(held), {Verdict.HELD})
 
     def test_it_does_not_go_round(self) -> None:
         """Told twice, it is passed on once."""
@@ -358,7 +358,7 @@
 
 
 def _tell_end(cluster: SimulatedCluster, name: str, number: int) -> None:
-    news = CaseNews('a', (End(Incarnation(f'i{number}', 1), True),))
+    news = CaseUpdate('a', (Termination(Incarnation(f'i{number}', 1), True),))
     node = cluster.nodes[name]
     node.book.take(news, is_own=True)
     node.mesh.tell_all(RequestCases(name, [news]))
--- a/tests/unit/test_named_limits.py
+++ b/tests/unit/test_named_limits.py
@@ -17,7 +17,7 @@
 import curio
 
 from tests.lib.fake_targets import PLAIN, ClientAnswer
-from tests.lib.speaking_targets import SpeakingDeployment, Words
+from tests.lib.throttling_targets import ThrottlingDeployment, Words
 
 _LIMIT = 2.0
 _NAMED_AT = 0.5
@@ -50,19 +50,19 @@
 
     def test_some_targets(self) -> None:
         """Three of ten name a limit; the others take the rest."""
-        deployment = SpeakingDeployment(4, 10, _some_limited)
+        deployment = ThrottlingDeployment(4, 10, _some_limited)
         self._play(deployment, ('i0', 'i1', 'i2'))
         self.assertEqual(deployment.not_served(self.answers), [])
 
     def test_some_instances_of_a_plain_service(self) -> None:
         """So do plain services."""
-        deployment = SpeakingDeployment(4, 10, _some_limited, service=PLAIN)
+        deployment = ThrottlingDeployment(4, 10, _some_limited, service=PLAIN)
         self._play(deployment, ('i0', 'i1', 'i2'))
         self.assertEqual(deployment.not_served(self.answers), [])
 
     def test_all_targets(self) -> None:
         """All name a limit: what is over it is refused, at no target."""
-        deployment = SpeakingDeployment(4, 10, _all_limited)
+        deployment = ThrottlingDeployment(4, 10, _all_limited)
         limited = [one.name for one in deployment.targets]
         self._play(deployment, limited)
         for target in limited:
@@ -75,12 +75,12 @@
 
     def _play(
         self,
-        deployment: SpeakingDeployment,
+        deployment: ThrottlingDeployment,
         limited: Sequence[str],
     ) -> None:
         curio.run(deployment.run, self._ask)
         most = deployment.most_within(_SPAN_SECONDS, limited, _COUNTED_FROM)
         self.assertLessEqual(most, _MOST_IN_SPAN)
 
-    async def _ask(self, deployment: SpeakingDeployment) -> None:
+    async def _ask(self, deployment: ThrottlingDeployment) -> None:
         self.answers = await deployment.ask(_PLAY_SECONDS, _A_SECOND)
--- a/tests/unit/test_native_ending.py
+++ b/tests/unit/test_native_crashing_requests.py
@@ -17,7 +17,7 @@
 from cranecart.clients import Gateway
 from cranecart.exceptions import HeldError, RequestError
 from cranecart.instances import Instance, InstanceKind
-from cranecart.quarantine import CaseNews, RequestGuard
+from cranecart.quarantine import CaseUpdate, RequestGuard
 from cranecart.selection import Router
 from cranecart.targets import Call, EngineClient, ServiceCall, ServiceClient
 
@@ -100,7 +100,7 @@
 
     guards: Sequence[RequestGuard]
 
-    def __call__(self, cases: Iterable[CaseNews]) -> None:
+    def __call__(self, cases: Iterable[CaseUpdate]) -> None:
         for guard, news in itertools.product(self.guards, cases):
             guard.hear(news, 'another node')
 
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -18,18 +18,18 @@
 from cranecart.http import Address
 from cranecart.ports import Incarnation, ListedInstance, Row
 from cranecart.quarantine import (
-    CaseBook,
-    CaseNews,
-    End,
-    EndProbe,
+    CaseRegistry,
+    CaseUpdate,
     HeldRows,
     RequestGuard,
-    Standing,
+    Termination,
+    TerminationProbe,
+    Verdict,
     held_from_rows,
     held_key,
-    identity_of,
+    request_identity,
 )
-from cranecart.quarantine._pending import PendingEnds
+from cranecart.quarantine._pending import PendingTerminations
 from tests.lib.fake_platform import (
     LOST_ANSWER,
     REFUSED,
@@ -37,9 +37,9 @@
 )
 
 _LIVES = tuple(Incarnation(f'i{number}', number) for number in range(12))
-_ENDS = st.builds(End, st.sampled_from(_LIVES), st.booleans())
+_ENDS = st.builds(Termination, st.sampled_from(_LIVES), st.booleans())
 _NEWS = st.builds(
-    CaseNews,
+    CaseUpdate,
     st.sampled_from(('a', 'b')),
     st.lists(_ENDS, max_size=3).map(tuple),
     st.lists(st.sampled_from(_LIVES[:4]), max_size=2).map(tuple),
@@ -54,12 +54,16 @@
         return self.now
 
 
-def _begun(*numbers: int) -> CaseNews:
-    return CaseNews('a', tuple(End(_LIVES[one], True) for one in numbers))
+def _begun(*numbers: int) -> CaseUpdate:
+    return CaseUpdate(
+        'a', tuple(Termination(_LIVES[one], True) for one in numbers)
+    )
 
 
-def _unsure(*numbers: int) -> CaseNews:
-    return CaseNews('a', tuple(End(_LIVES[one], False) for one in numbers))
+def _unsure(*numbers: int) -> CaseUpdate:
+    return CaseUpdate(
+        'a', tuple(Termination(_LIVES[one], False) for one in numbers)
+    )
 
 
 class IdentityTest(unittest.TestCase):
@@ -68,16 +72,16 @@
     def test_parts_do_not_run_into_each_other(self) -> None:
         """No two different requests have the same text of parts."""
         self.assertNotEqual(
-            identity_of('ab', 'c', 'POST', '/', b'x'),
-            identity_of('a', 'bc', 'POST', '/', b'x'),
+            request_identity('ab', 'c', 'POST', '/', b'x'),
+            request_identity('a', 'bc', 'POST', '/', b'x'),
         )
 
     @given(st.binary(), st.binary())
     def test_bodies(self, one: bytes, other: bytes) -> None:
         """Only the same bytes are the same request."""
         self.assertEqual(
-            identity_of('o', 'h', 'POST', '/p', one)
-            == identity_of('o', 'H', 'POST', '/p', other),
+            request_identity('o', 'h', 'POST', '/p', one)
+            == request_identity('o', 'H', 'POST', '/p', other),
             one == other,
         )
 
@@ -87,51 +91,51 @@
 
     def test_three_begun_ends(self) -> None:
         """Told by three nodes, and once again by each."""
-        book = CaseBook()
+        book = CaseRegistry()
         for number in (0, 1, 2, 0, 1, 2):
             book.take(_begun(number), is_own=False)
-        self.assertIs(book.standing('a'), Standing.HELD)
+        self.assertIs(book.standing('a'), Verdict.HELD)
 
     def test_one_life_counts_once(self) -> None:
         """However many tries had begun there, and whoever tells it."""
-        book = CaseBook()
+        book = CaseRegistry()
         for _number in range(9):
             book.take(_begun(0), is_own=True)
-        self.assertIs(book.standing('a'), Standing.SUSPECT)
+        self.assertIs(book.standing('a'), Verdict.SUSPECT)
 
     def test_who_may_have_waited(self) -> None:
         """One end more is asked for, and none makes a suspect."""
-        book = CaseBook()
+        book = CaseRegistry()
         standings = []
         for number in range(4):
             book.take(_unsure(number), is_own=True)
             standings.append(book.standing('a'))
         self.assertEqual(
             standings,
-            [Standing.FREE, Standing.APART, Standing.APART, Standing.HELD],
+            [Verdict.FREE, Verdict.APART, Verdict.APART, Verdict.HELD],
         )
 
     def test_a_whole_answer_clears(self) -> None:
         """Also against news of the same ends that come late."""
-        book = CaseBook()
+        book = CaseRegistry()
         book.take(_begun(0, 1), is_own=True)
         news = book.cleared('a')
         assert news is not None
         book.take(news, is_own=True)
         book.take(_begun(0, 1), is_own=False)
         book.take(_begun(2), is_own=False)
-        self.assertIs(book.standing('a'), Standing.SUSPECT)
+        self.assertIs(book.standing('a'), Verdict.SUSPECT)
 
     @given(st.lists(_NEWS, max_size=12), st.randoms())
     def test_order_does_not_matter(
         self,
-        told: list[CaseNews],
+        told: list[CaseUpdate],
         source: 'st.Random',  # type: ignore[name-defined]
     ) -> None:
         """Late, again, and in any order: nodes come to the same."""
         shuffled = [*told, *told]
         source.shuffle(shuffled)
-        books = (CaseBook(), CaseBook())
+        books = (CaseRegistry(), CaseRegistry())
         for book, news in zip(books, (told, shuffled), strict=True):
             for one in news:
                 book.take(one, is_own=False)
@@ -145,26 +149,26 @@
         """Who was at some ends of one that has more of them is let go."""
         for news in (_begun(0, 1, 2), _unsure(0, 1, 2, 3)):
             with self.subTest(news=news):
-                book = CaseBook()
+                book = CaseRegistry()
                 beside = attrs.evolve(news, identity='beside')
                 book.take(beside, is_own=True)
-                self.assertIs(book.standing('beside'), Standing.HELD)
+                self.assertIs(book.standing('beside'), Verdict.HELD)
                 book.take(_begun(0, 1, 2, 3), is_own=True)
-                self.assertIs(book.standing('beside'), Standing.FREE)
-                self.assertIs(book.standing('a'), Standing.HELD)
+                self.assertIs(book.standing('beside'), Verdict.FREE)
+                self.assertIs(book.standing('a'), Verdict.HELD)
 
     def test_nobody_explains_the_cause(self) -> None:
         """One that is held for as many ends, or of whom nobody can tell."""
-        book = CaseBook()
+        book = CaseRegistry()
         for beside in (_begun(0, 1, 2), _unsure(0, 1, 2, 3, 4)):
             news = attrs.evolve(beside, identity=f'beside {beside}')
             book.take(news, is_own=True)
         book.take(_begun(0, 1, 2), is_own=True)
-        self.assertIs(book.standing('a'), Standing.HELD)
+        self.assertIs(book.standing('a'), Verdict.HELD)
 
     def test_bounded(self) -> None:
         """Bodies that vary fill no memory; the newest held ones stay."""
-        book = CaseBook()
+        book = CaseRegistry()
         for number in range(3000):
             news = attrs.evolve(_begun(0, 1, 2), identity=f'held {number}')
             book.take(news, is_own=True)
@@ -173,18 +177,18 @@
         counts = book.counts()
         self.assertLessEqual(counts['requests_held'], 256)
         self.assertLessEqual(counts['requests_suspected'], 2048)
-        self.assertIs(book.standing('held 2999'), Standing.HELD)
+        self.assertIs(book.standing('held 2999'), Verdict.HELD)
 
     def test_suspects_are_forgotten(self) -> None:
         """After an hour; what is held stays."""
         clock = _Clock()
-        book = CaseBook(clock)
+        book = CaseRegistry(clock)
         book.take(_begun(0, 1, 2), is_own=True)
         book.take(attrs.evolve(_begun(0), identity='old'), is_own=True)
         clock.now += 3700
         book.take(attrs.evolve(_begun(0), identity='new'), is_own=True)
-        self.assertIs(book.standing('old'), Standing.FREE)
-        self.assertIs(book.standing('a'), Standing.HELD)
+        self.assertIs(book.standing('old'), Verdict.FREE)
+        self.assertIs(book.standing('a'), Verdict.HELD)
 
 
 class ProbeTest(unittest.TestCase):
@@ -198,21 +202,21 @@
             (ConnectRefusedError('nothing listens'), True),
         ):
             with self.subTest(error=error):
-                probe = EndProbe(_Port(error))
+                probe = TerminationProbe(_Port(error))
                 found = curio.run(probe.has_ended, _listed(0))
                 self.assertIs(found, ended)
 
     def test_asked_once_for_all(self) -> None:
         """Thirty requests that break off together ask once."""
         port = _Port(ConnectRefusedError('nothing listens'))
-        curio.run(_ask_together, EndProbe(port), 30)
+        curio.run(_ask_together, TerminationProbe(port), 30)
         self.assertEqual(port.asked, 1)
 
     def test_forgotten(self) -> None:
         """Lives that are gone take no memory for ever."""
         clock = _Clock()
         port = _Port(ConnectRefusedError('nothing listens'))
-        probe = EndProbe(port, clock)
+        probe = TerminationProbe(port, clock)
         curio.run(probe.has_ended, _listed(0))
         clock.now += 120
         probe.forget(())
@@ -271,13 +275,13 @@
     def test_told_again(self) -> None:
         """News may be lost: it is repeated for two seconds, then no more."""
         clock = _Clock()
-        told: list[Sequence[CaseNews]] = []
+        told: list[Sequence[CaseUpdate]] = []
         guard = RequestGuard(
             lambda _one: False,
             told.append,
-            CaseBook(clock),
+            CaseRegistry(clock),
             clock,
-            EndProbe(_Port(ConnectRefusedError('nothing listens'))),
+            TerminationProbe(_Port(ConnectRefusedError('nothing listens'))),
         )
         curio.run(_end_under, guard, 0)
         for _turn in range(9):
@@ -292,7 +296,7 @@
     def setUp(self) -> None:
         """Know of no break."""
         self.clock = _Clock()
-        self.pending = PendingEnds(self.clock)
+        self.pending = PendingTerminations(self.clock)
         self.ended: set[Incarnation] = set()
 
     def found(self) -> dict[str, bool]:
@@ -340,19 +344,19 @@
 
     def test_another_node_reads_it(self) -> None:
         """One that has started since, or that nobody reaches."""
-        table, book = FakePlatform(), CaseBook()
+        table, book = FakePlatform(), CaseRegistry()
         book.take(_begun(0, 1, 2), is_own=True)
         curio.run(HeldRows('n0', table, book).write)
-        other = CaseBook()
+        other = CaseRegistry()
         HeldRows('n1', FakePlatform(), other).take(table.rows, True)
-        self.assertIs(other.standing('a'), Standing.HELD)
+        self.assertIs(other.standing('a'), Verdict.HELD)
 
     def test_written_once(self) -> None:
         """Also where an answer was lost, or the store was away."""
         for faults in ((), (LOST_ANSWER,), (REFUSED, REFUSED)):
             with self.subTest(faults=faults):
                 table = FakePlatform(faults=iter(faults))
-                book = CaseBook()
+                book = CaseRegistry()
                 rows = HeldRows('n0', table, book)
                 book.take(_begun(0, 1, 2), is_own=True)
                 for _turn in range(5):
@@ -364,7 +368,7 @@
     def test_its_finder_dies(self) -> None:
         """Another node writes what it was told, after some time."""
         clock = _Clock()
-        table, book = FakePlatform(), CaseBook(clock)
+        table, book = FakePlatform(), CaseRegistry(clock)
         rows = HeldRows('n1', table, book, clock)
         book.take(_begun(0, 1, 2), is_own=False)
         curio.run(rows.write)
@@ -377,7 +381,7 @@
         """The row goes, nobody writes it again, and it starts at nothing."""
         for is_whole in (False, True):
             with self.subTest(is_whole=is_whole):
-                table, book = FakePlatform(), CaseBook()
+                table, book = FakePlatform(), CaseRegistry()
                 rows = HeldRows('n0', table, book)
                 book.take(_begun(0, 1, 2), is_own=True)
                 curio.run(rows.write)
@@ -388,21 +392,21 @@
                 book.take(_begun(0, 1, 2), is_own=False)
                 curio.run(rows.write)
                 self.assertFalse(table.rows)
-                self.assertIs(book.standing('a'), Standing.FREE)
+                self.assertIs(book.standing('a'), Verdict.FREE)
 
     def test_a_read_from_before_the_write(self) -> None:
         """It does not show that the row was dropped."""
-        table, book = FakePlatform(), CaseBook()
+        table, book = FakePlatform(), CaseRegistry()
         rows = HeldRows('n0', table, book)
         book.take(_begun(0, 1, 2), is_own=True)
         before = dict(table.rows)
         curio.run(rows.write)
         rows.take(before, True)
-        self.assertIs(book.standing('a'), Standing.HELD)
+        self.assertIs(book.standing('a'), Verdict.HELD)
 
     def test_cleared_drops_the_row(self) -> None:
         """A copy that was under way is answered whole."""
-        table, book = FakePlatform(), CaseBook()
+        table, book = FakePlatform(), CaseRegistry()
         rows = HeldRows('n0', table, book)
         book.take(_begun(0, 1, 2), is_own=True)
         curio.run(rows.write)
@@ -416,11 +420,11 @@
     def test_rows_of_other_writers(self, text: str) -> None:
         """They hold nobody, and change nothing that is known."""
         key = held_key('a')
-        book = CaseBook()
+        book = CaseRegistry()
         book.take(_begun(0, 1, 2), is_own=True)
         rows = HeldRows('n0', FakePlatform(), book)
         rows.take({key: Row(key, 1, text)}, False)
-        self.assertIs(book.standing('a'), Standing.HELD)
+        self.assertIs(book.standing('a'), Verdict.HELD)
         self.assertFalse(held_from_rows({key: Row(key, 1, text)}))
 
 
@@ -448,7 +452,7 @@
         lambda _one: leaves,
         lambda _cases: None,
         clock=clock or _Clock(),
-        probe=EndProbe(port),
+        probe=TerminationProbe(port),
     )
 
 
@@ -476,7 +480,7 @@
     )
 
 
-async def _ask_together(probe: EndProbe, count: int) -> None:
+async def _ask_together(probe: TerminationProbe, count: int) -> None:
     asking = [
         await curio.spawn(probe.has_ended, _listed(0))
         for _number in range(count)
--- a/tests/unit/test_restored_rows.py
+++ b/tests/unit/test_restored_rows.py
@@ -6,7 +6,7 @@
 
 import curio
 
-from cranecart.quarantine import CaseBook, HeldRows, Standing
+from cranecart.quarantine import CaseRegistry, HeldRows, Verdict
 from cranecart.serving._registry import NodeRegistry
 from tests.lib.fake_platform import FakePlatform
 from tests.unit.test_quarantine import _begun, _Clock
@@ -19,7 +19,7 @@
         """Hold a request, and know its row."""
         self.clock = _Clock()
         self.table = FakePlatform()
-        self.book = CaseBook(self.clock)
+        self.book = CaseRegistry(self.clock)
         self.empty = self.table.copied()
         self.rows = HeldRows('n0', self.table, self.book, self.clock)
 
@@ -29,7 +29,7 @@
         self.table.restore(self.empty)
         self.rows.restore(dict(self.table.rows))
         self.rows.take(dict(self.table.rows), True)
-        self.assertIs(self.book.standing('a'), Standing.HELD)
+        self.assertIs(self.book.standing('a'), Verdict.HELD)
         curio.run(self.rows.write)
         self.assertTrue(self.table.rows)
 
@@ -52,12 +52,12 @@
         self.rows.take(dict.fromkeys(self.table.rows), False)
         self.table.restore(earlier)
         self.rows.restore(dict(self.table.rows))
-        self.assertIs(self.book.standing('a'), Standing.FREE)
+        self.assertIs(self.book.standing('a'), Verdict.FREE)
         curio.run(self.rows.write)
         self.assertFalse(self.table.rows)
 
     def _hold(self, *, is_own: bool) -> None:
-        writer = CaseBook(self.clock)
+        writer = CaseRegistry(self.clock)
         writer.take(_begun(0, 1, 2), is_own=True)
         curio.run(HeldRows('n1', self.table, writer, self.clock).write)
         self.book.take(_begun(0, 1, 2), is_own=is_own)
--- a/tests/unit/test_routing.py
+++ b/tests/unit/test_routing.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from cranecart.http import Address
-from cranecart.routing import Ejection
+from cranecart.routing import OutlierEjection
 from cranecart.selection import POLICIES, policy_from_name
 from cranecart.selection._policies import choose
 from cranecart.targets import ServingReplica
@@ -102,7 +102,7 @@
     def setUp(self) -> None:
         """Make two replicas, one of which fails."""
         self.clock = _Clock()
-        self.ejection = Ejection(self.clock)
+        self.ejection = OutlierEjection(self.clock)
         self.replicas = _replicas([0, 0])
 
     def test_three_failures_in_a_row(self) -> None:
--- a/tests/unit/test_said_to_leave.py
+++ b/tests/unit/test_said_to_leave.py
@@ -18,7 +18,7 @@
 from cranecart.ports import Incarnation
 from tests.lib.fake_targets import ENGINES, MODEL, ClientAnswer, instance
 from tests.lib.simulated_cluster import SimulatedCluster
-from tests.lib.speaking_targets import SpeakingDeployment, Words
+from tests.lib.throttling_targets import ThrottlingDeployment, Words
 
 _LEAVE_AT = 0.5
 # The rule: nothing later than this after a node had such an answer.
@@ -39,12 +39,12 @@
 
     def test_two_of_ten(self) -> None:
         """The others serve all."""
-        deployment = SpeakingDeployment(4, 10, _two_leave)
+        deployment = ThrottlingDeployment(4, 10, _two_leave)
         curio.run(deployment.run, self._ask)
         self.assertEqual(deployment.after_word(_LEAVING_SECONDS), 0)
         self.assertEqual(deployment.not_served(self.answers), [])
 
-    async def _ask(self, deployment: SpeakingDeployment) -> None:
+    async def _ask(self, deployment: ThrottlingDeployment) -> None:
         self.answers = await deployment.ask(_PLAY_SECONDS, _A_SECOND)
 
 
--- a/tests/unit/test_pulse.py
+++ b/tests/unit/test_stalls.py
@@ -5,8 +5,8 @@
 import unittest
 
 from cranecart.ports import Incarnation
-from cranecart.routing import Ejection, Wanted
-from cranecart.routing._pulse import Pulse
+from cranecart.routing import OutlierEjection, RoutingRequest
+from cranecart.routing._stalls import StallDetector
 from tests.lib.fake_targets import (
     CONFIG,
     ENGINES,
@@ -18,7 +18,7 @@
 # Clearly longer than streams are silent where nothing is known yet.
 _LONG_SECONDS = 0.3
 _USUAL_SECONDS = 0.1
-_WANTED = Wanted(CONFIG, CONFIG.routes[0], ENGINES, MODEL, 500, 5)
+_WANTED = RoutingRequest(CONFIG, CONFIG.routes[0], ENGINES, MODEL, 500, 5)
 
 
 class PulseTest(unittest.TestCase):
@@ -27,7 +27,9 @@
     def setUp(self) -> None:
         """Follow a replica whose streams are silent for 0.1 s at most."""
         self.now = 10.0
-        self.pulse = Pulse(lambda _model: _USUAL_SECONDS, lambda: self.now)
+        self.pulse = StallDetector(
+            lambda _model: _USUAL_SECONDS, lambda: self.now
+        )
 
     def test_all_streams_silent(self) -> None:
         """Two streams that are due and get nothing show it."""
@@ -89,7 +91,7 @@
 
     def test_one_failed_connection_is_enough(self) -> None:
         """Each request that tried such a target lost its objective."""
-        ejection = Ejection()
+        ejection = OutlierEjection()
         ejection.failed('cut', reached=False)
         ejection.failed('failing')
         left = ejection.without_ejected([_Named('cut'), _Named('failing')])
--- a/tests/unit/test_suspension.py
+++ b/tests/unit/test_suspension.py
@@ -20,8 +20,8 @@
 from cranecart.forwarding import TargetConnections
 from cranecart.mesh import Beat
 from cranecart.mesh._peer_state import PeerState
-from cranecart.retries import RetryRules, SharedRetryBudget
-from cranecart.routing import Ejection
+from cranecart.retries import RetryLimits, SharedRetryBudget
+from cranecart.routing import OutlierEjection
 from cranecart.targets import ServiceCall
 from tests.lib.fake_platform import FakePlatform
 from tests.lib.run import run_now
@@ -92,8 +92,8 @@
         self.assertTrue(others.is_fresh('n1'))
         clocks = (
             TargetConnections()._clock,
-            SharedRetryBudget(RetryRules(1, 1, 10), lambda: 1)._clock,
-            Ejection()._clock,
+            SharedRetryBudget(RetryLimits(1, 1, 10), lambda: 1)._clock,
+            OutlierEjection()._clock,
         )
         before = [clock() for clock in clocks]
         with _suspended():
--- a/tests/unit/test_asked_for_rest.py
+++ b/tests/unit/test_target_backoff.py
@@ -16,7 +16,7 @@
 import curio
 
 from tests.lib.fake_targets import ClientAnswer
-from tests.lib.speaking_targets import SpeakingDeployment, Words
+from tests.lib.throttling_targets import ThrottlingDeployment, Words
 
 _REST_SECONDS = 3.0
 _ASKED_AT = 0.5
@@ -69,11 +69,11 @@
         told = [float(one.headers['retry-after']) for one in early]
         self.assertGreater(min(told), _HEEDED_SECONDS)
 
-    def _play(self, names: Collection[str]) -> SpeakingDeployment:
+    def _play(self, names: Collection[str]) -> ThrottlingDeployment:
         says = functools.partial(_rest, names)
-        deployment = SpeakingDeployment(4, 10, says)
+        deployment = ThrottlingDeployment(4, 10, says)
         curio.run(deployment.run, self._ask)
         return deployment
 
-    async def _ask(self, deployment: SpeakingDeployment) -> None:
+    async def _ask(self, deployment: ThrottlingDeployment) -> None:
         self.answers = await deployment.ask(_PLAY_SECONDS, _A_SECOND)
--- a/tests/unit/test_target_gate.py
+++ b/tests/unit/test_target_throttle.py
@@ -12,8 +12,8 @@
 from cranecart.forwarding import TargetConnections
 from cranecart.http import HttpConnection
 from cranecart.ports import AnswerFacts, Incarnation, ListedInstance
-from cranecart.routing import Wanted
-from cranecart.throttling import TargetGate
+from cranecart.routing import RoutingRequest
+from cranecart.throttling import TargetThrottle
 from tests.lib.fake_targets import CONFIG, MODEL, Exchange, GatewayWorld
 
 _LIFE = Incarnation('i1', 7)
@@ -27,7 +27,7 @@
     def setUp(self) -> None:
         """Hear a target ask for three seconds at second ten."""
         self.now = float(10)
-        self.gate = TargetGate(clock=self.clock)
+        self.gate = TargetThrottle(clock=self.clock)
         self.gate.note_answer(_LIFE, _REFUSAL, 9)
 
     def clock(self) -> float:
@@ -92,7 +92,7 @@
     def setUp(self) -> None:
         """Hear of a limit of two a second."""
         self.now = float(10)
-        self.gate = TargetGate(clock=self.clock)
+        self.gate = TargetThrottle(clock=self.clock)
         limited = AnswerFacts('r1', True, False, limit=2)
         self.gate.note_answer(_LIFE, limited, 9)
         self.taken: Counter[int] = Counter()
@@ -129,7 +129,7 @@
     def test_who_shares_it_is_found_at_once(self) -> None:
         """Not only at the next look: each of them could send once more."""
         asked: list[int] = []
-        gate = TargetGate(lambda _domain, _name, most: _note(asked, most))
+        gate = TargetThrottle(lambda _domain, _name, most: _note(asked, most))
         for limit in (50, 2):
             facts = AnswerFacts('r1', True, False, limit=limit)
             gate.note_answer(_LIFE, facts, time.monotonic() + 60)
@@ -154,7 +154,7 @@
         """A stream has no target to move to where the other rests."""
         world = GatewayWorld(_serve, _serve)
         route = next(one for one in CONFIG.routes if one.name == 'stream')
-        wanted = Wanted(CONFIG, route, 'drafts', MODEL, 100, 2)
+        wanted = RoutingRequest(CONFIG, route, 'drafts', MODEL, 100, 2)
         ask = (CONFIG, 'drafts', MODEL, ['i0'])
         self.assertTrue(world.router.has_untried(*ask))
         world.router.gate.note_answer(Incarnation('i1'), _REFUSAL, 0)
@@ -174,7 +174,7 @@
 class SlowConnections(TargetConnections):
     """While the first target is connected to, another answer asks for rest."""
 
-    gate: TargetGate
+    gate: TargetThrottle
 
     async def take(
         self,
--- a/tools/bench/_fleet.py
+++ b/tools/bench/_fleet.py
@@ -29,7 +29,7 @@
     Share,
 )
 from cranecart.ports import ListedInstance, MemberPhase, Membership
-from cranecart.routing import HeadRouter, Wanted
+from cranecart.routing import RoutingRequest, TargetRouter
 
 _FABRICS = 15
 _FABRIC_SIZE = 73
@@ -97,7 +97,7 @@
     """A fleet of that size, whose replicas all serve."""
 
     fleet: Fleet = attrs.field(factory=Fleet, init=False)
-    router: HeadRouter = attrs.field(init=False)
+    router: TargetRouter = attrs.field(init=False)
     losses: Losses = attrs.field(init=False)
     own: Sequence[ReplicaRecord] = attrs.field(init=False)
     _turn: Iterator[str] = attrs.field(init=False)
@@ -128,7 +128,7 @@
         self.fleet.take_instances({**instances, **plain}, True)
         self.fleet.take_records({one.key: one for one in records}, True)
         self.own = [one for one in records if one.failure_domain == 'd0']
-        self.router = HeadRouter(
+        self.router = TargetRouter(
             self.fleet,
             random.Random(1),
             lambda _name: 0,
@@ -194,13 +194,15 @@
     def choose_plain(self) -> object:
         """Choose an instance of the plain service."""
         return self.router.choose(
-            Wanted(_CONFIG, _CONFIG.routes[0], _PLAIN, '', 0, 1)
+            RoutingRequest(_CONFIG, _CONFIG.routes[0], _PLAIN, '', 0, 1)
         )
 
     def choose_head(self) -> object:
         """Choose a replica of the smaller model."""
         return self.router.choose(
-            Wanted(_CONFIG, _CONFIG.routes[0], _ENGINES, 'small', 700, 5)
+            RoutingRequest(
+                _CONFIG, _CONFIG.routes[0], _ENGINES, 'small', 700, 5
+            )
         )
 
 
--- a/tools/bench/_plain.py
+++ b/tools/bench/_plain.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from cranecart.routing import Ejection
+from cranecart.routing import OutlierEjection
 
 _SEEDS = 40
 _NODES = 78
@@ -78,7 +78,7 @@
         self.now = float(0)
         self._faults = tuple(_draw(self._source))
         self._ejections = [
-            Ejection(self._clock, int) for _node in range(_NODES)
+            OutlierEjection(self._clock, int) for _node in range(_NODES)
         ]
         self._heard: list[tuple[float, int]] = []
 
@@ -107,7 +107,7 @@
                 return True
         return False
 
-    def _succeeds(self, ejection: Ejection, chosen: int) -> bool:
+    def _succeeds(self, ejection: OutlierEjection, chosen: int) -> bool:
         chance = self._source.random()
         hit = [
             fault
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -212,10 +212,10 @@
     ),
     Mutation(
         'requests-are-never-held',
-        'quarantine/_book.py',
+        'quarantine/_cases.py',
         'if begun >= _HELD_BEGUN or len(left) >= _HELD_ALL:',
         'if not left and begun:',
-        'tests.unit.test_ending_requests.EndingRequestTest.test_streams',
+        'tests.unit.test_crashing_requests.EndingRequestTest.test_streams',
     ),
     Mutation(
         'broken-connections-pass-for-ends',
@@ -267,29 +267,29 @@
     ),
     Mutation(
         'broken-targets-are-told-to-nobody',
-        'routing/_heads.py',
+        'routing/_router.py',
         'self._tell_broken(incarnation)',
         'return',
-        'tests.unit.test_broken_plain.BrokenPlainTest'
+        'tests.unit.test_broken_plain_instances.BrokenPlainTest'
         '.test_it_is_passed_over_at_once',
     ),
     Mutation(
         'limits-of-targets-are-not-kept',
-        'throttling/_gate.py',
+        'throttling/_throttle.py',
         'return part.nodes > 0 and part.bucket.has_tokens(wanted, now)',
         'return True',
         _LIMIT_SHARES,
     ),
     Mutation(
         'every-node-sends-to-limited-targets',
-        'throttling/_gate.py',
+        'throttling/_throttle.py',
         'most = self._rule.nodes_for(limit)',
         'most = len(instance.id) * 100 if instance else 1000',
         _LIMIT_SHARES,
     ),
     Mutation(
         'who-takes-over-does-not-wait',
-        'throttling/_gate.py',
+        'throttling/_throttle.py',
         'begins_at = now + _HANDOVER_SECONDS',
         'begins_at = now - _HANDOVER_SECONDS',
         _LIMIT_SHARES,
@@ -299,21 +299,21 @@
         'throttling/_limits.py',
         'sent_at < known.named_at and not',
         'sent_at < 0 and not',
-        'tests.unit.test_limit_book',
+        'tests.unit.test_limit_registry',
     ),
     Mutation(
         'rests-are-not-kept',
-        'throttling/_gate.py',
+        'throttling/_throttle.py',
         'self._rests.seconds_left(incarnation)\n            or ',
         '',
-        'tests.unit.test_target_gate',
+        'tests.unit.test_target_throttle',
     ),
     Mutation(
         'words-are-not-looked-at-before-sending',
         'forwarding/_sender.py',
         'if not self.router.gate.may_reach(target.instance.incarnation):',
         'if not target:',
-        'tests.unit.test_target_gate',
+        'tests.unit.test_target_throttle',
     ),
     Mutation(
         'own-word-of-leaving-is-forgotten',
