--- a/src/cranecart/mesh/_mesh.py
+++ b/src/cranecart/mesh/_mesh.py
@@ -43,27 +43,27 @@
 
     def __init__(
         self,
-        own: LocalState,
+        local: LocalState,
         link: PeerTransport[MeshMessage],
-        events: MeshCallbacks,
+        callbacks: MeshCallbacks,
         clock: Callable[[], float] = since_boot,
     ) -> None:
         """Know nobody yet; nothing is told until ``run``."""
-        self.own = own
-        self.circle = MeshState(own, clock)
-        self.telling = MessageSender(self.circle, link, events)
-        self.hearing = MessageHandler(self.circle, link, events)
+        self.local = local
+        self.state = MeshState(local, clock)
+        self.message_sender = MessageSender(self.state, link, callbacks)
+        self.message_handler = MessageHandler(self.state, link, callbacks)
         self._link = link
-        self._others = self.circle.others
-        self._roster = self.circle.roster
+        self._others = self.state.others
+        self._roster = self.state.roster
 
     async def run(self) -> None:
         """Hear and tell until cancelled."""
-        hearing = await curio.spawn(self._hear, daemon=True)
+        receiving = await curio.spawn(self._receive, daemon=True)
         try:
             await self._tell()
         finally:
-            await hearing.cancel()
+            await receiving.cancel()
 
     def close(self) -> None:
         """Close the sockets."""
@@ -81,96 +81,101 @@
         for name, peer in items.items():
             if peer is None:
                 self._forget(name)
-            elif name != self.own.node_id:
+            elif name != self.local.node_id:
                 self._roster.add(name, peer)
 
     def broadcast(self, message: MeshMessage) -> None:
         """Tell all nodes at once."""
-        self._link.send_all(self._roster.everyone(with_silent=True), message)
+        self._link.send_all(self._roster.everyone(include_silent=True), message)
 
-    def tell_stopped(self, message: Stopped) -> None:
+    def publish_stopped(self, message: Stopped) -> None:
         """Tell all nodes of a replica that has stopped.
 
         Beats and summaries repeat it to those whom it does not reach by a
         relay. Told to each of 195 nodes straight away, every node that spoke
         kept a connection to every other, each with a heartbeat.
         """
-        self.circle.notices.note(message)
-        self.telling.spread(message, with_silent=True)
+        self.state.notices.note(message)
+        self.message_sender.publish(message, include_silent=True)
 
-    def tell_all(
+    def publish(
         self,
         message: RequestCases | Broken | Leaving | TargetLimits,
     ) -> None:
         """Tell all nodes of requests that end targets, or of targets."""
-        self.telling.spread(message, with_silent=True)
+        self.message_sender.publish(message, include_silent=True)
 
-    def spread(self, message: SourceNews) -> None:
+    def publish_news(self, message: SourceNews) -> None:
         """Tell all nodes, those of other failure domains by their relays.
 
         Who is left out finds that a version is ahead, and reads itself.
         """
-        self.telling.spread(message, with_silent=False)
+        self.message_sender.publish(message, include_silent=False)
 
-    def tell_placer(self, failure_domain: str, message: MeshMessage) -> None:
+    def send_to_placer(self, failure_domain: str, message: MeshMessage) -> None:
         """Tell the placer of a failure domain at once.
 
         Tell all where it is not known, and in a small deployment.
         """
-        if self._roster.is_large and self.own.places == failure_domain:
+        if (
+            self._roster.uses_relays
+            and self.local.placer_domain == failure_domain
+        ):
             return
-        address = self._others.totals().places.get(failure_domain)
-        if address is None or not self._roster.is_large:
+        address = self._others.totals().placer_addresses.get(failure_domain)
+        if address is None or not self._roster.uses_relays:
             self.broadcast(message)
         else:
             self._link.send(address, message)
 
-    def tell_now(self) -> None:
+    def send_beat_now(self) -> None:
         """Tell of a change of this node before the next beat is due."""
-        self.telling.tell(with_silent=False)
+        self.message_sender.send_beat(include_silent=False)
 
     def in_flight_elsewhere(self, instance_id: str) -> int:
         """Return the requests that other nodes have at an instance."""
         return max(0, self._others.totals().in_flight[instance_id])
 
-    def hears_placer(self, failure_domain: str) -> bool:
+    def has_other_placer(self, failure_domain: str) -> bool:
         """Tell whether another node says that it places there."""
-        return failure_domain in self._others.totals().places
+        return failure_domain in self._others.totals().placer_addresses
 
-    def announced(self, source: str) -> int | None:
+    def announced_version(self, source: str) -> int | None:
         """Return the last change of a source that another node reads.
 
         Return nothing where nobody reads it for this node: of those that
         read, the one with the first name goes on.
         """
-        own = source in self.own.announced
+        is_reader = source in self.local.source_versions
         versions = [
             version
-            for name, version in self._others.totals().announced.get(source, ())
-            if not own or name < self.own.node_id
+            for name, version in self._others.totals().source_readers.get(
+                source, ()
+            )
+            if not is_reader or name < self.local.node_id
         ]
         return max(versions, default=None)
 
     def has_traffic(self) -> bool:
         """Tell whether any node has had a request."""
-        return self.own.requests > 0 or self._others.has_traffic
+        return self.local.requests > 0 or self._others.has_traffic
 
     def demand(self) -> Counter[str]:
         """Return the work that all nodes' clients want of each model."""
-        total = Counter(self.own.demand)
+        total = Counter(self.local.demand)
         # Where a relay sums up this node's last beat but one, less than
         # nothing may be left of the others.
         total.update(+self._others.totals().demand)
         return total
 
-    def nodes(self) -> int:
+    def live_node_count(self) -> int:
         """Return how many nodes are alive, this one included.
 
         Where a relay has to speak first, those just listed count as well: a
         node that has started would take the whole retry budget for its own.
         """
-        told = self._others.totals().nodes
-        if self._roster.is_large:
+        told = self._others.totals().node_count
+        if self._roster.uses_relays:
             told = max(told, self._roster.live_count())
         return 1 + told
 
@@ -181,26 +186,26 @@
     async def _tell(self) -> None:
         turn = 0
         while True:
-            with_silent = turn % _SILENT_TURNS == 0
-            self.telling.tell(with_silent=with_silent)
-            self.telling.ask_for_config()
-            if with_silent:
+            include_silent = turn % _SILENT_TURNS == 0
+            self.message_sender.send_beat(include_silent=include_silent)
+            self.message_sender.ask_for_config()
+            if include_silent:
                 self._link.close_idle(_IDLE_SECONDS)
             turn += 1
             await curio.sleep(self._pause())
 
     def _pause(self) -> float:
         """Return how long to wait, so as to speak shortly before the relay."""
-        digest_at = self.circle.digest_at
+        digest_at = self.state.digest_at
         if digest_at is None:
             return _BEAT_SECONDS
-        due = digest_at - _LEAD_SECONDS - self.circle.clock()
+        due = digest_at - _LEAD_SECONDS - self.state.clock()
         # At least half a beat from now, and at most one and a half.
         return _BEAT_SECONDS / 2 + (due - _BEAT_SECONDS / 2) % _BEAT_SECONDS
 
-    async def _hear(self) -> None:
+    async def _receive(self) -> None:
         while True:
-            await self.hearing.take(await self._link.receive())
+            await self.message_handler.take(await self._link.receive())
 
     def _forget(self, name: str) -> None:
         peer = self._roster.remove(name)
--- a/src/cranecart/mesh/_messages.py
+++ b/src/cranecart/mesh/_messages.py
@@ -34,7 +34,7 @@
     ``announced`` holds, for each source that it reads from the store over a
     path known to be good, the version of the last change. ``demand`` is the
     work that its clients want of each model. ``stopped`` repeats what was
-    said lately, for those whom it has not reached. One ``for_relays`` does
+    said lately, for those whom it has not reached. One ``via_relays`` does
     not go to all nodes.
     """
 
@@ -44,12 +44,12 @@
     config_version: int
     requests: int
     in_flight: dict[str, int]
-    places: str = ''
-    announced: dict[str, int] = {}
+    placer_domain: str = ''
+    source_versions: dict[str, int] = {}
     stopping: bool = False
     demand: dict[str, float] = {}
-    stopped: list[Stopped] = []
-    for_relays: bool = False
+    recent_stops: list[Stopped] = []
+    via_relays: bool = False
 
 
 class Summary(msgspec.Struct, tag='summary', array_like=True):
@@ -62,16 +62,16 @@
 
     sender: str
     failure_domain: str
-    nodes: int
+    node_count: int
     relays: dict[str, str]
     config_version: int
     config_address: str
     has_traffic: bool
     in_flight: dict[str, int]
-    placer: str = ''
-    announced: dict[str, tuple[str, int]] = {}
+    placer_address: str = ''
+    source_readers: dict[str, tuple[str, int]] = {}
     demand: dict[str, float] = {}
-    stopped: list[Stopped] = []
+    recent_stops: list[Stopped] = []
 
 
 class Digest(msgspec.Struct, tag='digest', array_like=True):
@@ -83,10 +83,10 @@
     """
 
     beat: Beat
-    own: Summary
-    heard: list[str]
-    ages: list[float]
-    others: list[Summary]
+    summary: Summary
+    summarized_nodes: list[str]
+    summary_ages: list[float]
+    other_summaries: list[Summary]
 
 
 class Suspect(msgspec.Struct, tag='suspect', array_like=True):
--- a/src/cranecart/mesh/_peer_state.py
+++ b/src/cranecart/mesh/_peer_state.py
@@ -61,7 +61,7 @@
             return False
         return (
             summary.sender == self.summary.sender
-            or summary.nodes >= self.summary.nodes
+            or summary.node_count >= self.summary.node_count
             or self.until <= now
         )
 
@@ -79,23 +79,23 @@
     """
 
     until: float = float('inf')
-    nodes: int = 0
-    newest: tuple[int, str] = (0, '')
+    node_count: int = 0
+    newest_config: tuple[int, str] = (0, '')
     in_flight: Counter[str] = attrs.field(factory=Counter)
     demand: Counter[str] = attrs.field(factory=Counter)
-    places: dict[str, str] = attrs.field(factory=dict)
-    announced: dict[str, list[Reader]] = attrs.field(factory=dict)
+    placer_addresses: dict[str, str] = attrs.field(factory=dict)
+    source_readers: dict[str, list[Reader]] = attrs.field(factory=dict)
 
     def add_beat(self, beat: Beat) -> None:
         """Add one node's figures."""
-        self.nodes += 1
+        self.node_count += 1
         self.in_flight.update(beat.in_flight)
         self.demand.update(beat.demand)
         self._note_config(beat.config_version, beat.address)
-        if beat.places:
-            self.places[beat.places] = beat.address
-        for source, version in beat.announced.items():
-            told = self.announced.setdefault(source, [])
+        if beat.placer_domain:
+            self.placer_addresses[beat.placer_domain] = beat.address
+        for source, version in beat.source_versions.items():
+            told = self.source_readers.setdefault(source, [])
             told.append((beat.sender, version))
 
     def add_summary(self, summary: Summary) -> None:
@@ -103,8 +103,8 @@
         self.in_flight.update(summary.in_flight)
         self.demand.update(summary.demand)
         self._note_config(summary.config_version, summary.config_address)
-        for source, told in summary.announced.items():
-            self.announced.setdefault(source, []).append(told)
+        for source, told in summary.source_readers.items():
+            self.source_readers.setdefault(source, []).append(told)
 
     def leave_out(self, beat: Beat) -> None:
         """Take out of a sum what this node itself has told."""
@@ -113,8 +113,8 @@
 
     def _note_config(self, version: int, address: str) -> None:
         """Keep the first of equals, so that not all ask the same node."""
-        if version > self.newest[0]:
-            self.newest = (version, address)
+        if version > self.newest_config[0]:
+            self.newest_config = (version, address)
 
 
 @attrs.define
@@ -154,8 +154,8 @@
 
     def take_digest(self, digest: Digest) -> None:
         """Take over what a relay of the own failure domain told."""
-        if self.take_summary(digest.own, self._clock()):
-            self._relayed = frozenset(digest.heard)
+        if self.take_summary(digest.summary, self._clock()):
+            self._relayed = frozenset(digest.summarized_nodes)
 
     def drop(self, name: str) -> None:
         """Forget a node that stops or was taken from the table.
@@ -208,9 +208,9 @@
 
     def _sum(self, now: float) -> Totals:
         totals = Totals()
-        own = self._summaries.get(self._domain)
-        if own is not None:
-            self._add_summary(totals, own, now)
+        local = self._summaries.get(self._domain)
+        if local is not None:
+            self._add_summary(totals, local, now)
         for domain, one in self._summaries.items():
             if domain != self._domain:
                 self._add_summary(totals, one, now)
@@ -226,25 +226,27 @@
         now: float,
     ) -> None:
         summary = one.summary
-        is_own = summary.failure_domain == self._domain
+        is_local = summary.failure_domain == self._domain
         if one.counted_until > now:
-            is_told = is_own and self._name in self._relayed
-            totals.nodes += summary.nodes - int(is_told)
+            is_told = is_local and self._name in self._relayed
+            totals.node_count += summary.node_count - int(is_told)
             totals.until = min(totals.until, one.counted_until)
         if one.until > now:
             totals.add_summary(summary)
             totals.until = min(totals.until, one.until)
-            if not is_own and summary.placer:
-                totals.places[summary.failure_domain] = summary.placer
-            if is_own and self.told and self._name in self._relayed:
+            if not is_local and summary.placer_address:
+                totals.placer_addresses[summary.failure_domain] = (
+                    summary.placer_address
+                )
+            if is_local and self.told and self._name in self._relayed:
                 totals.leave_out(self.told)
 
     def _add_beat(self, totals: Totals, heard: HeardBeat, now: float) -> None:
         """Add a beat, or only its duty where a summary holds the rest."""
         beat = heard.beat
         totals.until = min(totals.until, heard.until)
-        if beat.places:
-            totals.places[beat.places] = beat.address
+        if beat.placer_domain:
+            totals.placer_addresses[beat.placer_domain] = beat.address
         told = self._summaries.get(beat.failure_domain)
         is_told = told is not None and told.counted_until > now
         if is_told and beat.failure_domain == self._domain:
--- a/src/cranecart/mesh/_rendezvous.py
+++ b/src/cranecart/mesh/_rendezvous.py
@@ -18,7 +18,7 @@
 
 
 def sharing_node_count(
-    circle: MeshState,
+    state: MeshState,
     failure_domain: str,
     name: str,
     most: int,
@@ -30,20 +30,20 @@
     between failure domains are paid for, and a node that is cut off from them
     cannot know who sends.
     """
-    own = circle.own
-    if own.stopping:
+    local = state.local
+    if local.stopping:
         return 0
-    domains = circle.roster.live_domains()
+    domains = state.roster.live_domains()
     home = failure_domain
     if home not in domains:
-        home = first_names(domains, name, 1)[0]
-    if home != own.failure_domain:
+        home = top_ranked_names(domains, name, 1)[0]
+    if home != local.failure_domain:
         return 0
-    chosen = first_names(circle.roster.live_beside(), name, most)
-    return len(chosen) if own.node_id in chosen else 0
+    chosen = top_ranked_names(state.roster.live_beside(), name, most)
+    return len(chosen) if local.node_id in chosen else 0
 
 
-def first_names(
+def top_ranked_names(
     names: Collection[str],
     target: str,
     most: int,
--- a/src/cranecart/mesh/_roster.py
+++ b/src/cranecart/mesh/_roster.py
@@ -49,22 +49,22 @@
         factory=dict,
         init=False,
     )
-    _is_large: bool = attrs.field(default=False, init=False)
+    _uses_relays: bool = attrs.field(default=False, init=False)
 
     @property
-    def is_large(self) -> bool:
+    def uses_relays(self) -> bool:
         """Tell whether relays are needed.
 
         Once one node finds so all do, or those that speak to relays only
         would not be heard; it holds until the last of them has stopped.
         """
         if len(self.peers) >= _FULL_MESH_NODES:
-            self._is_large = True
-        return self._is_large
+            self._uses_relays = True
+        return self._uses_relays
 
     def grow(self) -> None:
         """Take over that another node needs relays."""
-        self._is_large = True
+        self._uses_relays = True
 
     def add(self, name: str, peer: PeerNode) -> None:
         """Take over a node that the table names, or that speaks."""
@@ -79,8 +79,11 @@
 
     def note_digest(self, digest: Digest) -> None:
         """Take over whom a relay of the own failure domain hears."""
-        relay = digest.own.sender
-        self._digests[relay] = (self._clock(), frozenset(digest.heard))
+        relay = digest.summary.sender
+        self._digests[relay] = (
+            self._clock(),
+            frozenset(digest.summarized_nodes),
+        )
 
     def stop_relaying(self, name: str) -> None:
         """Take over that a node relays no more."""
@@ -111,7 +114,7 @@
         beside = list(self._own_peers())
         return bool(beside) and not any(map(self._is_live, beside))
 
-    def turn(self) -> int:
+    def takeover_rank(self) -> int:
         """Return when this node is to take over what one does for all.
 
         The first live node of the first failure domain does so at once, then
@@ -122,13 +125,13 @@
         domains = {peer.failure_domain for peer in self.peers.values()}
         return int(min({*domains, self._domain}) != self._domain)
 
-    def beside(self, *, with_silent: bool) -> list[str]:
+    def beside(self, *, include_silent: bool) -> list[str]:
         """Return the addresses of the own failure domain's other nodes."""
-        return self._addresses(self._own_peers(), with_silent=with_silent)
+        return self._addresses(self._own_peers(), include_silent=include_silent)
 
-    def everyone(self, *, with_silent: bool) -> list[str]:
+    def everyone(self, *, include_silent: bool) -> list[str]:
         """Return the addresses of all other nodes."""
-        return self._addresses(iter(self.peers), with_silent=with_silent)
+        return self._addresses(iter(self.peers), include_silent=include_silent)
 
     def live_beside(self) -> list[str]:
         """Return the own failure domain's live nodes, this one included."""
@@ -151,7 +154,7 @@
             if name != self._name
         ]
 
-    def far_relays(self, *, with_silent: bool) -> list[str]:
+    def far_relays(self, *, include_silent: bool) -> list[str]:
         """Return the addresses of those who take in news elsewhere.
 
         Where they are not known, all nodes of that failure domain are tried:
@@ -169,7 +172,10 @@
             for name, peer in self.peers.items()
             if peer.failure_domain not in {self._domain, *summaries}
         )
-        return [*known, *self._addresses(unknown, with_silent=with_silent)]
+        return [
+            *known,
+            *self._addresses(unknown, include_silent=include_silent),
+        ]
 
     def _covered(self) -> frozenset[str] | None:
         """Return whom earlier names hear that relay now, if any does."""
@@ -192,12 +198,12 @@
         self,
         names: Iterator[str],
         *,
-        with_silent: bool,
+        include_silent: bool,
     ) -> list[str]:
         return [
             self.peers[name].address
             for name in names
-            if with_silent or self._is_live(name)
+            if include_silent or self._is_live(name)
         ]
 
     def _is_live(self, name: str) -> bool:
--- a/src/cranecart/mesh/_sender.py
+++ b/src/cranecart/mesh/_sender.py
@@ -24,100 +24,100 @@
 class MessageSender:
     """Sends beats to all in a small deployment, by relays in a larger one."""
 
-    _circle: MeshState
+    _state: MeshState
     _link: PeerTransport[MeshMessage]
-    _events: MeshCallbacks
+    _callbacks: MeshCallbacks
     _behind_since: float | None = attrs.field(default=None, init=False)
 
-    def beat(self) -> Beat:
+    def build_beat(self) -> Beat:
         """Return what this node tells of itself now."""
-        self._events.renew_own()
-        own = self._circle.own
-        config = self._events.read_config()
+        self._callbacks.refresh_local_state()
+        local = self._state.local
+        config = self._callbacks.read_config()
         return Beat(
-            own.node_id,
-            own.address,
-            own.failure_domain,
+            local.node_id,
+            local.address,
+            local.failure_domain,
             config.version if config else 0,
-            own.requests,
+            local.requests,
             {
                 name: count
-                for name, count in self._events.in_flight().items()
+                for name, count in self._callbacks.read_in_flight().items()
                 if count
             },
-            own.places,
-            own.announced,
-            own.stopping,
-            own.demand,
-            self._circle.notices.recent(),
-            self._circle.roster.is_large,
+            local.placer_domain,
+            local.source_versions,
+            local.stopping,
+            local.demand,
+            self._state.notices.recent(),
+            self._state.roster.uses_relays,
         )
 
-    def tell(self, *, with_silent: bool) -> None:
+    def send_beat(self, *, include_silent: bool) -> None:
         """Send a beat to whom it concerns, or relay."""
-        roster = self._circle.roster
-        beat = self.beat()
-        self._circle.others.told = beat
-        if beat.for_relays:
-            self._tell_relays(beat, with_silent=with_silent)
+        roster = self._state.roster
+        beat = self.build_beat()
+        self._state.others.told = beat
+        if beat.via_relays:
+            self._tell_relays(beat, include_silent=include_silent)
         else:
-            everyone = roster.everyone(with_silent=with_silent)
+            everyone = roster.everyone(include_silent=include_silent)
             self._link.send_all(everyone, beat)
 
-    def spread(self, message: MeshMessage, *, with_silent: bool) -> None:
+    def publish(self, message: MeshMessage, *, include_silent: bool) -> None:
         """Tell all, in a larger deployment by the relays of other domains."""
-        roster = self._circle.roster
-        if roster.is_large:
-            beside = roster.beside(with_silent=with_silent)
-            far = roster.far_relays(with_silent=with_silent)
+        roster = self._state.roster
+        if roster.uses_relays:
+            beside = roster.beside(include_silent=include_silent)
+            far = roster.far_relays(include_silent=include_silent)
             self._link.send_all((*beside, *far), message)
         else:
-            everyone = roster.everyone(with_silent=True)
+            everyone = roster.everyone(include_silent=True)
             self._link.send_all(everyone, message)
 
     def ask_for_config(self) -> None:
         """Ask another node for a configuration that the store withholds."""
-        config = self._events.read_config()
+        config = self._callbacks.read_config()
         version = config.version if config else 0
-        newest, address = self._circle.others.totals().newest
-        if newest <= version:
+        newest_version, address = self._state.others.totals().newest_config
+        if newest_version <= version:
             self._behind_since = None
             return
-        now = self._circle.clock()
+        now = self._state.clock()
         if self._behind_since is None:
             self._behind_since = now
         elif now - self._behind_since >= _CONFIG_LAG_SECONDS:
-            own = self._circle.own
-            ask = ConfigAsk(own.node_id, own.address, version)
+            local = self._state.local
+            ask = ConfigAsk(local.node_id, local.address, version)
             self._link.send(address, ask)
             self._behind_since = now + _ASK_AGAIN_SECONDS - _CONFIG_LAG_SECONDS
 
-    def _tell_relays(self, beat: Beat, *, with_silent: bool) -> None:
-        roster = self._circle.roster
+    def _tell_relays(self, beat: Beat, *, include_silent: bool) -> None:
+        roster = self._state.roster
         if roster.is_speaking() and not beat.stopping:
-            self._relay(beat, with_silent=with_silent)
-        elif beat.places:
+            self._relay(beat, include_silent=include_silent)
+        elif beat.placer_domain:
             # Who waits for this duty hears its holder itself.
-            beside = roster.beside(with_silent=with_silent)
+            beside = roster.beside(include_silent=include_silent)
             self._link.send_all(beside, beat)
         else:
             self._link.send_all(roster.next_relays(), beat)
 
-    def _relay(self, own: Beat, *, with_silent: bool) -> None:
+    def _relay(self, own_beat: Beat, *, include_silent: bool) -> None:
         """Tell the own failure domain all, and the others a summary."""
-        roster = self._circle.roster
-        beats = [own, *self._circle.others.beside()]
+        roster = self._state.roster
+        beats = [own_beat, *self._state.others.beside()]
         summary = self._summary(beats)
-        beside = roster.beside(with_silent=with_silent)
+        beside = roster.beside(include_silent=include_silent)
         self._link.send_all(beside, self._digest(beats, summary))
-        far = roster.far_relays(with_silent=with_silent)
+        far = roster.far_relays(include_silent=include_silent)
         self._link.send_all(far, summary)
 
     def _digest(self, beats: list[Beat], summary: Summary) -> Digest:
-        now = self._circle.clock()
+        now = self._state.clock()
         told = [
             one
-            for domain, one in self._circle.others.summaries().items()
+            for domain, one in self._state.others.summaries().items()
             if domain != summary.failure_domain
         ]
         return Digest(
@@ -129,32 +129,32 @@
         )
 
     def _summary(self, beats: list[Beat]) -> Summary:
-        own = beats[0]
-        roster = self._circle.roster
+        own_beat = beats[0]
+        roster = self._state.roster
         totals = Totals()
         # Rather another node than the relay is asked for the configuration.
         for beat in reversed(beats):
             totals.add_beat(beat)
-        version, address = totals.newest
+        version, address = totals.newest_config
         return Summary(
-            own.sender,
-            own.failure_domain,
-            totals.nodes,
+            own_beat.sender,
+            own_beat.failure_domain,
+            totals.node_count,
             {
-                name: own.address
-                if name == own.sender
+                name: own_beat.address
+                if name == own_beat.sender
                 else roster.peers[name].address
                 for name in roster.relays()
             },
             version,
             address,
-            own.requests > 0 or self._circle.others.has_traffic,
+            own_beat.requests > 0 or self._state.others.has_traffic,
             dict(totals.in_flight),
-            totals.places.get(own.failure_domain, ''),
+            totals.placer_addresses.get(own_beat.failure_domain, ''),
             {
                 source: (min(told)[0], max(version for _name, version in told))
-                for source, told in totals.announced.items()
+                for source, told in totals.source_readers.items()
             },
             dict(totals.demand),
-            own.stopped,
+            own_beat.recent_stops,
         )
--- a/src/cranecart/mesh/_state.py
+++ b/src/cranecart/mesh/_state.py
@@ -28,9 +28,9 @@
     address: str
     failure_domain: str
     requests: int = 0
-    places: str = ''
+    placer_domain: str = ''
     stopping: bool = False
-    announced: dict[str, int] = attrs.field(factory=dict)
+    source_versions: dict[str, int] = attrs.field(factory=dict)
     demand: dict[str, float] = attrs.field(factory=dict)
 
 
@@ -42,18 +42,18 @@
     own state up to date before it is told.
     """
 
-    stopped: Callable[[Stopped], object]
-    suspect: Callable[[Suspect], Awaitable[None]]
-    cases: Callable[[RequestCases], bool]
-    list_news: Callable[[News[ListedInstance]], None]
-    record_news: Callable[[News[Row]], None]
-    in_flight: Callable[[], Mapping[str, int]]
+    on_stopped: Callable[[Stopped], object]
+    on_suspect: Callable[[Suspect], Awaitable[None]]
+    on_cases: Callable[[RequestCases], bool]
+    on_list_news: Callable[[News[ListedInstance]], None]
+    on_record_news: Callable[[News[Row]], None]
+    read_in_flight: Callable[[], Mapping[str, int]]
     read_config: Callable[[], RouteConfig | None]
-    take_config: Callable[[RouteConfig], None]
-    renew_own: Callable[[], None]
-    broken: Callable[[Broken], None]
-    limits: Callable[[TargetLimits], None]
-    leaving: Callable[[Leaving], object]
+    on_config: Callable[[RouteConfig], None]
+    refresh_local_state: Callable[[], None]
+    on_broken: Callable[[Broken], None]
+    on_limits: Callable[[TargetLimits], None]
+    on_leaving: Callable[[Leaving], object]
 
 
 @attrs.define
@@ -63,7 +63,7 @@
     ``digest_at`` is when a relay of the own failure domain spoke last.
     """
 
-    own: LocalState
+    local: LocalState
     clock: Callable[[], float] = since_boot
     others: PeerState = attrs.field(init=False)
     roster: Roster = attrs.field(init=False)
@@ -73,16 +73,16 @@
     @others.default
     def _make_others(self) -> PeerState:
         return PeerState(
-            self.own.node_id,
-            self.own.failure_domain,
+            self.local.node_id,
+            self.local.failure_domain,
             self.clock,
         )
 
     @roster.default
     def _make_roster(self) -> Roster:
         return Roster(
-            self.own.node_id,
-            self.own.failure_domain,
+            self.local.node_id,
+            self.local.failure_domain,
             self.others,
             self.clock,
         )
--- a/src/cranecart/serving/_holding.py
+++ b/src/cranecart/serving/_holding.py
@@ -31,7 +31,7 @@
         """Know of no request yet."""
 
         def tell(cases: Sequence[CaseUpdate]) -> None:  # noqa: WPS430
-            mesh().tell_all(RequestCases(node_id, list(cases)))
+            mesh().publish(RequestCases(node_id, list(cases)))
 
         def is_expected(runner: Runner) -> bool:  # noqa: WPS430
             listed = fleet.instances.get(runner.id)
--- a/src/cranecart/serving/_knowledge.py
+++ b/src/cranecart/serving/_knowledge.py
@@ -78,7 +78,7 @@
         small nodes for seconds.
         """
         mesh = taker.mesh
-        path = StorePath(lambda: mesh.announced(_LIST) is not None)
+        path = StorePath(lambda: mesh.announced_version(_LIST) is not None)
         return cls(
             mesh,
             SourceFollower(
@@ -212,10 +212,10 @@
     message: Callable[[str, News[Item]], SourceNews],
 ) -> Feeding[Item]:
     return Feeding(
-        lambda: mesh.announced(source),
-        lambda news: mesh.spread(message(mesh.own.node_id, news)),
+        lambda: mesh.announced_version(source),
+        lambda news: mesh.publish_news(message(mesh.local.node_id, news)),
         LONG_WAIT_SECONDS,
-        turn=mesh.circle.roster.turn,
+        turn=mesh.state.roster.takeover_rank,
     )
 
 
--- a/src/cranecart/serving/_making.py
+++ b/src/cranecart/serving/_making.py
@@ -81,19 +81,19 @@
 
     def leave(incarnation: Incarnation) -> None:  # noqa: WPS430
         if note_leaving(fleet, incarnation, 'an answer'):
-            read_mesh().tell_all(
+            read_mesh().publish(
                 Leaving(node_id, incarnation.id, incarnation.born)
             )
 
     return TargetThrottle(
         lambda domain, name, most: sharing_node_count(
-            read_mesh().circle,
+            read_mesh().state,
             domain,
             name,
             most,
         ),
         fleet.known,
-        lambda told: read_mesh().tell_all(TargetLimits(node_id, list(told))),
+        lambda told: read_mesh().publish(TargetLimits(node_id, list(told))),
         leave,
         fleet.listing.is_leaving,
     )
--- a/src/cranecart/serving/_node.py
+++ b/src/cranecart/serving/_node.py
@@ -79,7 +79,7 @@
             lambda name: self._mesh.in_flight_elsewhere(name),
             self._demand.mean_seconds,
             settings.failure_domain,
-            tell_broken=lambda incarnation: self._mesh.tell_all(
+            tell_broken=lambda incarnation: self._mesh.publish(
                 Broken(settings.node_id, incarnation.id, incarnation.born),
             ),
             gate=make_gate(settings.node_id, self._fleet, lambda: self._mesh),
@@ -117,7 +117,7 @@
         self._connections = TargetConnections()
         self._budget = SharedRetryBudget(
             retry_rules(settings),
-            self._mesh.nodes,
+            self._mesh.live_node_count,
         )
         self._gateway = self._make_gateway()
         self._clients = HttpServer(
@@ -208,7 +208,7 @@
         )
 
     async def _serve(self, request: Request, responder: Responder) -> None:
-        self._mesh.own.requests += 1
+        self._mesh.local.requests += 1
         await self._gateway.handle(request, responder)
 
     def _note_demand(self, call: RoutedCall) -> None:
@@ -252,9 +252,9 @@
         if slept:
             # Leases, deadlines and ages go by a clock that counted it.
             decision('node_was_suspended', seconds=round(slept, 3))
-        self._mesh.own.places = self._placing.places
-        self._mesh.own.announced = self._knowledge.announced()
-        self._mesh.own.demand = {
+        self._mesh.local.placer_domain = self._placing.places
+        self._mesh.local.source_versions = self._knowledge.announced()
+        self._mesh.local.demand = {
             model: round(replicas, 3)
             for model, replicas in self._demand.by_model().items()
         }
@@ -272,11 +272,11 @@
         await stop.wait()
         started = since_boot()
         self._stopping = True
-        self._mesh.own.stopping = True
+        self._mesh.local.stopping = True
         decision('node_stopping', in_flight=self._gateway.inside)
         self._clients.disable_keep_alive()
         await self._placing.hand_over()
-        self._mesh.broadcast(self._mesh.telling.beat())
+        self._mesh.broadcast(self._mesh.message_sender.build_beat())
         await self._registry.withdraw()
         await self._drain(started)
 
@@ -319,7 +319,7 @@
 
     def _take_limits(self, config: RouteConfig) -> None:
         self._clients.limits = server_limits(self._live.current, config.limits)
-        self._mesh.tell_now()
+        self._mesh.send_beat_now()
 
     def _tell_stopped(
         self,
@@ -335,14 +335,14 @@
             finishes,
         )
         if self._hear_stopped(message):
-            self._mesh.tell_stopped(message)
+            self._mesh.publish_stopped(message)
 
     async def _tell_suspect(
         self,
         forming: tuple[str, int],
         evidence: str,
     ) -> None:
-        self._mesh.tell_placer(
+        self._mesh.send_to_placer(
             self._fleet.failure_domain_of(forming),
             Suspect(self._live.current.node_id, *forming, evidence),
         )
--- a/src/cranecart/serving/_placement.py
+++ b/src/cranecart/serving/_placement.py
@@ -25,12 +25,12 @@
     mesh = parts.mesh
     view = PlacerView(
         parts.config.current,
-        lambda: mesh.hears_placer(domain),
+        lambda: mesh.has_other_placer(domain),
         lambda: parts.knowledge.is_informed,
         mesh.has_traffic,
         mesh.demand,
         parts.tell_stopped,
-        mesh.circle.roster.is_isolated,
+        mesh.state.roster.is_isolated,
         lambda: parts.knowledge.path.is_lost,
     )
     table = parts.surroundings.table
--- a/tests/lib/limit_simulation.py
+++ b/tests/lib/limit_simulation.py
@@ -14,7 +14,7 @@
 
 import attrs
 
-from cranecart.mesh._rendezvous import first_names
+from cranecart.mesh._rendezvous import top_ranked_names
 from cranecart.ports import AnswerFacts, Incarnation
 from cranecart.throttling import (
     FewestNodes,
@@ -197,7 +197,7 @@
         if not node.is_cut:
             believed |= self._seen(self.now - node.lag) - self.hidden
         near = {one for one in believed if not self.nodes[one].domain}
-        chosen = first_names(near or {name}, _LIFE.id, most)
+        chosen = top_ranked_names(near or {name}, _LIFE.id, most)
         return len(chosen) if name in chosen else 0
 
     def _seen(self, at: float) -> frozenset[str]:
--- a/tests/lib/simulated_cluster.py
+++ b/tests/lib/simulated_cluster.py
@@ -97,7 +97,7 @@
         self.dead.discard(name)
         self.nodes[name] = SimulatedNode.in_cluster(self, name)
         rows = {
-            one: PeerNode(node.circle.own.address, node.domain)
+            one: PeerNode(node.state.local.address, node.domain)
             for one, node in self.nodes.items()
         }
         for node in self.alive:
@@ -116,8 +116,8 @@
         for turn in range(round(seconds / BEAT_SECONDS)):
             for node in self.alive:
                 self.now += BEAT_SECONDS / len(self.alive)
-                node.telling.tell(with_silent=turn % 8 == 0)
-                node.telling.ask_for_config()
+                node.message_sender.send_beat(include_silent=turn % 8 == 0)
+                node.message_sender.ask_for_config()
                 self.deliver()
 
     def deliver(self) -> None:
@@ -134,7 +134,7 @@
         """Have a node tell all that a replica has stopped."""
         node = self.nodes[sender]
         node.stopped.add(name)
-        node.mesh.tell_stopped(Stopped(sender, name, 1, 'lost'))
+        node.mesh.publish_stopped(Stopped(sender, name, 1, 'lost'))
         self.deliver()
 
     def _is_open(self, sender: str, address: str) -> bool:
@@ -148,9 +148,9 @@
     """One node: its mesh, and what it was told."""
 
     mesh: Mesh
-    circle: MeshState
-    telling: MessageSender
-    hearing: MessageHandler
+    state: MeshState
+    message_sender: MessageSender
+    message_handler: MessageHandler
     in_flight: Counter[str]
     stopped: set[str]
     versions: list[int]
@@ -192,13 +192,13 @@
             lambda message: leaving.add(message.instance),
         )
         link = SimulatedTransport(cluster, name)
-        own = LocalState(name, name, domain)
-        mesh = Mesh(own, link, events, lambda: cluster.now)
+        local = LocalState(name, name, domain)
+        mesh = Mesh(local, link, events, lambda: cluster.now)
         return cls(
             mesh,
-            mesh.circle,
-            mesh.telling,
-            mesh.hearing,
+            mesh.state,
+            mesh.message_sender,
+            mesh.message_handler,
             in_flight,
             stopped,
             versions,
@@ -213,14 +213,14 @@
     @property
     def domain(self) -> str:
         """Return the node's failure domain."""
-        return self.circle.own.failure_domain
+        return self.state.local.failure_domain
 
     def hear(self, encoded: bytes) -> None:
         """Take a message over."""
         message = decode_mesh_message(encoded)
         if self.cluster.loses_stopped and isinstance(message, Stopped):
             return
-        taking = self.hearing.take(message)
+        taking = self.message_handler.take(message)
         # Nothing that it does here has to be waited for.
         with contextlib.suppress(StopIteration):
             taking.send(None)
--- a/tests/lib/store_rig.py
+++ b/tests/lib/store_rig.py
@@ -155,7 +155,7 @@
         held = HeldRows(name, surroundings.table, book)
 
         def renew_own() -> None:  # noqa: WPS430
-            mesh.own.announced = knowledge.announced()
+            mesh.local.source_versions = knowledge.announced()
 
         events = MeshCallbacks(
             lambda told: fleet.stop((told.replica, told.epoch), told.reason),
@@ -172,8 +172,8 @@
             lambda told: note_leaving(fleet, told.incarnation, told.sender),
         )
         domain = f'd{int(name.rpartition("-")[2]) % _DOMAINS}'
-        own = LocalState(name, _peer_address(name), domain)
-        mesh = Mesh(own, RigLink(rig), events)
+        local = LocalState(name, _peer_address(name), domain)
+        mesh = Mesh(local, RigLink(rig), events)
         knowledge = Knowledge.from_surroundings(
             surroundings,
             config,
@@ -206,13 +206,13 @@
 
     async def hear(self, encoded: bytes) -> None:
         """Take over what another node tells."""
-        await self.mesh.hearing.take(decode_mesh_message(encoded))
+        await self.mesh.message_handler.take(decode_mesh_message(encoded))
 
     async def _beat(self) -> None:
         turn = 0
         while True:
-            self.mesh.telling.tell(with_silent=turn % 8 == 0)
-            self.mesh.telling.ask_for_config()
+            self.mesh.message_sender.send_beat(include_silent=turn % 8 == 0)
+            self.mesh.message_sender.ask_for_config()
             self.fleet.settle_lives()
             turn += 1
             await curio.sleep(_BEAT_SECONDS)
@@ -246,8 +246,8 @@
         self.nodes[name] = node
         peers = {
             one.name: PeerNode(
-                one.mesh.own.address,
-                one.mesh.own.failure_domain,
+                one.mesh.local.address,
+                one.mesh.local.failure_domain,
             )
             for one in self.nodes.values()
         }
@@ -283,14 +283,15 @@
     def reader(self) -> str:
         """Return the node that reads the list for all."""
         return min(
-            name for name, node in self.nodes.items() if node.mesh.own.announced
+            name
+            for name, node in self.nodes.items()
+            if node.mesh.local.source_versions
         )
 
     def all_know_node(self, name: str) -> bool:
         """Tell whether all nodes know another one from its row."""
         return all(
-            name in node.mesh.circle.roster.peers
-            for node in self.nodes.values()
+            name in node.mesh.state.roster.peers for node in self.nodes.values()
         )
 
     def all_in_force(self, version: int) -> bool:
@@ -326,7 +327,7 @@
             under_way = self.wire
             self.wire = []
             nodes = {
-                node.mesh.own.address: node for node in self.nodes.values()
+                node.mesh.local.address: node for node in self.nodes.values()
             }
             for address, encoded in under_way:
                 node = nodes.get(address)
--- a/tests/unit/test_mesh.py
+++ b/tests/unit/test_mesh.py
@@ -33,7 +33,7 @@
         cluster.sent.clear()
         cluster.run(0.25)
         first = cluster.nodes['node-000'].mesh
-        self.assertEqual(first.nodes(), _SMALL)
+        self.assertEqual(first.live_node_count(), _SMALL)
         self.assertEqual(first.in_flight_elsewhere('one'), 3)
         self.assertEqual(set(cluster.sent.values()), {_SMALL - 1})
 
@@ -44,7 +44,7 @@
         cluster.dead.add('node-000')
         cluster.run(1)
         self.assertEqual(
-            {node.mesh.nodes() for node in cluster.alive},
+            {node.mesh.live_node_count() for node in cluster.alive},
             {_SMALL - 1},
         )
 
@@ -78,7 +78,7 @@
     def test_demand_of_all_is_known_everywhere(self) -> None:
         """Each placer plans for the work of all nodes."""
         for node in self.cluster.alive:
-            node.mesh.own.demand = {'large': 0.5}
+            node.mesh.local.demand = {'large': 0.5}
         self.cluster.run(1)
         for node in self.cluster.alive:
             demand = node.mesh.demand()['large']
@@ -90,7 +90,7 @@
             self._announce(name)
         self.cluster.run(1)
         told = {
-            name: node.mesh.announced('list')
+            name: node.mesh.announced_version('list')
             for name, node in self.nodes.items()
         }
         self.assertIsNone(told.pop('node-005'))
@@ -102,37 +102,39 @@
         self.cluster.run(1)
         self.cluster.dead.add('node-000')
         self.cluster.run(1.5)
-        told = {node.mesh.announced('list') for node in self.cluster.alive}
+        told = {
+            node.mesh.announced_version('list') for node in self.cluster.alive
+        }
         self.assertEqual(told, {None})
 
     def test_the_placer_is_known_beside_it_and_elsewhere(self) -> None:
         """Evidence goes to it, and others do not ask for its duty."""
         placer = self.nodes['node-020'].mesh
-        placer.own.places = 'domain-2'
+        placer.local.placer_domain = 'domain-2'
         self.cluster.run(1)
         others = [
             node for node in self.cluster.alive if node.mesh is not placer
         ]
         self.assertTrue(
-            all(node.mesh.hears_placer('domain-2') for node in others),
+            all(node.mesh.has_other_placer('domain-2') for node in others),
         )
         self.cluster.sent.clear()
-        others[0].mesh.tell_placer('domain-2', Stopped('', 'one', 1, ''))
+        others[0].mesh.send_to_placer('domain-2', Stopped('', 'one', 1, ''))
         self.assertEqual(sum(self.cluster.sent.values()), 1)
 
     def test_a_placer_tells_nobody_what_it_judges_itself(self) -> None:
         """Its own evidence concerns no other node."""
         placer = self.nodes['node-020'].mesh
-        placer.own.places = 'domain-2'
+        placer.local.placer_domain = 'domain-2'
         self.cluster.run(1)
         self.cluster.sent.clear()
-        placer.tell_placer('domain-2', Stopped('', 'one', 1, ''))
+        placer.send_to_placer('domain-2', Stopped('', 'one', 1, ''))
         self.assertEqual(sum(self.cluster.sent.values()), 0)
 
     def test_a_dead_placer_is_missed_as_soon_as_before(self) -> None:
         """Its failure domain hears it directly."""
         placer = self.nodes['node-020'].mesh
-        placer.own.places = 'domain-2'
+        placer.local.placer_domain = 'domain-2'
         self.cluster.run(1)
         self.cluster.dead.add('node-020')
         self.cluster.run(1)
@@ -140,7 +142,7 @@
             node for node in self.cluster.alive if node.domain == 'domain-2'
         ]
         self.assertFalse(
-            any(node.mesh.hears_placer('domain-2') for node in beside),
+            any(node.mesh.has_other_placer('domain-2') for node in beside),
         )
 
     def test_a_stopped_replica_is_told_by_relays(self) -> None:
@@ -155,7 +157,7 @@
             all('one' in node.stopped for node in self.cluster.alive),
         )
         teller = self.nodes['node-020'].mesh
-        far = len(teller.circle.roster.far_relays(with_silent=True))
+        far = len(teller.state.roster.far_relays(include_silent=True))
         beside = _LARGE // 3 - 1
         self.assertLessEqual(self.cluster.sent['node-020'], beside + far)
         self.assertLess(far, _LARGE // 3)
@@ -165,7 +167,7 @@
         behind = self.nodes['node-004']
         self.nodes['node-005'].configs.append(RouteConfig(3, (), {}))
         asks: list[float] = []
-        link = behind.telling._link
+        link = behind.message_sender._link
         send = link.send
         link.send = lambda address, message: (  # type: ignore[method-assign]
             asks.append(self.cluster.now)
@@ -178,7 +180,10 @@
 
     def test_turns(self) -> None:
         """One goes on at once, one of each other domain next, then all."""
-        turns = [node.mesh.circle.roster.turn() for node in self.nodes.values()]
+        turns = [
+            node.mesh.state.roster.takeover_rank()
+            for node in self.nodes.values()
+        ]
         counted = [turns.count(turn) for turn in range(3)]
         self.assertEqual(counted, [1, 2, _LARGE - 3])
 
@@ -187,7 +192,7 @@
         self.cluster.groups['node-020'] = 1
         self.cluster.run(3)
         for name, node in self.nodes.items():
-            isolated = node.mesh.circle.roster.is_isolated()
+            isolated = node.mesh.state.roster.is_isolated()
             self.assertEqual(isolated, name == 'node-020')
 
     def test_a_dead_relay_leaves_no_gap(self) -> None:
@@ -196,7 +201,7 @@
         for _turn in range(10):
             self.cluster.run(0.25)
             for node in self.cluster.alive:
-                self.assertGreaterEqual(node.mesh.nodes(), _LARGE - 1)
+                self.assertGreaterEqual(node.mesh.live_node_count(), _LARGE - 1)
         self.cluster.run(1)
         self._expect_nodes(_LARGE - 1)
 
@@ -213,7 +218,7 @@
         self.cluster.run(_FIND_SECONDS)
         for node in self.cluster.alive:
             share = 1 if node.domain == 'domain-1' else 2
-            self.assertEqual(node.mesh.nodes(), _LARGE * share / 3)
+            self.assertEqual(node.mesh.live_node_count(), _LARGE * share / 3)
         self.cluster.groups.clear()
         self.cluster.run(_FIND_SECONDS)
         self._expect_nodes(_LARGE)
@@ -231,17 +236,19 @@
         self.cluster.dead.add('node-010')
         self.cluster.start('node-010')
         started = self.nodes['node-010'].mesh
-        self.assertEqual(started.nodes(), _LARGE)
+        self.assertEqual(started.live_node_count(), _LARGE)
 
     def test_a_node_that_stops_is_not_counted(self) -> None:
         """Also a relay hands over at once."""
         relay = self.nodes['node-000'].mesh
-        relay.own.stopping = True
-        relay.broadcast(relay.telling.beat())
+        relay.local.stopping = True
+        relay.broadcast(relay.message_sender.build_beat())
         self.cluster.deliver()
         self.cluster.run(1.5)
         others = [node.mesh for node in self.cluster.alive][1:]
-        self.assertEqual({mesh.nodes() for mesh in others}, {_LARGE - 1})
+        self.assertEqual(
+            {mesh.live_node_count() for mesh in others}, {_LARGE - 1}
+        )
 
     def test_who_one_relay_does_not_hear_is_heard(self) -> None:
         """A single broken path leaves nobody out."""
@@ -249,15 +256,15 @@
         self.cluster.run(_FIND_SECONDS)
         for node in self.cluster.alive:
             if node.domain == 'domain-0':
-                self.assertGreaterEqual(node.mesh.nodes(), _LARGE)
+                self.assertGreaterEqual(node.mesh.live_node_count(), _LARGE)
 
     def _announce(self, name: str) -> None:
         reader = self.nodes[name].mesh
-        reader.own.announced = {'list': 7}
+        reader.local.source_versions = {'list': 7}
 
     def _expect_nodes(self, count: int) -> None:
         counted = {
-            name: node.mesh.nodes()
+            name: node.mesh.live_node_count()
             for name, node in self.nodes.items()
             if name not in self.cluster.dead
         }
@@ -274,7 +281,7 @@
                 cluster = SimulatedCluster.of(size)
                 cluster.run(_MEET_SECONDS)
                 teller = cluster.nodes['node-001']
-                teller.mesh.tell_all(Broken('node-001', 'i1', 7))
+                teller.mesh.publish(Broken('node-001', 'i1', 7))
                 cluster.run(0.25)
                 others = (one for one in cluster.alive if one is not teller)
                 self.assertTrue(all(one.broken == {'i1'} for one in others))
@@ -308,7 +315,10 @@
         cluster.run(_MEET_SECONDS)
         cluster.stop_replica('node-004', 'one')
         cluster.run(6)
-        repeated = [node.mesh.telling.beat().stopped for node in cluster.alive]
+        repeated = [
+            node.mesh.message_sender.build_beat().recent_stops
+            for node in cluster.alive
+        ]
         self.assertFalse(any(repeated))
 
     def test_notices_are_forgotten(self) -> None:
@@ -324,7 +334,7 @@
 
     def _expect_known(self, cluster: SimulatedCluster, name: str) -> None:
         without = [
-            node.mesh.own.node_id
+            node.mesh.local.node_id
             for node in cluster.alive
             if name not in node.stopped
         ]
@@ -361,7 +371,7 @@
     news = CaseUpdate('a', (Termination(Incarnation(f'i{number}', 1), True),))
     node = cluster.nodes[name]
     node.book.take(news, is_own=True)
-    node.mesh.tell_all(RequestCases(name, [news]))
+    node.mesh.publish(RequestCases(name, [news]))
 
 
 class NewsTest(unittest.TestCase):
@@ -373,7 +383,9 @@
         cluster.run(_MEET_SECONDS)
         cluster.sent.clear()
         reader = cluster.nodes['node-004']
-        reader.mesh.spread(ListNews('node-004', News(1, 2, {'one': None})))
+        reader.mesh.publish_news(
+            ListNews('node-004', News(1, 2, {'one': None}))
+        )
         cluster.deliver()
         heard = [node.versions for node in cluster.alive if node is not reader]
         self.assertEqual({tuple(one) for one in heard}, {(2,), (2, 2)})
@@ -390,7 +402,7 @@
             news: News[ListedInstance] = News(
                 version - 1, version, {'one': None}
             )
-            reader.mesh.spread(ListNews('node-004', news))
+            reader.mesh.publish_news(ListNews('node-004', news))
             cluster.deliver()
         self.assertLessEqual(sum(cluster.sent.values()), 2 * _LARGE * _LARGE)
         self.assertTrue(
@@ -479,7 +491,9 @@
         cluster.stop_replica('node-000', 'last')
         cluster.run(1)
         count = len(cluster.alive)
-        self.assertEqual({one.mesh.nodes() for one in cluster.alive}, {count})
+        self.assertEqual(
+            {one.mesh.live_node_count() for one in cluster.alive}, {count}
+        )
         self.assertTrue(all('last' in one.stopped for one in cluster.alive))
 
 
--- a/tests/unit/test_rendezvous.py
+++ b/tests/unit/test_rendezvous.py
@@ -11,7 +11,7 @@
 
 def _senders(cluster: SimulatedCluster, target: str, most: int) -> list[int]:
     shares = [
-        sharing_node_count(node.circle, _DOMAIN, target, most)
+        sharing_node_count(node.state, _DOMAIN, target, most)
         for node in cluster.alive
     ]
     return [share for share in shares if share]
@@ -40,7 +40,7 @@
         cluster.run(1)
         for node in cluster.alive:
             shares = [
-                sharing_node_count(node.circle, _DOMAIN, target, 1)
+                sharing_node_count(node.state, _DOMAIN, target, 1)
                 for target in _TARGETS
             ]
             self.assertEqual(any(shares), node.domain == _DOMAIN)
@@ -63,7 +63,7 @@
         cluster = SimulatedCluster.of(9)
         cluster.run(1)
         cluster.dead.update(
-            node.circle.own.node_id
+            node.state.local.node_id
             for node in cluster.alive
             if node.domain == _DOMAIN
         )
@@ -76,12 +76,12 @@
         cluster = SimulatedCluster.of(4)
         cluster.run(1)
         for node in cluster.alive:
-            node.circle.own.stopping = node.domain == _DOMAIN
+            node.state.local.stopping = node.domain == _DOMAIN
         self.assertEqual(_senders(cluster, _TARGETS[0], 1), [])
 
     def _sender(self, cluster: SimulatedCluster, target: str) -> str:
         return next(
-            node.circle.own.node_id
+            node.state.local.node_id
             for node in cluster.alive
-            if sharing_node_count(node.circle, _DOMAIN, target, 1)
+            if sharing_node_count(node.state, _DOMAIN, target, 1)
         )
--- a/tests/unit/test_said_to_leave.py
+++ b/tests/unit/test_said_to_leave.py
@@ -108,7 +108,7 @@
             cluster = SimulatedCluster.of(nodes)
             cluster.run(2)
             teller = cluster.nodes['node-000']
-            teller.mesh.tell_all(Leaving('node-000', 'i0', 7))
+            teller.mesh.publish(Leaving('node-000', 'i0', 7))
             cluster.deliver()
             heard = [node for node in cluster.alive if 'i0' in node.leaving]
             self.assertEqual(len(heard), nodes - 1)
