--- a/src/cranecart/grouping/_division.py
+++ b/src/cranecart/grouping/_allocation.py
@@ -12,27 +12,27 @@
 
 import attrs
 
-from cranecart.grouping._membership import (
+from cranecart.grouping._member_selection import (
     Candidate,
-    Composition,
-    Members,
-    Ranking,
-    counted,
-    forming_costs,
+    CandidateRanking,
+    ProposedReplica,
+    ReplicaCounts,
+    discount,
+    formation_cost,
 )
 from cranecart.grouping._objective import Objective
-from cranecart.grouping._supply import models_of
+from cranecart.grouping._plan_types import models_of
 from cranecart.models import EngineModel
 from cranecart.ports import ListedInstance
 
 # In instances that work fills. A closed replica serves nothing for a second; a
 # step that brings less is left, as chance in the measured work would bring and
 # take it.
-_CLOSE_COST = 0.12
+_PREEMPTION_COST = 0.12
 
 
 @attrs.frozen
-class Closable:
+class PreemptibleReplica:
     """A replica that serves, and could make room."""
 
     name: str
@@ -41,16 +41,16 @@
 
 
 @attrs.frozen
-class Division:
+class Allocation:
     """What becomes of a fabric domain, and what that is worth."""
 
-    formed: tuple[Members, ...]
-    closed: tuple[str, ...]
+    formed: tuple[ProposedReplica, ...]
+    preempted: tuple[str, ...]
     value: float
 
 
 @attrs.frozen
-class Pool:
+class FabricPool:
     """One fabric domain: who is free, what may close, how quickly it goes.
 
     ``load_part`` multiplies the time of loads; ``close_seconds`` is how long
@@ -58,89 +58,90 @@
     """
 
     candidates: tuple[Candidate, ...]
-    closables: tuple[Closable, ...] = ()
-    load_part: float = 1
-    close_seconds: float = 0
+    preemptible: tuple[PreemptibleReplica, ...] = ()
+    load_time_factor: float = 1
+    drain_seconds: float = 0
 
 
-def divide(
-    pool: Pool,
-    weigh: Objective,
-    present: Mapping[str, float],
-) -> Division:
+def best_allocation(
+    pool: FabricPool,
+    objective: Objective,
+    replica_counts: Mapping[str, float],
+) -> Allocation:
     """Return the division of a fabric domain that is worth most.
 
     ``present`` counts the replicas of the whole deployment.
     """
     return max(
-        _divisions(pool, weigh, present),
-        key=lambda one: (one.value, -len(one.closed)),
+        _allocations(pool, objective, replica_counts),
+        key=lambda one: (one.value, -len(one.preempted)),
     )
 
 
-def _divisions(
-    pool: Pool,
-    weigh: Objective,
-    present: Mapping[str, float],
-) -> Iterator[Division]:
-    for closed in _closings(pool.closables, weigh.models):
-        left = defaultdict(float, present)
-        for replica in closed:
-            left[replica.model] -= 1
-        for formed in _formings(pool, weigh.models, closed):
-            costs = forming_costs(formed, pool.load_part)
-            costs += _CLOSE_COST * len(closed)
-            yield Division(
+def _allocations(
+    pool: FabricPool,
+    objective: Objective,
+    replica_counts: Mapping[str, float],
+) -> Iterator[Allocation]:
+    for preempted in _possible_preemptions(pool.preemptible, objective.models):
+        remaining = defaultdict(float, replica_counts)
+        for replica in preempted:
+            remaining[replica.model] -= 1
+        for formed in _possible_formations(pool, objective.models, preempted):
+            costs = formation_cost(formed, pool.load_time_factor)
+            costs += _PREEMPTION_COST * len(preempted)
+            yield Allocation(
                 formed,
-                tuple(replica.name for replica in closed),
-                _value(weigh, left, formed) - costs / weigh.instances_needed,
+                tuple(replica.name for replica in preempted),
+                _value(objective, remaining, formed)
+                - costs / objective.instances_needed,
             )
 
 
-def _formings(
-    pool: Pool,
+def _possible_formations(
+    pool: FabricPool,
     models: Sequence[EngineModel],
-    closed: Sequence[Closable],
-) -> Iterator[tuple[Members, ...]]:
+    preempted: Sequence[PreemptibleReplica],
+) -> Iterator[tuple[ProposedReplica, ...]]:
     """Yield what can be formed; where replicas close, not only theirs anew."""
-    released = (member for replica in closed for member in replica.members)
+    released = (member for replica in preempted for member in replica.members)
     candidates = [
         *pool.candidates,
-        *(Candidate(member, pool.close_seconds) for member in released),
+        *(Candidate(member, pool.drain_seconds) for member in released),
     ]
-    ranking = Ranking(candidates, models, pool.load_part)
-    for counts in _compositions(models, len(candidates)):
-        if not closed or _has_other(counts, closed[0].model):
+    ranking = CandidateRanking(candidates, models, pool.load_time_factor)
+    for counts in _possible_counts(models, len(candidates)):
+        if not preempted or _forms_other_model(counts, preempted[0].model):
             yield ranking.assign(counts)
 
 
-def _has_other(counts: Composition, model: str) -> bool:
+def _forms_other_model(counts: ReplicaCounts, model: str) -> bool:
     """Tell whether a replica of another model is formed."""
     return any(count for one, count in counts if one.name != model)
 
 
-def _closings(
-    closables: Sequence[Closable],
+def _possible_preemptions(
+    preemptible: Sequence[PreemptibleReplica],
     models: Sequence[EngineModel],
-) -> Iterator[tuple[Closable, ...]]:
+) -> Iterator[tuple[PreemptibleReplica, ...]]:
     """Yield no closing, and those of some replicas of one model.
 
     Of each model those whose members can serve another are tried first, and
     the others not at all: they differ in nothing else.
     """
     yield ()
-    by_model: dict[str, list[Closable]] = {}
-    for replica in closables:
+    by_model: dict[str, list[PreemptibleReplica]] = {}
+    for replica in preemptible:
         by_model.setdefault(replica.model, []).append(replica)
     for model in models:
         replicas = by_model.get(model.name, [])
-        replicas.sort(key=_flexible_members, reverse=True)
-        most = min(len(replicas), _most_closed(model, models))
-        for count in range(1, most + 1):
+        replicas.sort(key=_dual_model_members, reverse=True)
+        limit = min(len(replicas), _max_preempted(model, models))
+        for count in range(1, limit + 1):
             yield tuple(replicas[:count])
 
 
-def _most_closed(model: EngineModel, models: Sequence[EngineModel]) -> int:
+def _max_preempted(model: EngineModel, models: Sequence[EngineModel]) -> int:
     """Return how many of a model's replicas one of another may need.
 
     Two for four members beside two, but four for sixteen beside four: with
@@ -150,14 +151,14 @@
     return math.ceil(largest / model.size)
 
 
-def _flexible_members(replica: Closable) -> int:
+def _dual_model_members(replica: PreemptibleReplica) -> int:
     return sum(len(set(models_of(one))) > 1 for one in replica.members)
 
 
-def _compositions(
+def _possible_counts(
     models: Sequence[EngineModel],
     instances: int,
-) -> Iterator[Composition]:
+) -> Iterator[ReplicaCounts]:
     """Yield how many replicas of each model could be formed together."""
     ranges = (range(instances // model.size + 1) for model in models)
     for counts in itertools.product(*ranges):
@@ -170,11 +171,11 @@
 
 
 def _value(
-    weigh: Objective,
-    present: Mapping[str, float],
-    formed: Sequence[Members],
+    objective: Objective,
+    replica_counts: Mapping[str, float],
+    formed: Sequence[ProposedReplica],
 ) -> float:
-    replicas = defaultdict(float, present)
+    replicas = defaultdict(float, replica_counts)
     for one in formed:
-        replicas[one.model] += counted(one.ready_seconds)
-    return weigh.value(replicas)
+        replicas[one.model] += discount(one.ready_seconds)
+    return objective.value(replicas)
--- a/src/cranecart/grouping/_duty.py
+++ b/src/cranecart/grouping/_context.py
@@ -8,11 +8,11 @@
 from cranecart.fleet import ReplicaRecord
 from cranecart.ports import Orders
 
-MessageSender = Callable[[ReplicaRecord, str], None]
+ReplicaCallback = Callable[[ReplicaRecord, str], None]
 
 
 @attrs.frozen
-class PlacerDuty:
+class PlacerContext:
     """The lease, the orders, and whom to tell of what an order showed.
 
     ``doubt`` is told of a replica whose members should be checked, ``lost``
@@ -22,7 +22,7 @@
 
     lease: Lease
     orders: Orders
-    doubt: MessageSender
-    lost: Callable[[str, str], None]
-    outdated: MessageSender
+    report_suspect: ReplicaCallback
+    report_lost: Callable[[str, str], None]
+    report_fenced: ReplicaCallback
     is_lost: Callable[[str], bool]
--- a/src/cranecart/grouping/_view.py
+++ b/src/cranecart/grouping/_environment.py
@@ -9,7 +9,7 @@
 
 
 @attrs.frozen
-class PlacerView:
+class PlacerEnvironment:
     """What a placer needs to know from the rest of its node.
 
     ``hears_other`` tells whether another node says that it holds the duty,
@@ -22,17 +22,17 @@
     """
 
     config: Callable[[], RouteConfig | None]
-    hears_other: Callable[[], bool]
-    is_informed: Callable[[], bool]
+    is_held_elsewhere: Callable[[], bool]
+    is_synced: Callable[[], bool]
     has_traffic: Callable[[], bool]
     demand: Callable[[], Mapping[str, float]]
-    tell_stopped: Callable[[ReplicaRecord, str, bool], None]
+    announce_stopped: Callable[[ReplicaRecord, str, bool], None]
     is_isolated: Callable[[], bool] = bool
-    is_cut: Callable[[], bool] = bool
+    is_store_unreachable: Callable[[], bool] = bool
 
 
 @attrs.frozen
-class PlacerPlace:
+class PlacerScope:
     """The failure domain of a placer among how many, and its engines' stall.
 
     ``stall_seconds`` is how long a head without a member stands still
--- a/src/cranecart/grouping/_forming.py
+++ b/src/cranecart/grouping/_formation.py
@@ -14,27 +14,29 @@
     TargetGoneError,
 )
 from cranecart.fleet import Fleet, RecordState, ReplicaRecord
-from cranecart.grouping._duty import PlacerDuty
+from cranecart.grouping._context import PlacerContext
 from cranecart.logs import decision
 from cranecart.ports import ListedInstance, MemberPhase
 
 # How often the list is looked at while a step is awaited; the list itself
 # tells of a change within some ten milliseconds.
-_LOOK_SECONDS = 0.03
+_POLL_SECONDS = 0.03
 # An order whose effect the list does not show is sent again after this.
-_AGAIN_SECONDS = 0.6
+_RESEND_SECONDS = 0.6
 
-_JOINED = frozenset((MemberPhase.JOINING, MemberPhase.READY, MemberPhase.OPEN))
-_READY = frozenset((MemberPhase.READY, MemberPhase.OPEN))
+_JOINED_PHASES = frozenset(
+    (MemberPhase.JOINING, MemberPhase.READY, MemberPhase.OPEN)
+)
+_READY_PHASES = frozenset((MemberPhase.READY, MemberPhase.OPEN))
 
 
 @attrs.define
-class Forming:
+class ReplicaFormation:
     """One forming of a replica, until it serves or is given up."""
 
     record: ReplicaRecord
     _fleet: Fleet
-    _duty: PlacerDuty
+    _context: PlacerContext
     _clock: Callable[[], float] = since_boot
     _ordered_at: dict[tuple[str, str], float] = attrs.field(
         factory=dict, init=False
@@ -43,14 +45,14 @@
     async def run(self) -> None:
         """Join all members, wait until all are ready, open the head."""
         started = self._clock()
-        while self._goes_on() and not self._all_in(_READY):
+        while self._is_wanted() and not self._all_members_in(_READY_PHASES):
             await self._join_missing()
-            await curio.sleep(_LOOK_SECONDS)
-        while self._goes_on() and not self._is_open():
+            await curio.sleep(_POLL_SECONDS)
+        while self._is_wanted() and not self._is_open():
             if self._is_due('open', self.record.head):
                 await self._open()
-            await curio.sleep(_LOOK_SECONDS)
-        if self._goes_on():
+            await curio.sleep(_POLL_SECONDS)
+        if self._is_wanted():
             decision(
                 'replica_open',
                 replica=self.record.name,
@@ -61,13 +63,13 @@
 
     async def _join_missing(self) -> None:
         async with curio.TaskGroup(wait=all) as joining:
-            for name in filter(self._wants_join, self.record.members):
+            for name in filter(self._needs_join, self.record.members):
                 await joining.spawn(self._join, name)
 
-    def _goes_on(self) -> bool:
+    def _is_wanted(self) -> bool:
         current = self._fleet.records.get(self.record.key)
         return (
-            self._duty.lease.is_held
+            self._context.lease.is_held
             and current is not None
             and current.state is RecordState.SERVING
         )
@@ -78,16 +80,16 @@
             return None
         return instance.phase_in(self.record.name, self.record.epoch)
 
-    def _all_in(self, phases: frozenset[MemberPhase]) -> bool:
+    def _all_members_in(self, phases: frozenset[MemberPhase]) -> bool:
         return all(self._phase(name) in phases for name in self.record.members)
 
     def _is_open(self) -> bool:
         return self._phase(self.record.head) is MemberPhase.OPEN
 
-    def _wants_join(self, name: str) -> bool:
+    def _needs_join(self, name: str) -> bool:
         # Asked last, as it notes the time of the order that follows.
         return (
-            self._phase(name) not in _JOINED
+            self._phase(name) not in _JOINED_PHASES
             and not self._is_bound_elsewhere(name)
             and self._is_due('join', name)
         )
@@ -105,7 +107,7 @@
     def _is_due(self, order: str, name: str) -> bool:
         now = self._clock()
         last = self._ordered_at.get((order, name), float('-inf'))
-        if now - last < _AGAIN_SECONDS:
+        if now - last < _RESEND_SECONDS:
             return False
         self._ordered_at[order, name] = now
         return True
@@ -114,7 +116,7 @@
         instance = self._fleet.instances.get(name)
         if instance is None:
             return
-        orders = self._duty.orders
+        orders = self._context.orders
         try:
             await orders.join(
                 instance,
@@ -122,10 +124,10 @@
                 self.record.epoch,
                 self.record.model,
                 self.record.members,
-                self._duty.lease.fencing,
+                self._context.lease.fencing,
             )
-        except _FAILURES as error:
-            self._note(instance, 'join', error)
+        except _ORDER_ERRORS as error:
+            self._handle_failure(instance, 'join', error)
             return
         decision(
             'ordered',
@@ -140,14 +142,14 @@
         if head is None:
             return
         try:
-            await self._duty.orders.open(
+            await self._context.orders.open(
                 head,
                 self.record.name,
                 self.record.epoch,
-                self._duty.lease.fencing,
+                self._context.lease.fencing,
             )
-        except _FAILURES as error:
-            self._note(head, 'open', error)
+        except _ORDER_ERRORS as error:
+            self._handle_failure(head, 'open', error)
             return
         decision(
             'ordered',
@@ -157,7 +159,7 @@
             epoch=self.record.epoch,
         )
 
-    def _note(
+    def _handle_failure(
         self,
         instance: ListedInstance,
         order: str,
@@ -175,14 +177,14 @@
             case OrderUnknownError():
                 # The same order again does no harm, and may be answered.
                 self._ordered_at.pop((order, instance.id), None)
-                self._duty.doubt(self.record, str(error))
+                self._context.report_suspect(self.record, str(error))
             case TargetGoneError() | TargetClosedError():
-                self._duty.lost(instance.id, str(error))
+                self._context.report_lost(instance.id, str(error))
             case OrderFencedError():
-                self._duty.outdated(self.record, str(error))
+                self._context.report_fenced(self.record, str(error))
 
 
-_FAILURES = (
+_ORDER_ERRORS = (
     TargetClosedError,
     OrderFencedError,
     OrderRefusedError,
--- a/src/cranecart/grouping/_stock.py
+++ b/src/cranecart/grouping/_inventory.py
@@ -6,57 +6,57 @@
 import attrs
 
 from cranecart.fleet import Fleet, RecordState, ReplicaRecord
-from cranecart.grouping._adoption import Adoption
-from cranecart.grouping._losses import Losses
-from cranecart.grouping._membership import counted
-from cranecart.grouping._reshape import CLOSE_SECONDS
+from cranecart.grouping._failure_detector import FailureDetector
+from cranecart.grouping._member_selection import discount
+from cranecart.grouping._orphans import OrphanedReplicas
+from cranecart.grouping._plan_types import PlanInput, ServingMember
+from cranecart.grouping._preemption import DRAIN_SECONDS
 from cranecart.grouping._stager import Stager
-from cranecart.grouping._supply import ServingMember, Supply
 from cranecart.models import ServiceProfile
 from cranecart.ports import ListedInstance
 
 # Loads before the first request take this part of their time.
-_EARLY_LOAD_PART = 0.1
+_STARTUP_LOAD_TIME_FACTOR = 0.1
 
 
 @attrs.frozen
-class Stock:
+class Inventory:
     """One failure domain's instances, and all replicas of the deployment."""
 
     _failure_domain: str
     _fleet: Fleet
-    _losses: Losses
+    _failure_detector: FailureDetector
     _stager: Stager
-    _adoption: Adoption
+    _orphans: OrphanedReplicas
     _demand: Callable[[], Mapping[str, float]]
     _has_traffic: Callable[[], bool]
     _stall_seconds: float
 
-    def supply(self, profile: ServiceProfile) -> Supply:
+    def plan_input(self, profile: ServiceProfile) -> PlanInput:
         """Return what a plan for a service is made from."""
-        planned_with = self._planned_with()
-        serving = [one for one in planned_with if one.service == profile.name]
-        present: dict[str, float] = defaultdict(float)
+        fixed = self._fixed_replicas()
+        serving = [one for one in fixed if one.service == profile.name]
+        replica_counts: dict[str, float] = defaultdict(float)
         for record in serving:
-            present[record.model] += self._counted(profile, record)
-        in_fabric = Counter(
+            replica_counts[record.model] += self._discounted(profile, record)
+        fabric_replica_counts = Counter(
             (record.fabric_domain, record.model) for record in serving
         )
-        free = tuple(self._free(profile.name, planned_with))
-        return Supply(
+        free = tuple(self._free(profile.name, fixed))
+        return PlanInput(
             profile,
             free,
-            present,
-            in_fabric,
+            replica_counts,
+            fabric_replica_counts,
             self._demand(),
             tuple(self._members(serving)),
             self._stager.staging(self._fleet.instances),
-            dict(self._waits()),
-            1 if self._has_traffic() else _EARLY_LOAD_PART,
+            dict(self._release_delays()),
+            1 if self._has_traffic() else _STARTUP_LOAD_TIME_FACTOR,
             sum(1 for _one in self._fleet.listing.of_service(profile.name)),
         )
 
-    def loading(self) -> int:
+    def loads_in_progress(self) -> int:
         """Return how many loads from the weight store are under way.
 
         Those of members follow from all placers' records; stagings are known
@@ -69,13 +69,13 @@
         )
         return joining + len(self._stager.staging(self._fleet.instances))
 
-    def bound(self) -> frozenset[str]:
+    def bound_instances(self) -> frozenset[str]:
         """Return the members of all replicas, also of those that end.
 
         An instance that is being freed leaves its replica when it joins
         anything else, and that must not happen before the head has ended.
         """
-        return self._adoption.members().union(
+        return self._orphans.members().union(
             name
             for record in self._fleet.records.values()
             for name in record.members
@@ -89,25 +89,27 @@
         is_own = failure_domain == self._failure_domain
         return is_own or not self._has_traffic()
 
-    def _counted(self, profile: ServiceProfile, record: ReplicaRecord) -> float:
+    def _discounted(
+        self, profile: ServiceProfile, record: ReplicaRecord
+    ) -> float:
         """Return as how much a replica counts; one that loads serves late."""
         engine = profile.engine
         model = None if engine is None else engine.model(record.model)
         if model is None or not record.loads or self._fleet.is_open(record):
             return 1
-        return counted(model.load_seconds)
+        return discount(model.load_seconds)
 
-    def _waits(self) -> Iterator[tuple[str, float]]:
+    def _release_delays(self) -> Iterator[tuple[str, float]]:
         """Yield in how many seconds members of ending replicas are free."""
         for record in self._fleet.records.values():
             if record.state is RecordState.SERVING:
                 continue
-            wait = CLOSE_SECONDS
-            if record.head in self._losses.current():
+            wait = DRAIN_SECONDS
+            if record.head in self._failure_detector.lost_instances():
                 wait = self._stall_seconds
             yield from ((name, wait) for name in record.members)
 
-    def _planned_with(self) -> tuple[ReplicaRecord, ...]:
+    def _fixed_replicas(self) -> tuple[ReplicaRecord, ...]:
         """Return the replicas that a plan takes as they are.
 
         None in the first one: what other placers have formed by now is a part
@@ -144,7 +146,7 @@
     def _free(
         self,
         service: str,
-        planned_with: Iterable[ReplicaRecord],
+        fixed: Iterable[ReplicaRecord],
     ) -> Iterator[ListedInstance]:
         """Yield the unused instances, also those that are being freed.
 
@@ -153,9 +155,9 @@
         its own part. Planning each for itself, three placers gave the large
         model 9 replicas and the small one 6, where 8 and 8 were best.
         """
-        used = {name for one in planned_with for name in one.members}
-        used.update(self._losses.current())
-        used.update(self._adoption.members())
+        used = {name for one in fixed for name in one.members}
+        used.update(self._failure_detector.lost_instances())
+        used.update(self._orphans.members())
         return (
             instance
             for instance in self._fleet.listing.of_service(service)
--- a/src/cranecart/grouping/_liveness.py
+++ b/src/cranecart/grouping/_liveness.py
@@ -18,20 +18,20 @@
 # A live instance of the placer's own failure domain answers within some
 # milliseconds; with 3 of 100 packets lost, three tries fail once in 5,000.
 # They overlap, as the time until a replica is known to stand still counts.
-_CHECK_SECONDS = 0.036
-_TRIES = 3
-_TRY_AFTER_SECONDS = 0.01
+_CONNECT_TIMEOUT_SECONDS = 0.036
+_ATTEMPTS = 3
+_ATTEMPT_INTERVAL_SECONDS = 0.01
 # A process that was not scheduled for this long trusts no clock of its own.
-_LATE_SECONDS = 0.03
+_MAX_SCHEDULING_DELAY_SECONDS = 0.03
 
 
 @attrs.frozen
-class Findings:
+class LivenessResult:
     """Which members did not answer; ``closed`` ones have no process."""
 
     silent: frozenset[str]
     closed: frozenset[str]
-    is_sure: bool = True
+    is_conclusive: bool = True
 
     @property
     def lost(self) -> frozenset[str]:
@@ -39,30 +39,32 @@
         return self.silent | self.closed
 
 
-async def _try_instance(instance: ListedInstance) -> bool | None:
+async def _probe_instance(instance: ListedInstance) -> bool | None:
     """Return whether it listens; ``None`` where nothing answers."""
-    async with curio.TaskGroup(wait=object) as tries:
-        for number in range(_TRIES):
-            await tries.spawn(_try_after, instance, number * _TRY_AFTER_SECONDS)
-    return None if tries.completed is None else tries.completed.result
+    async with curio.TaskGroup(wait=object) as attempts:
+        for number in range(_ATTEMPTS):
+            await attempts.spawn(
+                _probe_after, instance, number * _ATTEMPT_INTERVAL_SECONDS
+            )
+    return None if attempts.completed is None else attempts.completed.result
 
 
 @attrs.define
 class LivenessCheck:
     """Connects to instances; each try tells whether one listens."""
 
-    _attempt: Callable[
+    _probe: Callable[
         [ListedInstance],
         Awaitable[bool | None],
-    ] = _try_instance
+    ] = _probe_instance
     _clock: Callable[[], float] = since_boot
     checks: int = attrs.field(default=0, init=False)
 
     async def check(
         self,
         members: Sequence[ListedInstance],
-        witnesses: Sequence[ListedInstance] = (),
-    ) -> Findings:
+        reference_instances: Sequence[ListedInstance] = (),
+    ) -> LivenessResult:
         """Try all members at once; where none answers, ask the witnesses.
 
         Where nobody at all answers, this node's own link may be full or cut,
@@ -70,52 +72,59 @@
         """
         self.checks += 1
         started = self._clock()
-        answers = await self._ask(members)
-        is_heard = _any_answer(answers)
+        answers = await self._probe_all(members)
+        is_any_answered = _any_answered(answers)
         took = self._clock() - started
-        if not is_heard:
+        if not is_any_answered:
             # Members are asked again too, as all this takes a moment.
             started = self._clock()
-            everybody = await self._ask((*members, *witnesses))
-            answers = {one: everybody[one] for one in members}
-            is_heard = _any_answer(everybody)
+            all_answers = await self._probe_all(
+                (*members, *reference_instances)
+            )
+            answers = {one: all_answers[one] for one in members}
+            is_any_answered = _any_answered(all_answers)
             took = self._clock() - started
-        findings = Findings(
-            frozenset(one.id for one, how in answers.items() if how is None),
-            frozenset(one.id for one, how in answers.items() if how is False),
-            is_heard and took < _CHECK_SECONDS + _LATE_SECONDS,
+        findings = LivenessResult(
+            frozenset(
+                one.id for one, answer in answers.items() if answer is None
+            ),
+            frozenset(
+                one.id for one, answer in answers.items() if answer is False
+            ),
+            is_any_answered
+            and took < _CONNECT_TIMEOUT_SECONDS + _MAX_SCHEDULING_DELAY_SECONDS,
         )
         decision(
             'members_checked',
             instances=[one.id for one in members],
             silent=sorted(findings.silent),
             closed=sorted(findings.closed),
-            sure=findings.is_sure,
+            sure=findings.is_conclusive,
             took=round(took, 3),
         )
         return findings
 
-    async def _ask(
+    async def _probe_all(
         self,
         instances: Sequence[ListedInstance],
     ) -> Mapping[ListedInstance, bool | None]:
         async with curio.TaskGroup(wait=all) as tasks:
             for instance in instances:
-                await tasks.spawn(self._attempt, instance)
+                await tasks.spawn(self._probe, instance)
         return dict(zip(instances, tasks.results, strict=True))
 
 
-def _any_answer(answers: Mapping[ListedInstance, bool | None]) -> bool:
-    return any(how is not None for how in answers.values())
+def _any_answered(answers: Mapping[ListedInstance, bool | None]) -> bool:
+    return any(answer is not None for answer in answers.values())
 
 
-async def _try_after(instance: ListedInstance, wait: float) -> bool | None:
+async def _probe_after(instance: ListedInstance, wait: float) -> bool | None:
     """Connect once, after a wait; all tries end at the same time."""
     await curio.sleep(wait)
     try:
         connection = await HttpConnection.open(
             instance.address,
-            _CHECK_SECONDS - wait,
+            _CONNECT_TIMEOUT_SECONDS - wait,
         )
     except ConnectFailedError as error:
         is_refused = isinstance(error.__cause__, ConnectionRefusedError)
--- a/src/cranecart/grouping/_membership.py
+++ b/src/cranecart/grouping/_member_selection.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from cranecart.grouping._supply import models_of
+from cranecart.grouping._plan_types import models_of
 from cranecart.models import EngineModel
 from cranecart.ports import ListedInstance
 
@@ -13,7 +13,7 @@
 _HORIZON_SECONDS = 6.0
 # What an instance needs that had the model last, and what a head needs to
 # open, on the users' sheets.
-_LOADED_SECONDS = 0.2
+_JOIN_LOADED_SECONDS = 0.2
 _OPEN_SECONDS = 0.3
 # The costs are in instances that work fills. A member that joins with the
 # model on its host gives up its second model, which is loaded anew within the
@@ -23,7 +23,7 @@
 _LOAD_COST = 0.08
 
 # How many replicas of each model to form.
-Composition = tuple[tuple[EngineModel, int], ...]
+ReplicaCounts = tuple[tuple[EngineModel, int], ...]
 
 
 @attrs.frozen
@@ -35,7 +35,7 @@
 
 
 @attrs.frozen
-class Members:
+class ProposedReplica:
     """A replica to form, head first; it serves in ``ready_seconds``.
 
     ``cold`` members must load; ``switched`` ones give up one of two models.
@@ -43,13 +43,13 @@
 
     model: str
     instances: tuple[ListedInstance, ...]
-    cold: int
+    cold_members: int
     ready_seconds: float
-    switched: int = 0
+    switched_members: int = 0
 
 
 @attrs.frozen
-class _Ranked:
+class _RankedCandidate:
     """A candidate for one model, by how soon it could be a ready member."""
 
     seconds: float
@@ -58,7 +58,7 @@
     is_switched: bool
 
 
-class Ranking:
+class CandidateRanking:
     """Candidates, ranked once for each model.
 
     Weighing a fabric domain of 37 instances asks for some twenty compositions
@@ -70,59 +70,62 @@
         self,
         candidates: Sequence[Candidate],
         models: Sequence[EngineModel],
-        load_part: float,
+        load_time_factor: float,
     ) -> None:
         """Rank the candidates for each of the models."""
         self._ranked = {
-            model.name: _rank(candidates, model, load_part) for model in models
+            model.name: _rank(candidates, model, load_time_factor)
+            for model in models
         }
 
-    def assign(self, counts: Composition) -> tuple[Members, ...]:
+    def assign(self, counts: ReplicaCounts) -> tuple[ProposedReplica, ...]:
         """Give each replica the instances that are ready for it first."""
         taken: set[str] = set()
         formed = []
         for model, count in sorted(counts, key=lambda one: -one[0].size):
             if not count:
                 continue
-            left = [
+            remaining = [
                 one
                 for one in self._ranked[model.name]
                 if one.instance.id not in taken
             ]
             for first in range(0, count * model.size, model.size):
-                members = left[first : first + model.size]
+                members = remaining[first : first + model.size]
                 taken.update(one.instance.id for one in members)
-                formed.append(_members(members, model))
+                formed.append(_propose(members, model))
         return tuple(formed)
 
 
 def _rank(
     candidates: Sequence[Candidate],
     model: EngineModel,
-    load_part: float,
-) -> Sequence[_Ranked]:
+    load_time_factor: float,
+) -> Sequence[_RankedCandidate]:
     ordered = sorted(
         candidates,
         key=lambda one: (
-            _seconds(one, model, load_part),
+            _seconds_until_ready(one, model, load_time_factor),
             # Between those that must load, who has nothing goes first.
             len(models_of(one.instance)),
             one.instance.id,
         ),
     )
     return [
-        _Ranked(
-            _seconds(one, model, load_part),
+        _RankedCandidate(
+            _seconds_until_ready(one, model, load_time_factor),
             one.instance,
             model.name not in models_of(one.instance),
-            _gives_up(one.instance, model.name),
+            _gives_up_model(one.instance, model.name),
         )
         for one in ordered
     ]
 
 
-def _members(members: Sequence[_Ranked], model: EngineModel) -> Members:
-    return Members(
+def _propose(
+    members: Sequence[_RankedCandidate], model: EngineModel
+) -> ProposedReplica:
+    return ProposedReplica(
         model.name,
         tuple(one.instance for one in members),
         sum(one.is_cold for one in members),
@@ -131,32 +134,37 @@
     )
 
 
-def _seconds(
+def _seconds_until_ready(
     candidate: Candidate,
     model: EngineModel,
-    load_part: float,
+    load_time_factor: float,
 ) -> float:
     """Return how long an instance takes to be a ready member."""
     instance = candidate.instance
     if model.name in instance.loaded:
-        return candidate.wait_seconds + _LOADED_SECONDS
+        return candidate.wait_seconds + _JOIN_LOADED_SECONDS
     if model.name in instance.staged:
         return candidate.wait_seconds + model.staged_seconds
-    return candidate.wait_seconds + model.load_seconds * load_part
+    return candidate.wait_seconds + model.load_seconds * load_time_factor
 
 
-def counted(seconds: float) -> float:
+def discount(seconds: float) -> float:
     """Return as how much a replica counts that serves in so many seconds."""
     return _HORIZON_SECONDS / (_HORIZON_SECONDS + seconds)
 
 
-def forming_costs(formed: Sequence[Members], load_part: float) -> float:
+def formation_cost(
+    formed: Sequence[ProposedReplica], load_time_factor: float
+) -> float:
     """Return what forming takes from later plans, in instances."""
-    cold = sum(one.cold for one in formed)
-    switched = sum(one.switched for one in formed)
-    return _LOAD_COST * load_part * cold + _SWITCH_COST * switched
+    cold_members = sum(one.cold_members for one in formed)
+    switched_members = sum(one.switched_members for one in formed)
+    return (
+        _LOAD_COST * load_time_factor * cold_members
+        + _SWITCH_COST * switched_members
+    )
 
 
-def _gives_up(instance: ListedInstance, model: str) -> bool:
+def _gives_up_model(instance: ListedInstance, model: str) -> bool:
     """Tell whether an instance will have one model where it had two."""
     return bool(instance.loaded) and model not in instance.loaded
--- a/src/cranecart/grouping/_objective.py
+++ b/src/cranecart/grouping/_objective.py
@@ -18,13 +18,13 @@
 # The part of the time that each member keeps its replica from serving. On the
 # users' sheets each member dies once in a hundred seconds (20 of 54 in 34 s of
 # quiet days), and three seconds pass from a death to the next opening.
-_DOWN_A_MEMBER = 0.03
+_DOWNTIME_PER_MEMBER = 0.03
 # A model that hardly anybody asks for still wants one replica.
-_LEAST_DEMAND = 0.1
+_MIN_DEMAND = 0.1
 # Until requests tell more, this part of all instances is taken to have work.
-_ASSUMED_LOAD = 0.6
+_DEFAULT_UTILIZATION = 0.6
 # Work of this many replicas that came tells more than the declared shares.
-_KNOWN_DEMAND = 0.3
+_MIN_MEASURED_DEMAND = 0.3
 
 
 @attrs.frozen
@@ -68,27 +68,27 @@
         Each replica is whole for a part of the time, whatever others are, so
         that the mean over what is whole is a product over the replicas.
         """
-        one_more = 1 - math.exp(-_SATURATION / self.demand[model.name])
-        lost = 1 - one_more / (1 + _DOWN_A_MEMBER * model.size)
+        gain_of_first = 1 - math.exp(-_SATURATION / self.demand[model.name])
+        lost = 1 - gain_of_first / (1 + _DOWNTIME_PER_MEMBER * model.size)
         return 1 - lost ** replicas.get(model.name, 0)
 
 
-def objective(
+def build_objective(
     models: tuple[EngineModel, ...],
-    measured: Mapping[str, float],
-    instances: int,
+    measured_demand: Mapping[str, float],
+    instance_count: int,
 ) -> Objective:
     """Build the objective from measured work, or else from declared shares.
 
     ``measured`` is work that comes, in replicas that it would fill, and
     ``instances`` how many there are for all models.
     """
-    demand = measured
-    if sum(measured.values()) < _KNOWN_DEMAND:
+    demand = measured_demand
+    if sum(measured_demand.values()) < _MIN_MEASURED_DEMAND:
         shares = sum(model.share for model in models)
         demand = {
-            model.name: _ASSUMED_LOAD
-            * instances
+            model.name: _DEFAULT_UTILIZATION
+            * instance_count
             * model.share
             / (shares * model.size)
             for model in models
@@ -96,7 +96,7 @@
     return Objective(
         models,
         {
-            model.name: max(_LEAST_DEMAND, demand.get(model.name, 0))
+            model.name: max(_MIN_DEMAND, demand.get(model.name, 0))
             for model in models
         },
     )
--- a/src/cranecart/grouping/_adoption.py
+++ b/src/cranecart/grouping/_orphans.py
@@ -15,20 +15,20 @@
 from cranecart.ports import ListedInstance, MemberPhase, Membership
 
 # A replica that has just ended is listed for a moment longer.
-_STANDING_SECONDS = 1.0
+_ORPHAN_GRACE_SECONDS = 1.0
 # The list may lack members for two seconds after the table's return.
-_FILLING_SECONDS = 2.5
+_INCOMPLETE_GRACE_SECONDS = 2.5
 # Longer than both; a placer that has seen so much of the list knows the rest.
 _WATCH_SECONDS = 6.0
 
-_SERVING = frozenset((MemberPhase.OPEN, MemberPhase.CLOSING))
-_Forming = tuple[str, int]
-_Ranked = tuple[int, ListedInstance]
-_Groups = dict[_Forming, tuple[ListedInstance, ...]]
+_SERVING_PHASES = frozenset((MemberPhase.OPEN, MemberPhase.CLOSING))
+_ReplicaEpoch = tuple[str, int]
+_RankedInstance = tuple[int, ListedInstance]
+_Groups = dict[_ReplicaEpoch, tuple[ListedInstance, ...]]
 
 
 @attrs.define
-class Adoption:
+class OrphanedReplicas:
     """The replicas of one failure domain that have no record.
 
     Looked for only for a while after ``watch``, as whoever places records what
@@ -39,7 +39,9 @@
     _fleet: Fleet
     _clock: Callable[[], float] = since_boot
     _watch_until: float = attrs.field(default=float('-inf'), init=False)
-    _since: dict[_Forming, float] = attrs.field(factory=dict, init=False)
+    _first_seen: dict[_ReplicaEpoch, float] = attrs.field(
+        factory=dict, init=False
+    )
 
     def watch(self) -> None:
         """Look for such replicas from now on."""
@@ -49,18 +51,20 @@
         """Return the instances of such replicas; none of them is free."""
         return frozenset(
             member.id
-            for members in self._unrecorded().values()
+            for members in self._unrecorded_replicas().values()
             for member in members
         )
 
-    def due(self, config: RouteConfig) -> list[ReplicaRecord]:
+    def records_to_adopt(self, config: RouteConfig) -> list[ReplicaRecord]:
         """Return the records of those that have stood for long enough.
 
         One that lacks members has to end.
         """
-        found = self._unrecorded()
+        found = self._unrecorded_replicas()
         now = self._clock()
-        self._since = {one: self._since.get(one, now) for one in found}
+        self._first_seen = {
+            one: self._first_seen.get(one, now) for one in found
+        }
         return list(self._records(found, config, now))
 
     def _records(
@@ -69,29 +73,35 @@
         config: RouteConfig,
         now: float,
     ) -> Iterator[ReplicaRecord]:
-        for forming, members in found.items():
-            is_whole = _is_whole(members, config)
-            wait = _STANDING_SECONDS if is_whole else _FILLING_SECONDS
-            if now - self._since[forming] >= wait:
-                yield _record(forming, members, is_whole)
-
-    def _unrecorded(self) -> _Groups:
+        for replica_epoch, members in found.items():
+            is_complete = _is_complete(members, config)
+            wait = (
+                _ORPHAN_GRACE_SECONDS
+                if is_complete
+                else _INCOMPLETE_GRACE_SECONDS
+            )
+            if now - self._first_seen[replica_epoch] >= wait:
+                yield _record(replica_epoch, members, is_complete)
+
+    def _unrecorded_replicas(self) -> _Groups:
         if self._clock() > self._watch_until:
             return {}
-        groups: dict[_Forming, list[_Ranked]] = defaultdict(list)
+        groups: dict[_ReplicaEpoch, list[_RankedInstance]] = defaultdict(list)
         for instance, membership in self._memberships():
             key = record_key(self._failure_domain, membership.replica)
             if not self._fleet.recorded.has_known(key):
-                forming = (membership.replica, membership.epoch)
-                groups[forming].append((membership.rank, instance))
+                replica_epoch = (membership.replica, membership.epoch)
+                groups[replica_epoch].append((membership.rank, instance))
         sorted_groups = {
-            forming: tuple(one for _rank, one in sorted(ranked, key=_rank_of))
-            for forming, ranked in groups.items()
+            replica_epoch: tuple(
+                one for _rank, one in sorted(ranked, key=_rank_of)
+            )
+            for replica_epoch, ranked in groups.items()
         }
         return {
-            forming: members
-            for forming, members in sorted_groups.items()
-            if members[0].phase_in(*forming) in _SERVING
+            replica_epoch: members
+            for replica_epoch, members in sorted_groups.items()
+            if members[0].phase_in(*replica_epoch) in _SERVING_PHASES
         }
 
     def _memberships(self) -> Iterator[tuple[ListedInstance, Membership]]:
@@ -103,11 +113,11 @@
         )
 
 
-def _rank_of(ranked: _Ranked) -> int:
+def _rank_of(ranked: _RankedInstance) -> int:
     return ranked[0]
 
 
-def _is_whole(
+def _is_complete(
     members: Sequence[ListedInstance],
     config: RouteConfig,
 ) -> bool:
@@ -127,20 +137,20 @@
 
 
 def _record(
-    forming: _Forming,
+    replica_epoch: _ReplicaEpoch,
     members: Sequence[ListedInstance],
-    is_whole: bool,
+    is_complete: bool,
 ) -> ReplicaRecord:
     head = members[0]
     return ReplicaRecord(
-        forming[0],
-        forming[1],
+        replica_epoch[0],
+        replica_epoch[1],
         head.service,
         next(iter(head.loaded), ''),
         head.failure_domain,
         head.fabric_domain,
         tuple(member.id for member in members),
-        RecordState.SERVING if is_whole else RecordState.ENDING,
+        RecordState.SERVING if is_complete else RecordState.ENDING,
         'it had no record',
         births=tuple(member.born for member in members),
     )
--- a/src/cranecart/grouping/_placer.py
+++ b/src/cranecart/grouping/_placer.py
@@ -8,18 +8,18 @@
 from cranecart.duties import Lease
 from cranecart.exceptions import LeaseLostError, PlatformError
 from cranecart.fleet import Fleet, RecordState, ReplicaRecord
-from cranecart.grouping._adoption import Adoption
-from cranecart.grouping._book import RecordBook
-from cranecart.grouping._duty import PlacerDuty
-from cranecart.grouping._ending import Ending
-from cranecart.grouping._forming import Forming
-from cranecart.grouping._judge import Verdict, judge
-from cranecart.grouping._losses import Losses
-from cranecart.grouping._shaper import Shaper
+from cranecart.grouping._context import PlacerContext
+from cranecart.grouping._environment import PlacerEnvironment, PlacerScope
+from cranecart.grouping._failure_detector import FailureDetector
+from cranecart.grouping._formation import ReplicaFormation
+from cranecart.grouping._inventory import Inventory
+from cranecart.grouping._orphans import OrphanedReplicas
+from cranecart.grouping._plan_executor import PlanExecutor
+from cranecart.grouping._record_store import RecordStore
+from cranecart.grouping._record_tasks import RecordTasks
 from cranecart.grouping._stager import Stager
-from cranecart.grouping._stock import Stock
-from cranecart.grouping._tasks import RecordTasks
-from cranecart.grouping._view import PlacerPlace, PlacerView
+from cranecart.grouping._teardown import ReplicaTeardown
+from cranecart.grouping._transitions import Transition, required_transition
 from cranecart.grouping._warmer import Warmer
 from cranecart.logs import decision
 from cranecart.models import RouteConfig
@@ -33,13 +33,13 @@
 _RENEW_SECONDS = 2.0
 # While others may not hear this node, or its last call failed, they look at the
 # lease itself and would take it over.
-_DOUBTED_RENEW_SECONDS = 1.0
+_URGENT_RENEW_SECONDS = 1.0
 # How long other nodes wait before they look at the lease again.
-_LOOK_SECONDS = 0.4
+_LEASE_POLL_SECONDS = 0.4
 # Where a reader of this node does not reach the store, a look hardly succeeds.
-_CUT_LOOK_SECONDS = 3.0
+_UNREACHABLE_POLL_SECONDS = 3.0
 # How soon a placer tries again that could not read its rows.
-_AGAIN_SECONDS = 0.2
+_REREAD_SECONDS = 0.2
 # A process that stood still for so long may have lost the duty meanwhile.
 _STALL_SECONDS = 1.0
 
@@ -49,71 +49,75 @@
 
     def __init__(
         self,
-        place: PlacerPlace,
+        scope: PlacerScope,
         lease: Lease,
         table: Table,
         orders: Orders,
         fleet: Fleet,
-        view: PlacerView,
+        environment: PlacerEnvironment,
     ) -> None:
         """Build the parts; nothing runs until ``run``."""
         self.lease = lease
-        self.losses = Losses(fleet, self._end_at_once)
+        self.failure_detector = FailureDetector(fleet, self._announce_loss)
         self._wake = curio.Event()
-        self._place = place
+        self._scope = scope
         self._fleet = fleet
-        self._view = view
-        self._book = RecordBook(place.failure_domain, lease, table, fleet)
-        self._adoption = Adoption(place.failure_domain, fleet)
+        self._environment = environment
+        self._record_store = RecordStore(
+            scope.failure_domain, lease, table, fleet
+        )
+        self._orphans = OrphanedReplicas(scope.failure_domain, fleet)
         stager = Stager(
             lease,
             orders,
-            place.failure_domains,
-            view.has_traffic,
+            scope.failure_domains,
+            environment.has_traffic,
         )
-        stock = Stock(
-            place.failure_domain,
+        inventory = Inventory(
+            scope.failure_domain,
             fleet,
-            self.losses,
+            self.failure_detector,
             stager,
-            self._adoption,
-            view.demand,
-            view.has_traffic,
-            place.stall_seconds,
+            self._orphans,
+            environment.demand,
+            environment.has_traffic,
+            scope.stall_seconds,
         )
-        self._shaper = Shaper(
+        self._executor = PlanExecutor(
             fleet,
-            view,
-            self._book,
-            stock,
+            environment,
+            self._record_store,
+            inventory,
             stager,
             Warmer(lease, orders),
         )
-        self._duty = PlacerDuty(
+        self._context = PlacerContext(
             lease,
             orders,
-            self.losses.doubt,
-            self.losses.note_lost,
-            self._note_outdated,
-            lambda name: name in self.losses.current(),
+            self.failure_detector.suspect,
+            self.failure_detector.report_lost,
+            self._note_fenced,
+            lambda name: name in self.failure_detector.lost_instances(),
         )
         self._tasks = RecordTasks(fleet, self._make_task)
-        self._outdated: dict[str, str] = {}
+        self._fenced: dict[str, str] = {}
         # Nodes that start together look one after the other, and the first that
         # has the duty tells the rest.
-        self._renewed_at = since_boot() - _LOOK_SECONDS * random.random()
+        self._lease_checked_at = (
+            since_boot() - _LEASE_POLL_SECONDS * random.random()
+        )
         self._ticked_at = since_boot()
         self._stopped = False
         self._is_failing = False
 
     @property
-    def places(self) -> str:
+    def held_failure_domain(self) -> str:
         """Return the failure domain, if this node holds its duty.
 
         One whose last renewal failed does not claim it, so that others look.
         """
-        is_sure = self.lease.is_held and not self._is_failing
-        return self._place.failure_domain if is_sure else ''
+        is_confirmed = self.lease.is_held and not self._is_failing
+        return self._scope.failure_domain if is_confirmed else ''
 
     async def run(self) -> None:
         """Keep the duty if nobody else does, and act, until cancelled."""
@@ -133,41 +137,45 @@
         self._stopped = True
         await self.lease.hand_over()
 
-    async def suspect(self, forming: tuple[str, int], evidence: str) -> None:
+    async def suspect(
+        self, replica_epoch: tuple[str, int], evidence: str
+    ) -> None:
         """Look at once whether a replica stands still, if that is the duty."""
         if not self._may_act():
             return
-        for record in self._book.records():
-            if (record.name, record.epoch) == forming:
-                self.losses.doubt(record, evidence)
-                await self.losses.check((record,))
+        for record in self._record_store.records():
+            if (record.name, record.epoch) == replica_epoch:
+                self.failure_detector.suspect(record, evidence)
+                await self.failure_detector.check((record,))
 
     async def _tick(self) -> None:
         await self._keep_lease()
-        config = self._view.config()
+        config = self._environment.config()
         if config is None or not self._may_act():
             return
-        adopted = self._adoption.due(config)
+        adopted = self._orphans.records_to_adopt(config)
         if adopted:
-            await self._book.write(adopted)
-        records = self._book.records()
-        await self.losses.check(records)
+            await self._record_store.write(adopted)
+        records = self._record_store.records()
+        await self.failure_detector.check(records)
         for record in records:
-            await self._judge(record, config)
-        if self._shaper.is_settled():
+            await self._apply_transition(record, config)
+        if self._executor.is_list_stable():
             for profile in config.services.values():
-                await self._shaper.place(profile)
-        await self._tasks.follow(self._book.records())
+                await self._executor.execute(profile)
+        await self._tasks.reconcile(self._record_store.records())
 
-    async def _end_at_once(self, record: ReplicaRecord) -> None:
+    async def _announce_loss(self, record: ReplicaRecord) -> None:
         """Tell all nodes before anything is written down."""
         if record.state is RecordState.SERVING:
-            self._view.tell_stopped(record, 'a member was found lost', False)
+            self._environment.announce_stopped(
+                record, 'a member was found lost', False
+            )
         await self._wake.set()
 
     def _may_act(self) -> bool:
-        is_ready = self.lease.is_held and not self._book.is_behind
-        return is_ready and self._view.is_informed()
+        is_ready = self.lease.is_held and not self._record_store.is_stale
+        return is_ready and self._environment.is_synced()
 
     def _note_failure(self, error: Exception) -> None:
         if not self._is_failing:
@@ -176,68 +184,84 @@
 
     async def _keep_lease(self) -> None:
         now = since_boot()
-        stood_still = now - self._ticked_at > _STALL_SECONDS
+        was_stalled = now - self._ticked_at > _STALL_SECONDS
         self._ticked_at = now
         if self.lease.is_held:
-            is_due = now - self._renewed_at > self._renew_seconds()
-            if stood_still or is_due or self._is_outdated(now):
-                self._renewed_at = now
+            is_due = now - self._lease_checked_at > self._renew_seconds()
+            if was_stalled or is_due or self._needs_reread(now):
+                self._lease_checked_at = now
                 await self._renew()
             return
-        pause = _CUT_LOOK_SECONDS if self._view.is_cut() else _LOOK_SECONDS
-        if self._view.hears_other() or now - self._renewed_at < pause:
+        pause = (
+            _UNREACHABLE_POLL_SECONDS
+            if self._environment.is_store_unreachable()
+            else _LEASE_POLL_SECONDS
+        )
+        if (
+            self._environment.is_held_elsewhere()
+            or now - self._lease_checked_at < pause
+        ):
             return
-        self._renewed_at = now
-        self._book.outdate()
-        if await self.lease.keep(is_patient=self._view.is_isolated()):
+        self._lease_checked_at = now
+        self._record_store.invalidate()
+        if await self.lease.keep(is_patient=self._environment.is_isolated()):
             await self._read_records()
             self._is_failing = False
 
-    def _is_outdated(self, now: float) -> bool:
+    def _needs_reread(self, now: float) -> bool:
         """Tell whether to read anew, as the table has come back from a copy."""
-        if now - self._renewed_at < _AGAIN_SECONDS:
+        if now - self._lease_checked_at < _REREAD_SECONDS:
             return False
-        return self._book.is_behind or not self.lease.is_of_this_era
+        return self._record_store.is_stale or not self.lease.is_of_this_era
 
     async def _renew(self) -> None:
         await self.lease.keep()
-        if self.lease.is_held and self._book.is_behind:
+        if self.lease.is_held and self._record_store.is_stale:
             await self._read_records()
         self._is_failing = False
 
     async def _read_records(self) -> None:
-        await self._book.read()
-        self._adoption.watch()
+        await self._record_store.read()
+        self._orphans.watch()
 
     def _renew_seconds(self) -> float:
         """Return after how long the duty is to be shown to be held."""
-        if self._is_failing or self._view.is_isolated():
-            return _DOUBTED_RENEW_SECONDS
+        if self._is_failing or self._environment.is_isolated():
+            return _URGENT_RENEW_SECONDS
         return _RENEW_SECONDS
 
-    def _note_outdated(self, record: ReplicaRecord, why: str) -> None:
-        self._outdated[record.name] = why
+    def _note_fenced(self, record: ReplicaRecord, why: str) -> None:
+        self._fenced[record.name] = why
 
-    async def _judge(self, record: ReplicaRecord, config: RouteConfig) -> None:
+    async def _apply_transition(
+        self, record: ReplicaRecord, config: RouteConfig
+    ) -> None:
         if record.state is RecordState.ENDING:
             return
-        outdated = self._outdated.pop(record.name, '')
-        verdict = (
-            Verdict(RecordState.ENDING, outdated)
-            if outdated
-            else judge(record, self._fleet, self.losses.current(), config)
+        fenced_reason = self._fenced.pop(record.name, '')
+        transition = (
+            Transition(RecordState.ENDING, fenced_reason)
+            if fenced_reason
+            else required_transition(
+                record,
+                self._fleet,
+                self.failure_detector.lost_instances(),
+                config,
+            )
         )
-        if verdict is None or verdict.state is record.state:
+        if transition is None or transition.state is record.state:
             return
-        await self._shaper.change(record, verdict)
+        await self._executor.set_state(record, transition)
 
-    def _make_task(self, record: ReplicaRecord) -> Forming | Ending:
+    def _make_task(
+        self, record: ReplicaRecord
+    ) -> ReplicaFormation | ReplicaTeardown:
         if record.state is RecordState.SERVING:
-            return Forming(record, self._fleet, self._duty)
-        return Ending(
+            return ReplicaFormation(record, self._fleet, self._context)
+        return ReplicaTeardown(
             record,
             self._fleet,
-            self._duty,
-            self._book,
-            self._place.stall_seconds,
+            self._context,
+            self._record_store,
+            self._scope.stall_seconds,
         )
--- a/src/cranecart/grouping/_plan.py
+++ b/src/cranecart/grouping/_plan.py
@@ -5,147 +5,170 @@
 
 import attrs
 
-from cranecart.grouping._division import (
-    Division,
-    Pool,
-    divide,
+from cranecart.grouping._allocation import (
+    Allocation,
+    FabricPool,
+    best_allocation,
 )
-from cranecart.grouping._membership import Candidate, Members, counted
-from cranecart.grouping._reshape import Closing, closables
-from cranecart.grouping._spares import assign_spares, second_models
-from cranecart.grouping._supply import (
+from cranecart.grouping._member_selection import (
+    Candidate,
+    ProposedReplica,
+    discount,
+)
+from cranecart.grouping._plan_types import (
     NewReplica,
     Plan,
+    PlanInput,
     Staging,
     StagingUse,
-    Supply,
     Warming,
 )
+from cranecart.grouping._preemption import PreemptionScope, preemptible_replicas
+from cranecart.grouping._spares import assign_spares, stage_second_models
 from cranecart.ports import ListedInstance
 
 
-def plan(supply: Supply, closing: Closing = Closing.NOTHING) -> Plan:
+def plan(
+    plan_input: PlanInput, scope: PreemptionScope = PreemptionScope.NONE
+) -> Plan:
     """Divide each fabric domain, then stage what is left over.
 
     At most one fabric domain's replicas are closed for others in a plan, so
     that what that brings is seen before more is closed.
     """
-    if supply.profile.engine is None:
+    if plan_input.profile.engine is None:
         return Plan()
-    by_fabric = _by_fabric(supply)
-    present: dict[str, float] = defaultdict(float, supply.present)
+    by_fabric = _by_fabric(plan_input)
+    replica_counts: dict[str, float] = defaultdict(
+        float, plan_input.replica_counts
+    )
     replicas: list[NewReplica] = []
-    closed: tuple[str, ...] = ()
+    preempted: tuple[str, ...] = ()
     for fabric, free in by_fabric.items():
-        where = closing.after_one() if closed else closing
-        division = _divide(supply, fabric, free, present, where)
-        by_fabric[fabric] = _left_over(free, division.formed)
-        begun = _begun(division, free, where)
-        closed = closed or begun.closed
-        for one in begun.formed:
-            replicas.append(_new(supply, fabric, one))
-            present[one.model] += counted(one.ready_seconds)
-    return _with_roles(supply, by_fabric, present, replicas, closed)
-
-
-def _begun(
-    division: Division,
+        scope_here = scope.after_preemption() if preempted else scope
+        allocation = _allocate(
+            plan_input, fabric, free, replica_counts, scope_here
+        )
+        by_fabric[fabric] = _unused_instances(free, allocation.formed)
+        startable = _startable(allocation, free, scope_here)
+        preempted = preempted or startable.preempted
+        for one in startable.formed:
+            replicas.append(_new_replica(plan_input, fabric, one))
+            replica_counts[one.model] += discount(one.ready_seconds)
+    return _complete_plan(
+        plan_input, by_fabric, replica_counts, replicas, preempted
+    )
+
+
+def _startable(
+    allocation: Allocation,
     free: Sequence[ListedInstance],
-    closing: Closing,
-) -> Division:
+    scope: PreemptionScope,
+) -> Allocation:
     """Return the part of a division that begins now.
 
     Where nothing may be closed yet, replicas that need it wait, and so do the
     free instances that they are to be formed from: taken by what fits them
     meanwhile, fifteen survivors of sixteen became three smaller replicas.
     """
-    if closing is not Closing.LATER:
-        return division
+    if scope is not PreemptionScope.DEFERRED:
+        return allocation
     names = {one.id for one in free}
     formed = tuple(
         one
-        for one in division.formed
+        for one in allocation.formed
         if names.issuperset(member.id for member in one.instances)
     )
-    return attrs.evolve(division, formed=formed, closed=())
+    return attrs.evolve(allocation, formed=formed, preempted=())
 
 
-def _by_fabric(supply: Supply) -> dict[str, list[ListedInstance]]:
+def _by_fabric(plan_input: PlanInput) -> dict[str, list[ListedInstance]]:
     """Sort the free instances into all fabric domains with instances."""
-    used = (one.instance for one in supply.members)
-    names = {one.fabric_domain for one in (*supply.free, *used)}
+    used = (one.instance for one in plan_input.members)
+    names = {one.fabric_domain for one in (*plan_input.free, *used)}
     by_fabric: dict[str, list[ListedInstance]] = {
         name: [] for name in sorted(names)
     }
-    for instance in supply.free:
+    for instance in plan_input.free:
         by_fabric[instance.fabric_domain].append(instance)
     return by_fabric
 
 
-def _divide(
-    supply: Supply,
+def _allocate(
+    plan_input: PlanInput,
     fabric: str,
     free: Sequence[ListedInstance],
-    present: Mapping[str, float],
-    closing: Closing,
-) -> Division:
-    pool = Pool(
-        tuple(Candidate(one, supply.waits.get(one.id, 0)) for one in free),
-        closables(supply, fabric) if closing.allows(bool(free)) else (),
-        supply.load_part,
-        closing.close_seconds,
+    replica_counts: Mapping[str, float],
+    scope: PreemptionScope,
+) -> Allocation:
+    pool = FabricPool(
+        tuple(
+            Candidate(one, plan_input.release_delays.get(one.id, 0))
+            for one in free
+        ),
+        preemptible_replicas(plan_input, fabric)
+        if scope.allows(bool(free))
+        else (),
+        plan_input.load_time_factor,
+        scope.drain_seconds,
     )
-    return divide(pool, supply.objective, present)
+    return best_allocation(pool, plan_input.objective, replica_counts)
 
 
-def _left_over(
+def _unused_instances(
     free: Sequence[ListedInstance],
-    formed: Sequence[Members],
+    formed: Sequence[ProposedReplica],
 ) -> list[ListedInstance]:
     taken = {member.id for one in formed for member in one.instances}
     return [one for one in free if one.id not in taken]
 
 
-def _new(supply: Supply, fabric: str, members: Members) -> NewReplica:
+def _new_replica(
+    plan_input: PlanInput, fabric: str, members: ProposedReplica
+) -> NewReplica:
     return NewReplica(
-        supply.profile.name,
+        plan_input.profile.name,
         members.model,
         fabric,
         members.instances,
-        members.cold,
+        members.cold_members,
         members.ready_seconds,
     )
 
 
-def _with_roles(
-    supply: Supply,
+def _complete_plan(
+    plan_input: PlanInput,
     by_fabric: dict[str, list[ListedInstance]],
-    present: Mapping[str, float],
+    replica_counts: Mapping[str, float],
     replicas: Sequence[NewReplica],
-    closed: tuple[str, ...],
+    preempted: tuple[str, ...],
 ) -> Plan:
     """Say what spares and members should have on their hosts, and load."""
-    in_fabric = Counter(supply.in_fabric)
-    in_fabric.update((one.fabric_domain, one.model) for one in replicas)
+    fabric_replica_counts = Counter(plan_input.fabric_replica_counts)
+    fabric_replica_counts.update(
+        (one.fabric_domain, one.model) for one in replicas
+    )
     roles = [
         role
         for fabric, free in by_fabric.items()
-        for role in assign_spares(supply, fabric, free, present, in_fabric)
+        for role in assign_spares(
+            plan_input, fabric, free, replica_counts, fabric_replica_counts
+        )
     ]
     return Plan(
         tuple(replicas),
-        _ordered(roles, supply),
+        _order_stagings(roles, plan_input),
         tuple(one for one in roles if isinstance(one, Warming)),
-        closed,
+        preempted,
     )
 
 
-def _ordered(
+def _order_stagings(
     roles: Sequence[Staging | Warming],
-    supply: Supply,
+    plan_input: PlanInput,
 ) -> tuple[Staging, ...]:
     """Put spares that have nothing first, and members in use last."""
     stagings = [one for one in roles if isinstance(one, Staging)]
     stagings.sort(key=lambda one: one.use is StagingUse.SECOND_MODEL)
-    members = ((one.instance, one.model) for one in supply.members)
-    return (*stagings, *second_models(supply, members))
+    members = ((one.instance, one.model) for one in plan_input.members)
+    return (*stagings, *stage_second_models(plan_input, members))
--- a/src/cranecart/grouping/_supply.py
+++ b/src/cranecart/grouping/_plan_types.py
@@ -7,12 +7,12 @@
 
 import attrs
 
-from cranecart.grouping._objective import Objective, objective
+from cranecart.grouping._objective import Objective, build_objective
 from cranecart.models import EngineModel, ServiceProfile
 from cranecart.ports import ListedInstance
 
 # So that a model without replicas has a finite need.
-_HALF_A_REPLICA = 0.5
+_REPLICA_OFFSET = 0.5
 
 
 class StagingUse(enum.Enum):
@@ -75,9 +75,11 @@
     replicas: tuple[NewReplica, ...] = ()
     stagings: tuple[Staging, ...] = ()
     warmings: tuple[Warming, ...] = ()
-    closings: tuple[str, ...] = ()
+    preempted: tuple[str, ...] = ()
 
-    def only(self, is_wanted: Callable[[ListedInstance], bool]) -> Self:
+    def restricted_to(
+        self, is_wanted: Callable[[ListedInstance], bool]
+    ) -> Self:
         """Return the part of the plan that concerns some instances."""
         return attrs.evolve(
             self,
@@ -94,7 +96,7 @@
 
 
 @attrs.frozen
-class Supply:
+class PlanInput:
     """What a plan is made from, for one service.
 
     ``free`` are the instances of one failure domain that no replica has that
@@ -109,14 +111,14 @@
 
     profile: ServiceProfile
     free: tuple[ListedInstance, ...]
-    present: Mapping[str, float]
-    in_fabric: Mapping[tuple[str, str], int]
-    measured: Mapping[str, float]
+    replica_counts: Mapping[str, float]
+    fabric_replica_counts: Mapping[tuple[str, str], int]
+    measured_demand: Mapping[str, float]
     members: tuple[ServingMember, ...] = ()
-    staging: Mapping[str, str] = attrs.field(factory=dict)
-    waits: Mapping[str, float] = attrs.field(factory=dict)
-    load_part: float = 1
-    instances: int = 0
+    pending_stagings: Mapping[str, str] = attrs.field(factory=dict)
+    release_delays: Mapping[str, float] = attrs.field(factory=dict)
+    load_time_factor: float = 1
+    instance_count: int = 0
 
     @property
     def models(self) -> tuple[EngineModel, ...]:
@@ -127,16 +129,20 @@
     @functools.cached_property
     def objective(self) -> Objective:
         """Return what divisions are weighed by."""
-        return objective(self.models, self.measured, self.instances)
+        return build_objective(
+            self.models, self.measured_demand, self.instance_count
+        )
 
-    def need(self, model: EngineModel, replicas: float) -> float:
+    def demand_per_replica(self, model: EngineModel, replicas: float) -> float:
         """Return the demand on each of so many replicas of a model."""
         demand = self.objective.demand[model.name]
-        return demand / (replicas + _HALF_A_REPLICA)
+        return demand / (replicas + _REPLICA_OFFSET)
 
-    def present_need(self, model: EngineModel) -> float:
+    def current_demand_per_replica(self, model: EngineModel) -> float:
         """Return the demand on each replica that a model has now."""
-        return self.need(model, self.present.get(model.name, 0))
+        return self.demand_per_replica(
+            model, self.replica_counts.get(model.name, 0)
+        )
 
 
 def models_of(instance: ListedInstance) -> tuple[str, ...]:
--- a/src/cranecart/grouping/_book.py
+++ b/src/cranecart/grouping/_record_store.py
@@ -12,16 +12,16 @@
     record_from_row,
     records_prefix,
 )
-from cranecart.grouping._supply import NewReplica
+from cranecart.grouping._plan_types import NewReplica
 from cranecart.logs import decision
 from cranecart.ports import Put, Table, Transaction, era_of
 
 # Well below the hundred entries of a transaction.
-_MOST_AT_ONCE = 50
+_MAX_ROWS_PER_TRANSACTION = 50
 
 
 @attrs.define
-class RecordBook:
+class RecordStore:
     """What the placer of a failure domain has decided, as rows."""
 
     failure_domain: str
@@ -32,7 +32,7 @@
     _read_era: int | None = attrs.field(default=None, init=False)
 
     @property
-    def is_behind(self) -> bool:
+    def is_stale(self) -> bool:
         """Tell whether the rows have to be read before anything is done."""
         return self._read_era != era_of(self.lease.version)
 
@@ -44,7 +44,7 @@
             if record.failure_domain == self.failure_domain
         ]
 
-    def outdate(self) -> None:
+    def invalidate(self) -> None:
         """Take over that another placer may have written rows."""
         self._read_era = None
 
@@ -58,14 +58,14 @@
         rows = await self._table.read_prefix(prefix)
         read = {key: record_from_row(row) for key, row in rows.items()}
         for record in self.records():
-            if record.key not in rows and not self._is_earlier(record):
+            if record.key not in rows and not self._predates_restore(record):
                 self._fleet.take_records({record.key: None}, False)
         self._fleet.take_records(
             {key: one for key, one in read.items() if one is not None},
             False,
         )
-        await self._write_lost()
-        await self._drop_brought_back(read)
+        await self._rewrite_missing()
+        await self._delete_resurrected(read)
         self._read_era = era_of(self.lease.version)
 
     async def write(self, records: Sequence[ReplicaRecord]) -> None:
@@ -89,7 +89,7 @@
         for record in records:
             self._log(record, version)
 
-    async def drop(self, record: ReplicaRecord) -> None:
+    async def delete(self, record: ReplicaRecord) -> None:
         """Drop a record; raise ``PlatformError`` or ``LeaseLostError``."""
         await self._table.commit(
             Transaction((self.lease.check(),), (), (record.key,)),
@@ -116,35 +116,35 @@
             births=tuple(member.born for member in new.members),
         )
 
-    async def _write_lost(self) -> None:
+    async def _rewrite_missing(self) -> None:
         """Write the records that a copy lacks, or holds in an earlier state."""
-        lost = [one for one in self.records() if self._is_earlier(one)]
-        for start in range(0, len(lost), _MOST_AT_ONCE):
-            await self.write(lost[start : start + _MOST_AT_ONCE])
-        if lost:
-            names = [record.name for record in lost]
+        missing = [one for one in self.records() if self._predates_restore(one)]
+        for start in range(0, len(missing), _MAX_ROWS_PER_TRANSACTION):
+            await self.write(missing[start : start + _MAX_ROWS_PER_TRANSACTION])
+        if missing:
+            names = [record.name for record in missing]
             decision('records_written_again', replicas=names)
 
-    async def _drop_brought_back(
+    async def _delete_resurrected(
         self,
         read: Mapping[str, ReplicaRecord | None],
     ) -> None:
         """Drop the rows of replicas that had been given up before."""
         known = self._fleet.records
-        old = [
+        resurrected = [
             key
             for key, record in read.items()
             if record is not None and key not in known
         ]
-        for start in range(0, len(old), _MOST_AT_ONCE):
-            keys = tuple(old[start : start + _MOST_AT_ONCE])
+        for start in range(0, len(resurrected), _MAX_ROWS_PER_TRANSACTION):
+            keys = tuple(resurrected[start : start + _MAX_ROWS_PER_TRANSACTION])
             await self._table.commit(
                 Transaction((self.lease.check(),), (), keys),
             )
-        if old:
-            decision('records_set_aside', rows=old)
+        if resurrected:
+            decision('records_set_aside', rows=resurrected)
 
-    def _is_earlier(self, record: ReplicaRecord) -> bool:
+    def _predates_restore(self, record: ReplicaRecord) -> bool:
         """Tell whether a record is of before the table's last return."""
         return era_of(record.version) < era_of(self.lease.version)
 
--- a/src/cranecart/grouping/_tasks.py
+++ b/src/cranecart/grouping/_record_tasks.py
@@ -6,8 +6,8 @@
 import curio
 
 from cranecart.fleet import Fleet, RecordState, ReplicaRecord
-from cranecart.grouping._ending import Ending
-from cranecart.grouping._forming import Forming
+from cranecart.grouping._formation import ReplicaFormation
+from cranecart.grouping._teardown import ReplicaTeardown
 
 
 @attrs.define
@@ -21,20 +21,20 @@
     """Starts tasks for records, and another where a record's state changes."""
 
     _fleet: Fleet
-    _make: Callable[[ReplicaRecord], Forming | Ending]
+    _make_task: Callable[[ReplicaRecord], ReplicaFormation | ReplicaTeardown]
     _running: dict[str, _Running] = attrs.field(factory=dict, init=False)
 
-    async def follow(self, records: list[ReplicaRecord]) -> None:
+    async def reconcile(self, records: list[ReplicaRecord]) -> None:
         """Have a task at work for each record that needs one."""
         for record in records:
-            if await self._is_attended(record) or not self._needs(record):
+            if await self._has_task(record) or not self._needs_task(record):
                 continue
-            task = await curio.spawn(self._make(record).run, daemon=True)
+            task = await curio.spawn(self._make_task(record).run, daemon=True)
             self._running[record.name] = _Running(record.state, task)
         for name in self._running.keys() - {one.name for one in records}:
             self._running.pop(name)
 
-    async def _is_attended(self, record: ReplicaRecord) -> bool:
+    async def _has_task(self, record: ReplicaRecord) -> bool:
         running = self._running.get(record.name)
         if running is None or running.task.terminated:
             return False
@@ -43,7 +43,7 @@
         await running.task.cancel()
         return False
 
-    def _needs(self, record: ReplicaRecord) -> bool:
+    def _needs_task(self, record: ReplicaRecord) -> bool:
         if record.state is not RecordState.SERVING:
             return True
         return not self._fleet.is_open(record)
--- a/src/cranecart/grouping/_spares.py
+++ b/src/cranecart/grouping/_spares.py
@@ -10,10 +10,10 @@
 from collections import Counter
 from collections.abc import Iterable, Mapping, Sequence
 
-from cranecart.grouping._supply import (
+from cranecart.grouping._plan_types import (
+    PlanInput,
     Staging,
     StagingUse,
-    Supply,
     Warming,
     models_of,
 )
@@ -22,96 +22,102 @@
 # The chance that a member dies before a spare that was used is replaced: some
 # 20 of 54 instances died in 34 s of the users' quiet days, a load takes 12 s
 # or more.
-_DEATHS_A_MEMBER = 0.1
+_FAILURES_PER_MEMBER = 0.1
 # Added to the replicas of a model, so that their numbers, which change every
 # second while replicas are repaired, do not outweigh a missing spare.
-_DAMPING = 1.5
+_DAMPING_REPLICAS = 1.5
 # A model without replicas in a fabric domain gets a spare there before another
 # model gets a second one, as it may be given instances again.
-_LEAST_REPLICAS = 0.5
+_MIN_REPLICAS = 0.5
 
 
 def assign_spares(
-    supply: Supply,
+    plan_input: PlanInput,
     fabric: str,
     free: Sequence[ListedInstance],
-    present: Mapping[str, float],
-    in_fabric: Mapping[tuple[str, str], int],
+    replica_counts: Mapping[str, float],
+    fabric_replica_counts: Mapping[tuple[str, str], int],
 ) -> Iterable[Staging | Warming]:
     """Warm spares for what they have; stage what none of them has."""
-    wanted = _wanted_spares(supply, fabric, len(free), present, in_fabric)
+    wanted = _wanted_spares(
+        plan_input, fabric, len(free), replica_counts, fabric_replica_counts
+    )
     idle = []
-    warm = []
+    loaded_spares = []
     for instance in sorted(free, key=lambda one: one.id):
-        coming = supply.staging.get(instance.id, '')
-        models = (*models_of(instance), coming)
+        pending = plan_input.pending_stagings.get(instance.id, '')
+        models = (*models_of(instance), pending)
         kept = next((one for one in models if wanted[one]), None)
         if kept is None:
             idle.append(instance)
             continue
         wanted[kept] -= 1
         if kept in instance.loaded:
-            warm.append((instance, kept))
+            loaded_spares.append((instance, kept))
         elif kept in instance.staged:
             yield Warming(instance, kept)
     missing = wanted.elements()
     yield from (
         Staging(instance, model)
         for instance, model in zip(idle, missing, strict=False)
-        if instance.id not in supply.staging
+        if instance.id not in plan_input.pending_stagings
     )
-    yield from second_models(supply, warm)
+    yield from stage_second_models(plan_input, loaded_spares)
 
 
-def second_models(
-    supply: Supply,
+def stage_second_models(
+    plan_input: PlanInput,
     loaded: Iterable[tuple[ListedInstance, str]],
 ) -> Iterable[Staging]:
     """Stage another model than the one that an instance has loaded."""
     scarcest_first = sorted(
-        supply.models,
-        key=supply.present_need,
+        plan_input.models,
+        key=plan_input.current_demand_per_replica,
         reverse=True,
     )
     for instance, model in loaded:
         others = [one.name for one in scarcest_first if one.name != model]
-        if instance.id in supply.staging:
+        if instance.id in plan_input.pending_stagings:
             continue
         if others and not set(others) & set(instance.staged):
             yield Staging(instance, others[0], StagingUse.SECOND_MODEL)
 
 
 def _wanted_spares(
-    supply: Supply,
+    plan_input: PlanInput,
     fabric: str,
     spares: int,
-    present: Mapping[str, float],
-    in_fabric: Mapping[tuple[str, str], int],
+    replica_counts: Mapping[str, float],
+    fabric_replica_counts: Mapping[tuple[str, str], int],
 ) -> Counter[str]:
     """Give each spare to the model for which one more is worth most."""
     needs = {
-        model.name: supply.need(model, present.get(model.name, 0) + _DAMPING)
-        for model in supply.models
+        model.name: plan_input.demand_per_replica(
+            model, replica_counts.get(model.name, 0) + _DAMPING_REPLICAS
+        )
+        for model in plan_input.models
     }
     members = {
         model.name: model.size
-        * max(in_fabric.get((fabric, model.name), 0), _LEAST_REPLICAS)
-        for model in supply.models
+        * max(fabric_replica_counts.get((fabric, model.name), 0), _MIN_REPLICAS)
+        for model in plan_input.models
     }
     wanted: Counter[str] = Counter()
     for _spare in range(spares):
-        worth = {
-            name: need * _chance_of_deaths(wanted[name] + 1, members[name])
-            for name, need in needs.items()
+        gains = {
+            name: demand_per_replica
+            * _failure_probability(wanted[name] + 1, members[name])
+            for name, demand_per_replica in needs.items()
         }
-        wanted[max(worth, key=worth.__getitem__)] += 1
+        wanted[max(gains, key=gains.__getitem__)] += 1
     return wanted
 
 
-def _chance_of_deaths(least: int, members: float) -> float:
+def _failure_probability(at_least: int, members: float) -> float:
     """Return the chance that so many of the members or more die soon."""
-    expected = _DEATHS_A_MEMBER * members
+    expected = _FAILURES_PER_MEMBER * members
     fewer = sum(
-        expected**deaths / math.factorial(deaths) for deaths in range(least)
+        expected**failures / math.factorial(failures)
+        for failures in range(at_least)
     )
     return 1 - math.exp(-expected) * fewer
--- a/src/cranecart/grouping/_settling.py
+++ b/src/cranecart/grouping/_stabilization.py
@@ -10,34 +10,36 @@
 
 # Instances that return together are listed one by one, within a heartbeat of
 # 1.2 s on both users' sheets.
-_HEARTBEAT_SECONDS = 1.3
+_HEARTBEAT_QUIET_SECONDS = 1.3
 # At the first start the list grows every few milliseconds until it is whole;
 # nine instances of a fabric domain that returns come a sixth of a second
 # apart.
-_START_SECONDS = 0.35
+_STARTUP_QUIET_SECONDS = 0.35
 
 
 @attrs.define
-class Settling:
+class ListStabilization:
     """The instances of each fabric domain, and when they last changed."""
 
     _clock: Callable[[], float] = since_boot
-    _names: dict[str, frozenset[str]] = attrs.field(factory=dict, init=False)
-    _since: dict[str, float] = attrs.field(factory=dict, init=False)
+    _instance_ids: dict[str, frozenset[str]] = attrs.field(
+        factory=dict, init=False
+    )
+    _changed_at: dict[str, float] = attrs.field(factory=dict, init=False)
     _listed_at: dict[str, float] = attrs.field(factory=dict, init=False)
 
-    def note(self, instances: Iterable[ListedInstance]) -> None:
+    def update(self, instances: Iterable[ListedInstance]) -> None:
         """Take over which instances are listed now."""
         current: dict[str, set[str]] = defaultdict(set)
         for instance in instances:
             current[instance.fabric_domain].add(instance.id)
         now = self._clock()
-        for fabric in current.keys() | self._names.keys():
+        for fabric in current.keys() | self._instance_ids.keys():
             names = frozenset(current.get(fabric, ()))
-            if names != self._names.get(fabric):
-                self._names[fabric] = names
-                self._since[fabric] = now
-        listed = frozenset().union(*self._names.values())
+            if names != self._instance_ids.get(fabric):
+                self._instance_ids[fabric] = names
+                self._changed_at[fabric] = now
+        listed = frozenset().union(*self._instance_ids.values())
         self._listed_at = {
             name: self._listed_at.get(name, now) for name in listed
         }
@@ -48,7 +50,7 @@
         A replica whose members must load first takes so long that it pays
         to wait for instances that have the model already.
         """
-        return self._rest(fabric_domain) > _HEARTBEAT_SECONDS
+        return self._seconds_unchanged(fabric_domain) > _HEARTBEAT_QUIET_SECONDS
 
     def may_use(self, members: Iterable[ListedInstance]) -> bool:
         """Tell whether no member came with others that are still coming.
@@ -57,14 +59,18 @@
         """
         now = self._clock()
         return all(
-            now - self._listed_at.get(one.id, now) > _HEARTBEAT_SECONDS
-            or self._rest(one.fabric_domain) > _START_SECONDS
+            now - self._listed_at.get(one.id, now) > _HEARTBEAT_QUIET_SECONDS
+            or self._seconds_unchanged(one.fabric_domain)
+            > _STARTUP_QUIET_SECONDS
             for one in members
         )
 
-    def is_whole(self) -> bool:
+    def is_stable(self) -> bool:
         """Tell whether the list of a starting deployment seems complete."""
-        return all(self._rest(name) > _START_SECONDS for name in self._names)
+        return all(
+            self._seconds_unchanged(name) > _STARTUP_QUIET_SECONDS
+            for name in self._instance_ids
+        )
 
-    def _rest(self, fabric_domain: str) -> float:
-        return self._clock() - self._since.get(fabric_domain, float('inf'))
+    def _seconds_unchanged(self, fabric_domain: str) -> float:
+        return self._clock() - self._changed_at.get(fabric_domain, float('inf'))
--- a/src/cranecart/grouping/_stager.py
+++ b/src/cranecart/grouping/_stager.py
@@ -8,18 +8,18 @@
 from cranecart.clocks import since_boot
 from cranecart.duties import Lease
 from cranecart.exceptions import OrderError
-from cranecart.grouping._loads import LoadBudget
-from cranecart.grouping._supply import Staging, StagingUse
+from cranecart.grouping._load_budget import LoadBudget
+from cranecart.grouping._plan_types import Staging, StagingUse
 from cranecart.logs import decision
 from cranecart.models import EngineProfile
 from cranecart.ports import Incarnation, ListedInstance, Orders
 
 # Longer than a load takes while the weight store is busy, so that the same
 # instance is not asked again meanwhile.
-_STAGE_AGAIN_SECONDS = 25.0
+_STAGE_RETRY_SECONDS = 25.0
 # Loads that second models leave to what matters more: replicas that wait for
 # them, and spares that could join nothing.
-_RESERVE = 2
+_RESERVED_LOADS = 2
 
 
 @attrs.define
@@ -31,12 +31,12 @@
     _placers: int
     _has_traffic: Callable[[], bool]
     _clock: Callable[[], float] = since_boot
-    _loads: LoadBudget = attrs.field(factory=LoadBudget, init=False)
-    _staged_at: dict[tuple[Incarnation, str], float] = attrs.field(
+    _load_budget: LoadBudget = attrs.field(factory=LoadBudget, init=False)
+    _ordered_at: dict[tuple[Incarnation, str], float] = attrs.field(
         factory=dict,
         init=False,
     )
-    _orders_out: dict[Incarnation, tuple[float, str]] = attrs.field(
+    _pending: dict[Incarnation, tuple[float, str]] = attrs.field(
         factory=dict,
         init=False,
     )
@@ -47,22 +47,19 @@
     ) -> Mapping[str, str]:
         """Return the models that instances are still being brought."""
         now = self._clock()
-        self._orders_out = {
+        self._pending = {
             incarnation: (at, model)
-            for incarnation, (at, model) in self._orders_out.items()
-            if now - at < _STAGE_AGAIN_SECONDS
-            and _is_awaited(instances.get(incarnation.id), incarnation, model)
-        }
-        return {
-            incarnation.id: model
-            for incarnation, (_, model) in self._orders_out.items()
+            for incarnation, (at, model) in self._pending.items()
+            if now - at < _STAGE_RETRY_SECONDS
+            and _is_pending(instances.get(incarnation.id), incarnation, model)
         }
+        return {incarnation.id: model for incarnation, (_, model) in self._pending.items()}
 
     def may_load(
         self,
         engine: EngineProfile,
         count: int,
-        loading: int,
+        in_progress: int,
         reserve: int = 0,
     ) -> bool:
         """Take some loads from the budget; they are free before traffic.
@@ -72,27 +69,31 @@
         """
         if not count or not self._has_traffic():
             return True
-        if loading and loading + count > engine.loads_at_once - reserve:
+        if in_progress and in_progress + count > engine.loads_at_once - reserve:
             return False
-        return self._loads.take(count, engine.loads_per_second, self._placers)
+        return self._load_budget.take(
+            count, engine.loads_per_second, self._placers
+        )
 
     async def stage(
         self,
         engine: EngineProfile,
         staging: Staging,
-        loading: int,
+        in_progress: int,
     ) -> None:
         """Order a staging, unless it was ordered or the budget is spent."""
         instance = staging.instance
         order = (instance.incarnation, staging.model)
-        last = self._staged_at.get(order, float('-inf'))
-        if self._clock() - last < _STAGE_AGAIN_SECONDS:
+        last = self._ordered_at.get(order, float('-inf'))
+        if self._clock() - last < _STAGE_RETRY_SECONDS:
             return
-        reserve = _RESERVE if staging.use is StagingUse.SECOND_MODEL else 0
-        if not self.may_load(engine, 1, loading, reserve):
+        reserve = (
+            _RESERVED_LOADS if staging.use is StagingUse.SECOND_MODEL else 0
+        )
+        if not self.may_load(engine, 1, in_progress, reserve):
             return
-        self._orders_out[instance.incarnation] = (self._clock(), staging.model)
-        self._staged_at[order] = self._clock()
+        self._pending[instance.incarnation] = (self._clock(), staging.model)
+        self._ordered_at[order] = self._clock()
         decision(
             'staging',
             instance=instance.id,
@@ -117,12 +118,12 @@
             )
 
 
-def _is_awaited(
+def _is_pending(
     instance: ListedInstance | None,
     incarnation: Incarnation,
     model: str,
 ) -> bool:
-    """Tell whether the life that was given an order may still carry it out."""
+    """Tell whether the incarnation that was given an order may still carry it out."""
     return (
         instance is not None
         and instance.incarnation == incarnation
--- a/src/cranecart/grouping/_ending.py
+++ b/src/cranecart/grouping/_teardown.py
@@ -23,90 +23,92 @@
     TargetGoneError,
 )
 from cranecart.fleet import Fleet, RecordState, ReplicaRecord
-from cranecart.grouping._book import RecordBook
-from cranecart.grouping._duty import PlacerDuty
+from cranecart.grouping._context import PlacerContext
+from cranecart.grouping._record_store import RecordStore
 from cranecart.logs import decision
 from cranecart.ports import ListedInstance, MemberPhase
 
-_AGAIN_SECONDS = 0.1
+_RETRY_SECONDS = 0.1
 # A head that was found lost is asked again this often: in case it is alive and
 # was cut off only. A dead one took an order each half second until its end.
-_LOST_AGAIN_SECONDS = 1.5
+_LOST_RETRY_SECONDS = 1.5
 # Beyond the time that engines need to find a member lost; covers the order's
 # way there and the grain in which engines look.
-_STALL_SLACK_SECONDS = 0.3
+_STALL_MARGIN_SECONDS = 0.3
 # What a replica may take to finish when it is closed, below the ten seconds
 # that an engine waits for its head's work.
-_CLOSE_SECONDS = 6.0
+_DRAIN_TIMEOUT_SECONDS = 6.0
 
-_SERVED_OUT = frozenset((MemberPhase.READY, MemberPhase.BROKEN, None))
+_DRAINED_PHASES = frozenset((MemberPhase.READY, MemberPhase.BROKEN, None))
 
 
 @attrs.define
-class Ending:
+class ReplicaTeardown:
     """The end of one forming of a replica."""
 
     record: ReplicaRecord
     _fleet: Fleet
-    _duty: PlacerDuty
-    _book: RecordBook
+    _context: PlacerContext
+    _record_store: RecordStore
     _stall_seconds: float
     _clock: Callable[[], float] = since_boot
     _member_left_at: float | None = attrs.field(default=None, init=False)
     _head_asked_at: float = attrs.field(default=float('-inf'), init=False)
     _lost_asked_at: float = attrs.field(default=float('-inf'), init=False)
-    _lost_turn: int = attrs.field(default=0, init=False)
+    _lost_attempts: int = attrs.field(default=0, init=False)
 
     async def run(self) -> None:
         """Let the replica finish if it may, free its members, and forget it."""
         started = self._clock()
         if self.record.state is RecordState.CLOSING:
-            await self._close()
+            await self._drain()
         why = ''
-        while self._duty.lease.is_held and not why:
-            why = await self._try_free()
+        while self._context.lease.is_held and not why:
+            why = await self._try_release_members()
             if not why:
-                await curio.sleep(_AGAIN_SECONDS)
-        while self._duty.lease.is_held and not await self._forget(why, started):
-            await curio.sleep(_AGAIN_SECONDS)
-
-    async def _close(self) -> None:
-        until = self._clock() + _CLOSE_SECONDS
-        while self._duty.lease.is_held and self._clock() < until:
+                await curio.sleep(_RETRY_SECONDS)
+        while self._context.lease.is_held and not await self._delete_record(
+            why, started
+        ):
+            await curio.sleep(_RETRY_SECONDS)
+
+    async def _drain(self) -> None:
+        until = self._clock() + _DRAIN_TIMEOUT_SECONDS
+        while self._context.lease.is_held and self._clock() < until:
             head = self._fleet.instances.get(self.record.head)
-            if head is None or self._head_phase() in _SERVED_OUT:
+            if head is None or self._head_phase() in _DRAINED_PHASES:
                 return
             if self._head_phase() is MemberPhase.OPEN:
-                await self._order(self._duty.orders.close, head)
-            await curio.sleep(_AGAIN_SECONDS)
+                await self._order(self._context.orders.close, head)
+            await curio.sleep(_RETRY_SECONDS)
 
-    async def _try_free(self) -> str:
+    async def _try_release_members(self) -> str:
         """Return why the members are free, or nothing if they are not."""
         if self._fleet.listing.has_ended(self.record.incarnations[0]):
             return 'the head lives anew'
         if self._member_left_at is None:
-            self._note_ended_members()
-        if self._member_left_at is None and self._is_head_away():
+            self._check_ended_members()
+        if self._member_left_at is None and self._is_head_unreachable():
             # The head answers nobody, so its end is counted from here.
-            await self._let_a_member_leave()
+            await self._release_one_member()
         if self._head_phase() is MemberPhase.BROKEN:
             return 'the head is broken'
-        head = self._head_to_ask()
-        if head and await self._order(self._duty.orders.leave, head):
+        head = self._head_due_for_leave()
+        if head and await self._order(self._context.orders.leave, head):
             return 'the head has left'
         if self._member_left_at is None:
-            await self._let_a_member_leave()
-        return self._stalled_for_long()
+            await self._release_one_member()
+        return self._stall_reason()
 
-    def _note_ended_members(self) -> None:
+    def _check_ended_members(self) -> None:
         """Count from now on where a member's life is known to be over."""
         if any(map(self._fleet.listing.has_ended, self.record.incarnations)):
             self._member_left_at = self._clock()
 
-    def _head_to_ask(self) -> ListedInstance | None:
+    def _head_due_for_leave(self) -> ListedInstance | None:
         """Return the head if it is time to ask it to leave."""
         head = self._fleet.known(self.record.head)
-        pause = _LOST_AGAIN_SECONDS if self._is_head_away() else 0
+        pause = _LOST_RETRY_SECONDS if self._is_head_unreachable() else 0
         now = self._clock()
         if head is None or now - self._head_asked_at < pause:
             return None
@@ -115,21 +117,21 @@
         self._head_asked_at = now
         return head
 
-    def _is_head_away(self) -> bool:
+    def _is_head_unreachable(self) -> bool:
         name = self.record.head
-        return self._duty.is_lost(name) or self._fleet.known(name) is None
+        return self._context.is_lost(name) or self._fleet.known(name) is None
 
-    def _stalled_for_long(self) -> str:
+    def _stall_reason(self) -> str:
         if self._member_left_at is None:
             return ''
         waited = self._clock() - self._member_left_at
-        if waited < self._stall_seconds + _STALL_SLACK_SECONDS:
+        if waited < self._stall_seconds + _STALL_MARGIN_SECONDS:
             return ''
         return 'the head must be broken by now'
 
-    async def _let_a_member_leave(self) -> None:
-        for member in self._members_to_ask():
-            if await self._order(self._duty.orders.leave, member):
+    async def _release_one_member(self) -> None:
+        for member in self._members_due_for_leave():
+            if await self._order(self._context.orders.leave, member):
                 self._member_left_at = self._clock()
                 return
         if not any(map(self._fleet.known, self.record.members)):
@@ -137,7 +139,7 @@
             # for as long as a head would need.
             self._member_left_at = self._clock()
 
-    def _members_to_ask(self) -> list[ListedInstance]:
+    def _members_due_for_leave(self) -> list[ListedInstance]:
         """Return the members that may take an order.
 
         Where all were found lost it is one of them now and then: asked one
@@ -145,13 +147,19 @@
         six seconds a round, though a later life of its head was listed.
         """
         known = filter(None, map(self._fleet.known, self.record.members[1:]))
-        lost, there = _parted(known, lambda one: self._duty.is_lost(one.id))
+        lost, reachable = _partition(
+            known, lambda one: self._context.is_lost(one.id)
+        )
         now = self._clock()
-        if there or not lost or now - self._lost_asked_at < _LOST_AGAIN_SECONDS:
-            return there
+        if (
+            reachable
+            or not lost
+            or now - self._lost_asked_at < _LOST_RETRY_SECONDS
+        ):
+            return reachable
         self._lost_asked_at = now
-        self._lost_turn += 1
-        return [lost[self._lost_turn % len(lost)]]
+        self._lost_attempts += 1
+        return [lost[self._lost_attempts % len(lost)]]
 
     async def _order(
         self,
@@ -164,26 +172,26 @@
                 instance,
                 self.record.name,
                 self.record.epoch,
-                self._duty.lease.fencing,
+                self._context.lease.fencing,
             )
         except TargetGoneError:
             return True
         except (OrderFencedError, OrderRefusedError) as error:
-            return self._was_over_already(instance, str(error))
+            return self._had_left_already(instance, str(error))
         except OrderError as error:
-            self._note(instance, str(error))
+            self._log_failure(instance, str(error))
             return False
         return True
 
-    def _was_over_already(self, instance: ListedInstance, why: str) -> bool:
+    def _had_left_already(self, instance: ListedInstance, why: str) -> bool:
         """Tell whether a refusal means that it is a member no more."""
-        self._note(instance, why)
+        self._log_failure(instance, why)
         known = self._fleet.known(instance.id)
         return known is None or (
             known.phase_in(self.record.name, self.record.epoch) is None
         )
 
-    def _note(self, instance: ListedInstance, why: str) -> None:
+    def _log_failure(self, instance: ListedInstance, why: str) -> None:
         decision(
             'order_failed',
             order='leave or close',
@@ -199,9 +207,9 @@
             return None
         return head.phase_in(self.record.name, self.record.epoch)
 
-    async def _forget(self, why: str, started: float) -> bool:
+    async def _delete_record(self, why: str, started: float) -> bool:
         try:
-            await self._book.drop(self.record)
+            await self._record_store.delete(self.record)
         except (PlatformError, LeaseLostError) as error:
             decision(
                 'record_not_dropped',
@@ -219,13 +227,13 @@
         return True
 
 
-def _parted(
+def _partition(
     instances: Iterable[ListedInstance],
-    is_first: Callable[[ListedInstance], bool],
+    is_match: Callable[[ListedInstance], bool],
 ) -> tuple[list[ListedInstance], list[ListedInstance]]:
     """Return those that something holds of, and the others."""
-    first: list[ListedInstance] = []
+    matching: list[ListedInstance] = []
     others: list[ListedInstance] = []
     for one in instances:
-        (first if is_first(one) else others).append(one)
-    return first, others
+        (matching if is_match(one) else others).append(one)
+    return matching, others
--- a/src/cranecart/grouping/_warmer.py
+++ b/src/cranecart/grouping/_warmer.py
@@ -14,12 +14,12 @@
 from cranecart.clocks import since_boot
 from cranecart.duties import Lease
 from cranecart.exceptions import OrderError
-from cranecart.grouping._supply import Warming
+from cranecart.grouping._plan_types import Warming
 from cranecart.logs import decision
 from cranecart.ports import Incarnation, Orders
 
 # Longer than an instance takes for a staged model; then the list shows it.
-_WARM_AGAIN_SECONDS = 4.0
+_WARM_RETRY_SECONDS = 4.0
 
 
 @attrs.define
@@ -39,13 +39,13 @@
         now = self._clock()
         if (
             now - self._ordered_at.get(incarnation, float('-inf'))
-            < _WARM_AGAIN_SECONDS
+            < _WARM_RETRY_SECONDS
         ):
             return
         self._ordered_at = {
             spare: at
             for spare, at in self._ordered_at.items()
-            if now - at < _WARM_AGAIN_SECONDS
+            if now - at < _WARM_RETRY_SECONDS
         }
         self._ordered_at[incarnation] = now
         decision('warming', instance=incarnation.id, model=warming.model)
--- a/src/cranecart/placement/_plan.py
+++ b/src/cranecart/placement/_plan.py
@@ -14,7 +14,7 @@
     Order,
     RetireReplica,
 )
-from cranecart.placement._free import FreeInstances
+from cranecart.placement._free_instances import FreeInstances
 from cranecart.placement._repair import repair
 from cranecart.placement._state import DomainState
 
--- a/src/cranecart/placement/_repair.py
+++ b/src/cranecart/placement/_repair.py
@@ -10,7 +10,7 @@
     ReplaceMembers,
     RetireReplica,
 )
-from cranecart.placement._free import FreeInstances
+from cranecart.placement._free_instances import FreeInstances
 from cranecart.placement._state import DomainState
 
 
--- a/src/cranecart/serving/_placement.py
+++ b/src/cranecart/serving/_placement.py
@@ -2,7 +2,7 @@
 
 from cranecart.duties import Lease, LeaseTimes
 from cranecart.fleet import lease_duty
-from cranecart.grouping import GroupPlacer, PlacerPlace, PlacerView
+from cranecart.grouping import GroupPlacer, PlacerEnvironment, PlacerScope
 from cranecart.ports import Table
 from cranecart.serving._placing import PlacerParts
 from cranecart.settings import ServingSettings
@@ -23,7 +23,7 @@
     settings = parts.settings
     domain = settings.failure_domain
     mesh = parts.mesh
-    view = PlacerView(
+    environment = PlacerEnvironment(
         parts.config.current,
         lambda: mesh.has_other_placer(domain),
         lambda: parts.knowledge.is_informed,
@@ -35,12 +35,12 @@
     )
     table = parts.surroundings.table
     return GroupPlacer(
-        _place(settings),
+        _scope(settings),
         _lease(settings, table),
         table,
         parts.surroundings.orders,
         parts.fleet,
-        view,
+        environment,
     )
 
 
@@ -53,8 +53,8 @@
     )
 
 
-def _place(settings: ServingSettings) -> PlacerPlace:
-    return PlacerPlace(
+def _scope(settings: ServingSettings) -> PlacerScope:
+    return PlacerScope(
         settings.failure_domain,
         len(settings.all_failure_domains),
         settings.stall_ms / _MILLISECONDS,
--- a/src/cranecart/serving/_placing.py
+++ b/src/cranecart/serving/_placing.py
@@ -52,14 +52,14 @@
     @property
     def places(self) -> str:
         """Return the failure domain whose duty this node holds, if any."""
-        return '' if self._placer is None else self._placer.places
+        return '' if self._placer is None else self._placer.held_failure_domain
 
     @property
     def checks(self) -> int:
         """Return how often it was asked whether a replica lives."""
         if self._placer is None:
             return 0
-        return self._placer.losses.liveness.checks
+        return self._placer.failure_detector.liveness.checks
 
     async def run(self) -> None:
         """Load the placer and run it, until cancelled."""
--- a/tests/lib/fake_engines.py
+++ b/tests/lib/fake_engines.py
@@ -27,7 +27,7 @@
 )
 DOMAIN = 'east'
 
-_HOLDING = frozenset((MemberPhase.OPEN, MemberPhase.CLOSING))
+_WORKING_PHASES = frozenset((MemberPhase.OPEN, MemberPhase.CLOSING))
 
 
 def listed(
@@ -59,18 +59,18 @@
 
     fleet: Fleet
     stall_seconds: float
-    dark: set[str] = attrs.field(factory=set)
-    gone: set[str] = attrs.field(factory=set)
-    closed: set[str] = attrs.field(factory=set)
-    unanswered: set[str] = attrs.field(factory=set)
+    unreachable: set[str] = attrs.field(factory=set)
+    terminated: set[str] = attrs.field(factory=set)
+    refusing: set[str] = attrs.field(factory=set)
+    dropping_answers: set[str] = attrs.field(factory=set)
     violations: list[str] = attrs.field(factory=list)
     work_seconds: float = 0
-    cut: int = 0
+    interrupted: int = 0
     orders: list[tuple[str, str]] = attrs.field(factory=list)
     _members: dict[tuple[str, int], tuple[str, ...]] = attrs.field(
         factory=dict,
     )
-    _left_at: dict[tuple[str, int], float] = attrs.field(factory=dict)
+    _member_left_at: dict[tuple[str, int], float] = attrs.field(factory=dict)
     _epochs: dict[str, int] = attrs.field(factory=dict)
     _ended: set[tuple[str, int]] = attrs.field(factory=set)
 
@@ -84,14 +84,14 @@
         fencing: int,
     ) -> None:
         """Make an instance a member, ready at once."""
-        self._reach(instance, 'join')
+        self._receive(instance, 'join')
         if epoch < self._epochs.get(instance.id, 0):
             raise OrderFencedError('an earlier epoch')
-        self._check_not_bound(instance.id, replica)
+        self._check_not_serving_elsewhere(instance.id, replica)
         self._epochs[instance.id] = epoch
         self._members[replica, epoch] = tuple(members)
         rank = list(members).index(instance.id)
-        self._show(
+        self._publish(
             attrs.evolve(
                 self.fleet.instances.get(instance.id, instance),
                 membership=Membership(
@@ -104,7 +104,7 @@
                 staged=(model,),
             ),
         )
-        self._answer(instance, 'join')
+        self._send_answer(instance, 'join')
 
     async def open(
         self,
@@ -114,13 +114,13 @@
         fencing: int,
     ) -> None:
         """Let a replica serve; note it if not all members are ready."""
-        self._reach(head, 'open')
+        self._receive(head, 'open')
         for name in self._members[replica, epoch]:
             member = self.fleet.known(name)
             if member is None or member.phase_in(replica, epoch) is None:
                 self.violations.append(f'{replica} opened without {name}')
         self._set_phase(head.id, replica, epoch, MemberPhase.OPEN)
-        self._answer(head, 'open')
+        self._send_answer(head, 'open')
 
     async def close(
         self,
@@ -130,7 +130,7 @@
         fencing: int,
     ) -> None:
         """End a replica's service once its work has ended."""
-        self._reach(head, 'close')
+        self._receive(head, 'close')
         self._set_phase(head.id, replica, epoch, MemberPhase.CLOSING)
         await curio.spawn(
             self._end_work,
@@ -139,7 +139,7 @@
             epoch,
             daemon=True,
         )
-        self._answer(head, 'close')
+        self._send_answer(head, 'close')
 
     async def leave(
         self,
@@ -149,14 +149,14 @@
         fencing: int,
     ) -> None:
         """End a membership."""
-        self._reach(instance, 'leave')
+        self._receive(instance, 'leave')
         current = self.fleet.known(instance.id) or instance
         if current.phase_in(replica, epoch) is None:
             raise OrderRefusedError('it is no member')
-        self.cut += current.phase_in(replica, epoch) in _HOLDING
-        self._left_at.setdefault((replica, epoch), time.monotonic())
-        self._show(attrs.evolve(current, membership=None))
-        self._answer(instance, 'leave')
+        self.interrupted += current.phase_in(replica, epoch) in _WORKING_PHASES
+        self._member_left_at.setdefault((replica, epoch), time.monotonic())
+        self._publish(attrs.evolve(current, membership=None))
+        self._send_answer(instance, 'leave')
 
     async def stage(
         self,
@@ -165,21 +165,21 @@
         fencing: int,
     ) -> None:
         """Bring a model to a host."""
-        self._reach(instance, 'stage')
+        self._receive(instance, 'stage')
         current = self.fleet.instances.get(instance.id, instance)
-        self._show(attrs.evolve(current, staged=(model,)))
+        self._publish(attrs.evolve(current, staged=(model,)))
 
-    def start_again(self, name: str, born: int) -> None:
+    def restart(self, name: str, born: int) -> None:
         """Kill an instance and start it under its id: it has nothing."""
         known = self.fleet.known(name)
         assert known is not None
         self._epochs.pop(name, None)
         for forming, members in self._members.items():
             if name in members:
-                self._left_at.setdefault(forming, time.monotonic())
+                self._member_left_at.setdefault(forming, time.monotonic())
             if members[0] == name:
                 self._ended.add(forming)
-        self._show(
+        self._publish(
             attrs.evolve(known, born=born, membership=None, loaded=()),
         )
 
@@ -188,21 +188,21 @@
         if self.fleet.instances[name].phase_in(replica, epoch):
             self._set_phase(name, replica, epoch, MemberPhase.READY)
 
-    def _reach(self, instance: ListedInstance, order: str) -> None:
+    def _receive(self, instance: ListedInstance, order: str) -> None:
         self.orders.append((order, instance.id))
-        if instance.id in self.gone:
+        if instance.id in self.terminated:
             raise TargetGoneError(instance.id)
-        if instance.id in self.closed:
+        if instance.id in self.refusing:
             raise TargetClosedError(instance.id)
-        if instance.id in self.dark:
+        if instance.id in self.unreachable:
             raise OrderUnknownError(instance.id)
 
-    def _answer(self, instance: ListedInstance, order: str) -> None:
-        if instance.id in self.unanswered:
-            self.unanswered.remove(instance.id)
+    def _send_answer(self, instance: ListedInstance, order: str) -> None:
+        if instance.id in self.dropping_answers:
+            self.dropping_answers.remove(instance.id)
             raise OrderUnknownError(f'{order} of {instance.id}')
 
-    def _check_not_bound(self, name: str, replica: str) -> None:
+    def _check_not_serving_elsewhere(self, name: str, replica: str) -> None:
         bound = [
             forming
             for forming, members in self._members.items()
@@ -217,12 +217,12 @@
     def _may_serve(self, forming: tuple[str, int]) -> bool:
         head = self._members[forming][0]
         known = self.fleet.known(head)
-        if known is None or head in self.gone or forming in self._ended:
+        if known is None or head in self.terminated or forming in self._ended:
             return False
-        left_at = self._left_at.get(forming, float('inf'))
+        left_at = self._member_left_at.get(forming, float('inf'))
         if time.monotonic() - left_at > self.stall_seconds:
             return False
-        return known.phase_in(*forming) in _HOLDING
+        return known.phase_in(*forming) in _WORKING_PHASES
 
     def _set_phase(
         self,
@@ -236,7 +236,7 @@
             raise OrderRefusedError('it is no member')
         assert current.membership is not None
         membership = attrs.evolve(current.membership, phase=phase)
-        self._show(attrs.evolve(current, membership=membership))
+        self._publish(attrs.evolve(current, membership=membership))
 
-    def _show(self, instance: ListedInstance) -> None:
+    def _publish(self, instance: ListedInstance) -> None:
         self.fleet.take_instances({instance.id: instance}, False)
--- a/tests/lib/deaths.py
+++ b/tests/lib/placement_simulation.py
@@ -13,21 +13,21 @@
 import attrs
 
 from cranecart.fleet import ReplicaRecord
-from cranecart.grouping._membership import counted
+from cranecart.grouping._member_selection import discount
 from cranecart.grouping._plan import plan
-from cranecart.grouping._reshape import (
-    CLOSE_SECONDS,
-    MAKES_ROOM,
-    RoomPause,
-)
-from cranecart.grouping._supply import (
+from cranecart.grouping._plan_types import (
     NewReplica,
     Plan,
+    PlanInput,
     ServingMember,
     Staging,
-    Supply,
     models_of,
 )
+from cranecart.grouping._preemption import (
+    DRAIN_SECONDS,
+    PREEMPTION_REASON,
+    PreemptionCooldown,
+)
 from cranecart.http import Address
 from cranecart.models import EngineModel, EngineProfile, ServiceProfile
 from cranecart.ports import ListedInstance
@@ -36,14 +36,14 @@
 # How often each placer plans here; a small node manages about that.
 _TICK_SECONDS = 0.1
 # Until the nodes know of a death, and until a head without members is broken.
-_NOTICE_SECONDS = 0.5
+_DETECTION_SECONDS = 0.5
 _STALL_SECONDS = 4.3
-_FABRICS_A_PLACER = 2
+_FABRICS_PER_PLACER = 2
 _ADDRESS = Address('127.0.0.1', 1)
 
 
 @attrs.frozen
-class Layout:
+class SimulationLayout:
     """Fabric domains, their instances, the models, and the work that comes."""
 
     fabrics: int
@@ -68,7 +68,7 @@
 
 
 @attrs.define
-class _Leaving:
+class _ReleasedMembers:
     """Members of an ended replica, and when they are free."""
 
     members: tuple[ListedInstance, ...]
@@ -76,13 +76,13 @@
     record: ReplicaRecord | None = None
 
 
-class Deployment:
+class SimulatedDeployment:
     """Instances, replicas and placers; ``now`` is in seconds.
 
     ``work`` is how many replicas of each model the work fills.
     """
 
-    def __init__(self, layout: Layout, source: random.Random) -> None:
+    def __init__(self, layout: SimulationLayout, source: random.Random) -> None:
         """Divide all instances, before any request, as placers do."""
         self.now: float = 0
         self.work = layout.work
@@ -91,28 +91,30 @@
         self._source = source
         self._numbers = itertools.count()
         self._free: dict[str, ListedInstance] = {}
-        self._leaving: list[_Leaving] = []
+        self._released: list[_ReleasedMembers] = []
         self._returns: list[tuple[float, ListedInstance]] = []
         self._stagings: dict[str, tuple[float, str]] = {}
         self._loads = layout.loads_per_second
-        placers = -(-layout.fabrics // _FABRICS_A_PLACER)
-        self._pauses = [RoomPause(self._clock) for _placer in range(placers)]
+        placers = -(-layout.fabrics // _FABRICS_PER_PLACER)
+        self._cooldowns = [
+            PreemptionCooldown(self._clock) for _placer in range(placers)
+        ]
         for fabric in range(layout.fabrics):
             for _instance in range(layout.fabric_size):
                 self._add(self._new(f'f{fabric}'))
         started = plan(
-            Supply(
+            PlanInput(
                 layout.profile,
                 tuple(self._free.values()),
                 {},
                 {},
                 {},
-                load_part=0.1,
-                instances=layout.fabrics * layout.fabric_size,
+                load_time_factor=0.1,
+                instance_count=layout.fabrics * layout.fabric_size,
             ),
         )
-        self._act(started)
-        self._bring_second_models()
+        self._apply(started)
+        self._stage_second_models()
 
     def open_replicas(self) -> Counter[str]:
         """Return how many replicas of each model serve now."""
@@ -138,8 +140,8 @@
             if any(one.id in dead for one in replica.members):
                 self.replicas.pop(name)
                 self._end(replica, dead)
-        for leaving in self._leaving:
-            leaving.members = _without(leaving.members, dead)
+        for released in self._released:
+            released.members = _without(released.members, dead)
         for name in dead:
             self._free.pop(name, None)
             self._stagings.pop(name, None)
@@ -151,10 +153,10 @@
             self.now += _TICK_SECONDS
             self._loads += self._layout.loads_per_second * _TICK_SECONDS
             self._loads = min(self._loads, self._layout.loads_per_second)
-            self._settle()
-            for number, pause in enumerate(self._pauses):
-                closing = pause.closing(self._records())
-                self._act(plan(self._supply(number), closing))
+            self._complete_due()
+            for number, cooldown in enumerate(self._cooldowns):
+                scope = cooldown.scope(self._records())
+                self._apply(plan(self._plan_input(number), scope))
             yield self.open_replicas()
 
     def _clock(self) -> float:
@@ -166,7 +168,7 @@
     def _add(self, instance: ListedInstance) -> None:
         self._free[instance.id] = instance
 
-    def _bring_second_models(self) -> None:
+    def _stage_second_models(self) -> None:
         """Bring all members the other model, as loads are quick then."""
         names = [model.name for model in self._layout.models]
         for replica in self.replicas.values():
@@ -180,25 +182,27 @@
         for group in self._groups():
             yield from group.members
 
-    def _groups(self) -> Iterator[_Replica | _Leaving]:
+    def _groups(self) -> Iterator[_Replica | _ReleasedMembers]:
         yield from self.replicas.values()
-        yield from self._leaving
+        yield from self._released
 
     def _records(self) -> list[ReplicaRecord]:
-        return [one.record for one in self._leaving if one.record is not None]
+        return [one.record for one in self._released if one.record is not None]
 
     def _end(self, replica: _Replica, dead: set[str]) -> None:
         head_died = replica.members[0].id in dead
         wait = _STALL_SECONDS if head_died else 0
-        self._leaving.append(
-            _Leaving(replica.members, self.now + _NOTICE_SECONDS + wait),
+        self._released.append(
+            _ReleasedMembers(
+                replica.members, self.now + _DETECTION_SECONDS + wait
+            ),
         )
 
-    def _settle(self) -> None:
-        for leaving in tuple(self._leaving):
-            if leaving.free_at < self.now:
-                self._leaving.remove(leaving)
-                for member in leaving.members:
+    def _complete_due(self) -> None:
+        for released in tuple(self._released):
+            if released.free_at < self.now:
+                self._released.remove(released)
+                for member in released.members:
                     self._add(member)
         for due in tuple(self._returns):
             if due[0] < self.now:
@@ -219,17 +223,17 @@
                 for one in group.members
             )
 
-    def _own(self, number: int) -> frozenset[str]:
-        first = number * _FABRICS_A_PLACER
-        fabrics = range(first, first + _FABRICS_A_PLACER)
+    def _own_fabrics(self, number: int) -> frozenset[str]:
+        first = number * _FABRICS_PER_PLACER
+        fabrics = range(first, first + _FABRICS_PER_PLACER)
         return frozenset(f'f{fabric}' for fabric in fabrics)
 
-    def _supply(self, number: int) -> Supply:
-        own = self._own(number)
-        waits = {
-            member.id: leaving.free_at - self.now
-            for leaving in self._leaving
-            for member in leaving.members
+    def _plan_input(self, number: int) -> PlanInput:
+        own_fabrics = self._own_fabrics(number)
+        release_delays = {
+            member.id: released.free_at - self.now
+            for released in self._released
+            for member in released.members
         }
         taken = {
             member.id
@@ -239,38 +243,38 @@
         free = tuple(
             one
             for one in self._instances()
-            if one.id not in taken and one.fabric_domain in own
+            if one.id not in taken and one.fabric_domain in own_fabrics
         )
-        present: dict[str, float] = defaultdict(float)
-        in_fabric: Counter[tuple[str, str]] = Counter()
+        replica_counts: dict[str, float] = defaultdict(float)
+        fabric_replica_counts: Counter[tuple[str, str]] = Counter()
         for replica in self.replicas.values():
             is_slow = replica.loads and replica.opens_at > self.now
-            part = counted(replica.opens_at - self.now) if is_slow else 1
-            present[replica.model] += part
+            part = discount(replica.opens_at - self.now) if is_slow else 1
+            replica_counts[replica.model] += part
             fabric = replica.members[0].fabric_domain
-            in_fabric[fabric, replica.model] += 1
-        return Supply(
+            fabric_replica_counts[fabric, replica.model] += 1
+        return PlanInput(
             self._layout.profile,
             tuple({one.id: one for one in free}.values()),
-            present,
-            in_fabric,
+            replica_counts,
+            fabric_replica_counts,
             self.work,
-            tuple(self._members(own)),
+            tuple(self._members(own_fabrics)),
             {name: model for name, (_at, model) in self._stagings.items()},
-            waits,
-            instances=self._layout.fabrics * self._layout.fabric_size,
+            release_delays,
+            instance_count=self._layout.fabrics * self._layout.fabric_size,
         )
 
-    def _members(self, own: frozenset[str]) -> Iterator[ServingMember]:
+    def _members(self, own_fabrics: frozenset[str]) -> Iterator[ServingMember]:
         for name, replica in self.replicas.items():
             if replica.opens_at > self.now:
                 continue
             for member in replica.members:
-                if member.fabric_domain in own:
+                if member.fabric_domain in own_fabrics:
                     yield ServingMember(member, name, replica.model)
 
-    def _act(self, found: Plan) -> None:
-        for name in found.closings:
+    def _apply(self, found: Plan) -> None:
+        for name in found.preempted:
             closed = self.replicas.pop(name)
             record = ReplicaRecord(
                 name,
@@ -280,10 +284,12 @@
                 'east',
                 closed.members[0].fabric_domain,
                 tuple(one.id for one in closed.members),
-                reason=MAKES_ROOM,
+                reason=PREEMPTION_REASON,
             )
-            self._leaving.append(
-                _Leaving(closed.members, self.now + CLOSE_SECONDS, record),
+            self._released.append(
+                _ReleasedMembers(
+                    closed.members, self.now + DRAIN_SECONDS, record
+                ),
             )
         for new in found.replicas:
             self._form(new)
@@ -298,8 +304,8 @@
         for name in names:
             self._free.pop(name, None)
             self._stagings.pop(name, None)
-        for leaving in self._leaving:
-            leaving.members = _without(leaving.members, names)
+        for released in self._released:
+            released.members = _without(released.members, names)
         self.replicas[f'r{next(self._numbers)}'] = _Replica(
             new.model,
             tuple(_joined(one, new.model) for one in new.members),
--- a/tests/unit/test_division.py
+++ b/tests/unit/test_allocation.py
@@ -9,17 +9,21 @@
 
 import attrs
 
-from cranecart.grouping._division import Closable, Pool, divide
-from cranecart.grouping._membership import Candidate
-from cranecart.grouping._objective import Objective, objective
+from cranecart.grouping._allocation import (
+    FabricPool,
+    PreemptibleReplica,
+    best_allocation,
+)
+from cranecart.grouping._member_selection import Candidate
+from cranecart.grouping._objective import Objective, build_objective
 from cranecart.grouping._plan import plan
-from cranecart.grouping._reshape import Closing
-from cranecart.grouping._supply import (
+from cranecart.grouping._plan_types import (
     NewReplica,
     Plan,
+    PlanInput,
     ServingMember,
-    Supply,
 )
+from cranecart.grouping._preemption import PreemptionScope
 from cranecart.http import Address
 from cranecart.models import EngineModel, EngineProfile, ServiceProfile
 from cranecart.ports import ListedInstance
@@ -43,7 +47,7 @@
 
 
 def _objective(large: float = 3, small: float = 3) -> Objective:
-    return objective(_MODELS, {'large': large, 'small': small}, 48)
+    return build_objective(_MODELS, {'large': large, 'small': small}, 48)
 
 
 class ObjectiveTest(unittest.TestCase):
@@ -51,18 +55,18 @@
 
     def test_one_more_is_worth_less_and_less(self) -> None:
         """Whatever there is of the other model."""
-        weigh = _objective()
+        objective = _objective()
         worth = [
-            weigh.value({'large': count, 'small': 4}) for count in range(9)
+            objective.value({'large': count, 'small': 4}) for count in range(9)
         ]
         gains = [after - before for before, after in itertools.pairwise(worth)]
         self.assertEqual(gains, sorted(gains, reverse=True))
 
     def test_shares_stand_for_work_that_is_not_known(self) -> None:
         """Two thirds of the instances for four, a third for two."""
-        weigh = objective(_MODELS, {}, 48)
+        objective = build_objective(_MODELS, {}, 48)
         self.assertAlmostEqual(
-            weigh.demand['large'] / weigh.demand['small'],
+            objective.demand['large'] / objective.demand['small'],
             1,
             delta=0.1,
         )
@@ -76,11 +80,11 @@
         source = random.Random(7)
         for _case in range(150):
             pool = _drawn_pool(source)
-            present = {'large': source.randint(1, 6), 'small': 4.0}
-            found = divide(pool, _objective(), present)
+            replica_counts = {'large': source.randint(1, 6), 'small': 4.0}
+            found = best_allocation(pool, _objective(), replica_counts)
             best = max(
-                divide(only, _objective(), present).value
-                for only in _narrowed(pool)
+                best_allocation(narrowed, _objective(), replica_counts).value
+                for narrowed in _narrowed(pool)
             )
             self.assertAlmostEqual(found.value, best)
 
@@ -90,37 +94,39 @@
             Candidate(_warm(f'l{number}', 'large')) for number in range(3)
         ]
         small = tuple(_warm(f's{number}', 'small') for number in range(2))
-        pool = Pool(
+        pool = FabricPool(
             tuple(survivors),
-            (Closable('r', 'small', small),),
-            close_seconds=0.5,
+            (PreemptibleReplica('r', 'small', small),),
+            drain_seconds=0.5,
         )
-        found = divide(pool, _objective(), {'large': 4, 'small': 10})
-        self.assertEqual(found.closed, ('r',))
+        found = best_allocation(pool, _objective(), {'large': 4, 'small': 10})
+        self.assertEqual(found.preempted, ('r',))
         self.assertEqual([one.model for one in found.formed], ['large'])
 
     def test_no_step_is_taken_back(self) -> None:
         """What was just formed is not closed by the same measure."""
         for large, small in itertools.product(range(1, 9), repeat=2):
             members = tuple(_warm(f'l{number}', 'large') for number in range(4))
-            pool = Pool(tuple(Candidate(one) for one in members))
-            present = {'large': large, 'small': small}
-            formed = divide(pool, _objective(), present).formed
-            now = Counter(present)
+            pool = FabricPool(tuple(Candidate(one) for one in members))
+            replica_counts = {'large': large, 'small': small}
+            formed = best_allocation(pool, _objective(), replica_counts).formed
+            now = Counter(replica_counts)
             now.update(one.model for one in formed)
-            again = divide(
-                Pool(
+            again = best_allocation(
+                FabricPool(
                     (),
                     tuple(
-                        Closable(f'r{number}', one.model, one.instances)
+                        PreemptibleReplica(
+                            f'r{number}', one.model, one.instances
+                        )
                         for number, one in enumerate(formed)
                     ),
-                    close_seconds=0.5,
+                    drain_seconds=0.5,
                 ),
                 _objective(),
                 now,
             )
-            self.assertEqual(again.closed, ())
+            self.assertEqual(again.preempted, ())
 
 
 class StartTest(unittest.TestCase):
@@ -132,8 +138,10 @@
             listed(f'{fabric}-{number}', _ADDRESS, f'f{fabric}')
             for fabric, number in itertools.product(range(6), range(8))
         )
-        supply = Supply(_PROFILE, free, {}, {}, {}, load_part=0.1, instances=48)
-        whole = plan(supply)
+        plan_input = PlanInput(
+            _PROFILE, free, {}, {}, {}, load_time_factor=0.1, instance_count=48
+        )
+        whole = plan(plan_input)
         counts = Counter(one.model for one in whole.replicas)
         self.assertEqual(counts, {'large': 8, 'small': 8})
         parts = sum(
@@ -195,8 +203,8 @@
         for _turn in range(6):
             if self.closing:
                 self.free.extend(self.closing.pop(0))
-            found = plan(self._supply(), Closing.ANYWHERE)
-            for name in found.closings:
+            found = plan(self._plan_input(), PreemptionScope.ANYWHERE)
+            for name in found.preempted:
                 self.closing.append(self.replicas.pop(name)[1])
             for new in found.replicas:
                 self._form(new)
@@ -210,8 +218,8 @@
         ]
         self.replicas[f'r{next(self._numbers)}'] = (new.model, joined)
 
-    def _supply(self) -> Supply:
-        return Supply(
+    def _plan_input(self) -> PlanInput:
+        return PlanInput(
             _PROFILE,
             (*self.free, *itertools.chain.from_iterable(self.closing)),
             self.counts(),
@@ -227,35 +235,35 @@
 
 
 def _part(whole: Plan, fabrics: set[str]) -> Plan:
-    return whole.only(lambda one: one.fabric_domain in fabrics)
+    return whole.restricted_to(lambda one: one.fabric_domain in fabrics)
 
 
-def _drawn_pool(source: random.Random) -> Pool:
+def _drawn_pool(source: random.Random) -> FabricPool:
     free = tuple(
         Candidate(_warm(f'i{number}', source.choice(('large', 'small'))))
         for number in range(source.randint(0, 6))
     )
     closable = tuple(
-        Closable(
+        PreemptibleReplica(
             f'r{number}',
             'small',
             tuple(_warm(f'r{number}-{member}', 'small') for member in range(2)),
         )
         for number in range(source.randint(0, 2))
     )
-    return Pool(free, closable, close_seconds=0.5)
+    return FabricPool(free, closable, drain_seconds=0.5)
 
 
-def _narrowed(pool: Pool) -> Iterable[Pool]:
+def _narrowed(pool: FabricPool) -> Iterable[FabricPool]:
     """Yield the pool with every choice of instances and of closables."""
-    for free, closables in itertools.product(
+    for free, preemptible in itertools.product(
         _subsets(pool.candidates),
-        _subsets(pool.closables),
+        _subsets(pool.preemptible),
     ):
         yield attrs.evolve(
             pool,
             candidates=free,
-            closables=closables,
+            preemptible=preemptible,
         )
 
 
--- a/tests/unit/test_grouping.py
+++ b/tests/unit/test_grouping.py
@@ -10,7 +10,7 @@
 
 from cranecart.duties import Lease, LeaseTimes
 from cranecart.fleet import Fleet, RecordState, ReplicaRecord, ServingHead
-from cranecart.grouping import GroupPlacer, PlacerPlace, PlacerView
+from cranecart.grouping import GroupPlacer, PlacerEnvironment, PlacerScope
 from cranecart.http import Address
 from cranecart.models import RouteConfig
 from tests.lib.fake_engines import (
@@ -31,7 +31,7 @@
 _TIMES = LeaseTimes(trusted=2.5, takeover=0.3)
 
 
-class World:
+class PlacerTestbed:
     """One placer, its table, and nine engine instances."""
 
     def __init__(self) -> None:
@@ -42,7 +42,7 @@
         self.engines = FakeEngines(self.fleet, _STALL_SECONDS)
         self.table = FakePlatform()
         self.stopped: list[tuple[str, bool]] = []
-        self.is_informed = True
+        self.is_synced = True
         self.has_traffic = False
         self.demand: dict[str, float] = {}
         self.placer = self.make_placer('one')
@@ -55,15 +55,15 @@
     def make_placer(self, node_id: str) -> GroupPlacer:
         """Return a placer of this world's failure domain."""
         return GroupPlacer(
-            PlacerPlace(DOMAIN, 1, _STALL_SECONDS),
+            PlacerScope(DOMAIN, 1, _STALL_SECONDS),
             Lease(f'lease/{DOMAIN}', node_id, self.table, _TIMES),
             self.table,
             self.engines,
             self.fleet,
-            PlacerView(
+            PlacerEnvironment(
                 lambda: _CONFIG,
                 bool,
-                lambda: self.is_informed,
+                lambda: self.is_synced,
                 lambda: self.has_traffic,
                 lambda: self.demand,
                 self._note_stopped,
@@ -79,8 +79,8 @@
 
     def lose(self, name: str) -> None:
         """Let an instance fall silent and be found lost."""
-        self.engines.dark.add(name)
-        self.placer.losses.note_lost(name, 'a test says so')
+        self.engines.unreachable.add(name)
+        self.placer.failure_detector.report_lost(name, 'a test says so')
 
     def _note_stopped(
         self,
@@ -96,93 +96,95 @@
 
     def setUp(self) -> None:
         """Build a world."""
-        self.world = World()
-        self.addCleanup(self.world.listener.close)
+        self.testbed = PlacerTestbed()
+        self.addCleanup(self.testbed.listener.close)
 
     def test_forms_both_models_and_stages_spares(self) -> None:
         """Four and three serve; each spare is staged for another model."""
         curio.run(self._formed)
-        sizes = sorted(len(head.members) for head in self.world.heads())
+        sizes = sorted(len(head.members) for head in self.testbed.heads())
         self.assertEqual(sizes, [3, 4])
-        used = {name for one in self.world.heads() for name in one.members}
+        used = {name for one in self.testbed.heads() for name in one.members}
         spares = [
             one
-            for one in self.world.fleet.instances.values()
+            for one in self.testbed.fleet.instances.values()
             if one.id not in used
         ]
         first = [
             name
-            for order, name in self.world.engines.orders
+            for order, name in self.testbed.engines.orders
             if order == 'stage'
         ][: len(spares)]
         self.assertEqual(sorted(first), sorted(one.id for one in spares))
-        self.assertEqual(self.world.engines.violations, [])
+        self.assertEqual(self.testbed.engines.violations, [])
 
     def test_spares_load_their_model(self) -> None:
         """A spare needs no more time to join than a survivor."""
         curio.run(self._warmed)
-        self.assertEqual(self.world.engines.violations, [])
+        self.assertEqual(self.testbed.engines.violations, [])
 
     def test_no_member_is_warmed_before_it_is_free(self) -> None:
         """A dark head may still serve with the members that it has."""
-        self.world.has_traffic = True
+        self.testbed.has_traffic = True
         curio.run(self._head_lost_for_a_while)
-        self.assertEqual(self.world.engines.violations, [])
+        self.assertEqual(self.testbed.engines.violations, [])
 
     def test_evidence_is_looked_at_at_once(self) -> None:
         """All nodes hear of a lost member before the next turn."""
         self.assertLess(curio.run(self._suspected), 0.03)
-        self.assertEqual(len({name for name, _ in self.world.stopped}), 1)
+        self.assertEqual(len({name for name, _ in self.testbed.stopped}), 1)
 
     def test_survivors_join_anew_at_once(self) -> None:
         """A freed member waits for no order that was never sent."""
         seconds = curio.run(self._repaired)
         self.assertLess(seconds, 0.45)
-        self.assertEqual(self.world.engines.violations, [])
+        self.assertEqual(self.testbed.engines.violations, [])
 
     def test_members_of_a_dark_head_wait_for_its_end(self) -> None:
         """Nobody joins elsewhere while the head may still serve."""
         seconds = curio.run(self._head_lost)
         self.assertGreater(seconds, _STALL_SECONDS)
-        self.assertEqual(self.world.engines.violations, [])
+        self.assertEqual(self.testbed.engines.violations, [])
 
     def test_a_head_that_stopped_listening_may_serve(self) -> None:
         """One that leaves finishes what it has behind a closed port."""
         seconds = curio.run(self._head_closed)
         self.assertGreater(seconds, _STALL_SECONDS)
-        self.assertEqual(self.world.engines.violations, [])
+        self.assertEqual(self.testbed.engines.violations, [])
 
     def test_no_head_opens_before_all_are_ready(self) -> None:
         """A member that takes no order keeps its replica from serving."""
-        self.world.engines.dark.add('i2')
+        self.testbed.engines.unreachable.add('i2')
         curio.run(self._form_for_a_while)
-        members = {name for one in self.world.heads() for name in one.members}
+        members = {name for one in self.testbed.heads() for name in one.members}
         self.assertNotIn('i2', members)
-        self.assertEqual(self.world.engines.violations, [])
+        self.assertEqual(self.testbed.engines.violations, [])
 
     def test_an_unanswered_order_is_sent_again(self) -> None:
         """An order whose answer is lost holds back nothing for long."""
-        self.world.engines.unanswered.update(('i0', 'i1', 'i2'))
+        self.testbed.engines.dropping_answers.update(('i0', 'i1', 'i2'))
         curio.run(self._formed)
-        self.assertEqual(self.world.engines.violations, [])
+        self.assertEqual(self.testbed.engines.violations, [])
 
     def test_a_leaving_member_ends_the_replica_softly(self) -> None:
         """The head is closed before its members are freed."""
         curio.run(self._member_leaves)
-        self.assertIn('close', {name for name, _ in self.world.engines.orders})
+        self.assertIn(
+            'close', {name for name, _ in self.testbed.engines.orders}
+        )
         self.assertEqual(
-            [finishes for _, finishes in self.world.stopped], [True]
+            [finishes for _, finishes in self.testbed.stopped], [True]
         )
-        self.assertEqual(self.world.engines.cut, 0)
-        self.assertEqual(self.world.engines.violations, [])
+        self.assertEqual(self.testbed.engines.interrupted, 0)
+        self.assertEqual(self.testbed.engines.violations, [])
 
     def test_a_successor_goes_on(self) -> None:
         """Another placer takes over rows and opens nothing a second time."""
         curio.run(self._succeeded)
-        members = {name for one in self.world.heads() for name in one.members}
+        members = {name for one in self.testbed.heads() for name in one.members}
         joins = [
             name
-            for order, name in self.world.engines.orders
+            for order, name in self.testbed.engines.orders
             if order == 'join' and name in members
         ]
         self.assertEqual(len(joins), 7)
@@ -191,109 +193,109 @@
         """No replica loads a model while better members are on their way."""
         curio.run(self._come_back)
         reasons = {
-            record.reason for record in self.world.fleet.records.values()
+            record.reason for record in self.testbed.fleet.records.values()
         }
         self.assertEqual(reasons, {'0 members must load'})
 
     async def _come_back(self) -> None:
-        world = self.world
-        world.has_traffic = True
-        everything = dict(world.fleet.instances)
-        world.fleet.take_instances({}, True)
-        running = await curio.spawn(world.placer.run)
+        testbed = self.testbed
+        testbed.has_traffic = True
+        everything = dict(testbed.fleet.instances)
+        testbed.fleet.take_instances({}, True)
+        running = await curio.spawn(testbed.placer.run)
         for number, instance in enumerate(everything.values()):
             model = BIG.name if number < 4 else SMALL.name
             staged = attrs.evolve(instance, staged=(model,))
-            world.fleet.take_instances({instance.id: staged}, False)
+            testbed.fleet.take_instances({instance.id: staged}, False)
             await curio.sleep(0.1)
-        await until(lambda: len(world.heads()) >= 2)
+        await until(lambda: len(testbed.heads()) >= 2)
         await running.cancel()
 
     async def _formed(self) -> None:
-        world = self.world
-        running = await curio.spawn(world.placer.run)
-        await until(lambda: len(world.heads()) == 2)
+        testbed = self.testbed
+        running = await curio.spawn(testbed.placer.run)
+        await until(lambda: len(testbed.heads()) == 2)
         models = [BIG.name, SMALL.name]
         await until(lambda: self._spares_models() == models)
         await running.cancel()
 
     def _spares_models(self) -> list[str]:
-        used = {name for one in self.world.heads() for name in one.members}
+        used = {name for one in self.testbed.heads() for name in one.members}
         return sorted(
             itertools.chain.from_iterable(
                 one.staged
-                for one in self.world.fleet.instances.values()
+                for one in self.testbed.fleet.instances.values()
                 if one.id not in used
             ),
         )
 
     async def _warmed(self) -> None:
-        world = self.world
-        running = await curio.spawn(world.placer.run)
-        await until(lambda: len(world.heads()) == 2)
-        used = {name for one in world.heads() for name in one.members}
-        spares = world.fleet.instances.keys() - used
+        testbed = self.testbed
+        running = await curio.spawn(testbed.placer.run)
+        await until(lambda: len(testbed.heads()) == 2)
+        used = {name for one in testbed.heads() for name in one.members}
+        spares = testbed.fleet.instances.keys() - used
         await until(
-            lambda: all(world.fleet.instances[one].loaded for one in spares),
+            lambda: all(testbed.fleet.instances[one].loaded for one in spares),
         )
         await running.cancel()
 
     async def _suspected(self) -> float:
-        world = self.world
-        running = await curio.spawn(world.placer.run)
-        await until(lambda: len(world.heads()) == 2)
-        big = world.fleet.heads(SERVICE, BIG.name)[0]
+        testbed = self.testbed
+        running = await curio.spawn(testbed.placer.run)
+        await until(lambda: len(testbed.heads()) == 2)
+        big = testbed.fleet.heads(SERVICE, BIG.name)[0]
         # Nothing listens at the address of a process that has ended.
         ended = socket.create_server(('127.0.0.1', 0))
         address = Address(*ended.getsockname()[:2])
         ended.close()
         member = attrs.evolve(
-            world.fleet.instances[big.members[1]],
+            testbed.fleet.instances[big.members[1]],
             address=address,
         )
-        world.fleet.take_instances({member.id: member}, False)
+        testbed.fleet.take_instances({member.id: member}, False)
         started = time.monotonic()
-        await world.placer.suspect(big.forming, 'silent for 0.1 s')
-        while not world.stopped:
+        await testbed.placer.suspect(big.forming, 'silent for 0.1 s')
+        while not testbed.stopped:
             await curio.sleep(0.001)
         took = time.monotonic() - started
         await running.cancel()
         return took
 
     async def _head_lost_for_a_while(self) -> None:
-        world = self.world
-        running = await curio.spawn(world.placer.run)
-        await until(lambda: len(world.heads()) == 2)
-        big = world.fleet.heads(SERVICE, BIG.name)[0]
-        used = {name for one in world.heads() for name in one.members}
+        testbed = self.testbed
+        running = await curio.spawn(testbed.placer.run)
+        await until(lambda: len(testbed.heads()) == 2)
+        big = testbed.fleet.heads(SERVICE, BIG.name)[0]
+        used = {name for one in testbed.heads() for name in one.members}
         # The two that survive are too few for any replica.
-        for name in (world.fleet.instances.keys() - used) | {big.members[1]}:
-            world.lose(name)
+        for name in (testbed.fleet.instances.keys() - used) | {big.members[1]}:
+            testbed.lose(name)
         for name in big.members[2:]:
             # The model that is left is on their hosts, so that they would
             # be spares for it.
             spare = attrs.evolve(
-                world.fleet.instances[name],
+                testbed.fleet.instances[name],
                 loaded=(),
                 staged=(SMALL.name,),
             )
-            world.fleet.take_instances({name: spare}, False)
-        world.lose(big.id)
+            testbed.fleet.take_instances({name: spare}, False)
+        testbed.lose(big.id)
         await curio.sleep(_STALL_SECONDS / 2)
         await running.cancel()
 
     async def _form_for_a_while(self) -> None:
-        running = await curio.spawn(self.world.placer.run)
+        running = await curio.spawn(self.testbed.placer.run)
         await curio.sleep(0.8)
         await running.cancel()
 
     async def _repaired(self) -> float:
-        world = self.world
-        running = await curio.spawn(world.placer.run)
-        await until(lambda: len(world.heads()) == 2)
-        big = world.fleet.heads(SERVICE, BIG.name)[0]
+        testbed = self.testbed
+        running = await curio.spawn(testbed.placer.run)
+        await until(lambda: len(testbed.heads()) == 2)
+        big = testbed.fleet.heads(SERVICE, BIG.name)[0]
         await curio.sleep(0.2)
-        world.lose(big.members[2])
+        testbed.lose(big.members[2])
         started = await curio.clock()
         await until(lambda: self._is_replaced(big))
         took = await curio.clock() - started
@@ -301,11 +303,11 @@
         return float(took)
 
     async def _head_lost(self) -> float:
-        world = self.world
-        running = await curio.spawn(world.placer.run)
-        await until(lambda: len(world.heads()) == 2)
-        big = world.fleet.heads(SERVICE, BIG.name)[0]
-        world.lose(big.id)
+        testbed = self.testbed
+        running = await curio.spawn(testbed.placer.run)
+        await until(lambda: len(testbed.heads()) == 2)
+        big = testbed.fleet.heads(SERVICE, BIG.name)[0]
+        testbed.lose(big.id)
         started = await curio.clock()
         await until(lambda: self._is_replaced(big))
         took = await curio.clock() - started
@@ -313,12 +315,14 @@
         return float(took)
 
     async def _head_closed(self) -> float:
-        world = self.world
-        running = await curio.spawn(world.placer.run)
-        await until(lambda: len(world.heads()) == 2)
-        big = world.fleet.heads(SERVICE, BIG.name)[0]
-        world.engines.closed.add(big.id)
-        world.placer.losses.note_lost(big.id, 'it accepts no connection')
+        testbed = self.testbed
+        running = await curio.spawn(testbed.placer.run)
+        await until(lambda: len(testbed.heads()) == 2)
+        big = testbed.fleet.heads(SERVICE, BIG.name)[0]
+        testbed.engines.refusing.add(big.id)
+        testbed.placer.failure_detector.report_lost(
+            big.id, 'it accepts no connection'
+        )
         started = await curio.clock()
         await until(lambda: self._is_replaced(big))
         took = await curio.clock() - started
@@ -326,32 +330,34 @@
         return float(took)
 
     async def _member_leaves(self) -> None:
-        world = self.world
-        running = await curio.spawn(world.placer.run)
-        await until(lambda: len(world.heads()) == 2)
-        big = world.fleet.heads(SERVICE, BIG.name)[0]
-        leaver = world.fleet.instances[big.members[1]]
+        testbed = self.testbed
+        running = await curio.spawn(testbed.placer.run)
+        await until(lambda: len(testbed.heads()) == 2)
+        big = testbed.fleet.heads(SERVICE, BIG.name)[0]
+        leaver = testbed.fleet.instances[big.members[1]]
         leaving = attrs.evolve(leaver, leaving=True)
-        world.engines.work_seconds = 0.4
-        world.fleet.take_instances({leaver.id: leaving}, False)
+        testbed.engines.work_seconds = 0.4
+        testbed.fleet.take_instances({leaver.id: leaving}, False)
         await until(lambda: self._is_replaced(big))
         await running.cancel()
 
     async def _succeeded(self) -> None:
-        world = self.world
-        running = await curio.spawn(world.placer.run)
-        await until(lambda: len(world.heads()) == 2)
+        testbed = self.testbed
+        running = await curio.spawn(testbed.placer.run)
+        await until(lambda: len(testbed.heads()) == 2)
         await running.cancel()
-        await world.placer.hand_over()
-        successor = world.make_placer('two')
+        await testbed.placer.hand_over()
+        successor = testbed.make_placer('two')
         running = await curio.spawn(successor.run)
-        await until(lambda: successor.places)
+        await until(lambda: successor.held_failure_domain)
         await curio.sleep(0.3)
         await running.cancel()
 
     def _is_replaced(self, old: ServingHead) -> bool:
-        heads = self.world.fleet.heads(SERVICE, BIG.name)
-        states = {record.state for record in self.world.fleet.records.values()}
+        heads = self.testbed.fleet.heads(SERVICE, BIG.name)
+        states = {
+            record.state for record in self.testbed.fleet.records.values()
+        }
         return (
             bool(heads)
             and heads[0].forming != old.forming
@@ -371,33 +377,33 @@
         curio.run(self._lose_store)
 
     async def _want_room(self) -> None:
-        world = World()
+        testbed = PlacerTestbed()
         staged = {
             name: attrs.evolve(one, staged=(BIG.name, SMALL.name))
-            for name, one in world.fleet.instances.items()
+            for name, one in testbed.fleet.instances.items()
         }
-        world.fleet.take_instances(staged, True)
-        running = await curio.spawn(world.placer.run)
-        await until(lambda: len(world.heads()) == 2)
-        world.table.down = True
-        world.has_traffic = True
-        world.demand = {BIG.name: 0.1, SMALL.name: 6.0}
+        testbed.fleet.take_instances(staged, True)
+        running = await curio.spawn(testbed.placer.run)
+        await until(lambda: len(testbed.heads()) == 2)
+        testbed.table.down = True
+        testbed.has_traffic = True
+        testbed.demand = {BIG.name: 0.1, SMALL.name: 6.0}
         await curio.sleep(1)
-        self.assertEqual(world.stopped, [])
-        world.table.down = False
-        await until(lambda: world.stopped)
+        self.assertEqual(testbed.stopped, [])
+        testbed.table.down = False
+        await until(lambda: testbed.stopped)
         await running.cancel()
-        world.listener.close()
+        testbed.listener.close()
 
     async def _lose_store(self) -> None:
-        world = World()
-        running = await curio.spawn(world.placer.run)
-        await until(lambda: len(world.heads()) == 2)
-        self.assertEqual(world.placer.places, DOMAIN)
-        world.table.down = True
-        await until(lambda: not world.placer.places)
-        self.assertTrue(world.placer.lease.is_held)
-        world.table.down = False
-        await until(lambda: world.placer.places)
+        testbed = PlacerTestbed()
+        running = await curio.spawn(testbed.placer.run)
+        await until(lambda: len(testbed.heads()) == 2)
+        self.assertEqual(testbed.placer.held_failure_domain, DOMAIN)
+        testbed.table.down = True
+        await until(lambda: not testbed.placer.held_failure_domain)
+        self.assertTrue(testbed.placer.lease.is_held)
+        testbed.table.down = False
+        await until(lambda: testbed.placer.held_failure_domain)
         await running.cancel()
-        world.listener.close()
+        testbed.listener.close()
--- a/tests/unit/test_grouping_faults.py
+++ b/tests/unit/test_grouping_faults.py
@@ -18,7 +18,7 @@
 from tests.lib.fake_engines import DOMAIN, listed
 from tests.lib.fake_platform import FINE, LOST_ANSWER, LOST_WRITE, REFUSED
 from tests.lib.waiting import until
-from tests.unit.test_grouping import World
+from tests.unit.test_grouping import PlacerTestbed
 
 _STEP_SECONDS = 0.06
 TableCopy = tuple[int, dict[str, Row]]
@@ -61,56 +61,60 @@
 class _Play:
     """One world, and the faults that strike it one after the other."""
 
-    world: World
+    testbed: PlacerTestbed
     events: list[tuple[str, int]]
     running: curio.Task | None = None
     copy: TableCopy = (0, {})
 
     async def run(self) -> None:
         """Form, strike, and wait until nothing changes any more."""
-        world = self.world
-        self.running = await curio.spawn(world.placer.run)
-        await until(lambda: len(world.heads()) == 2)
+        testbed = self.testbed
+        self.running = await curio.spawn(testbed.placer.run)
+        await until(lambda: len(testbed.heads()) == 2)
         for kind, number in self.events:
             await self._strike(kind, f'i{number}')
             await curio.sleep(_STEP_SECONDS)
-        world.table.faults = iter(())
+        testbed.table.faults = iter(())
         await until(self._is_settled, 12)
         await self.running.cancel()
 
     async def _strike(self, kind: str, name: str) -> None:
-        world = self.world
-        instance = world.fleet.instances.get(name)
+        testbed = self.testbed
+        instance = testbed.fleet.instances.get(name)
         match kind:
             case 'dark':
-                world.lose(name)
+                testbed.lose(name)
             case 'gone' if instance is not None:
-                world.engines.gone.add(name)
-                world.fleet.take_instances({name: None}, False)
-                world.placer.losses.note_lost(name, 'a test says so')
+                testbed.engines.terminated.add(name)
+                testbed.fleet.take_instances({name: None}, False)
+                testbed.placer.failure_detector.report_lost(
+                    name, 'a test says so'
+                )
             case 'leaving' if instance is not None:
                 leaving = attrs.evolve(instance, leaving=True)
-                world.fleet.take_instances({name: leaving}, False)
+                testbed.fleet.take_instances({name: leaving}, False)
             case 'unanswered':
-                world.engines.unanswered.add(name)
+                testbed.engines.dropping_answers.add(name)
             case 'store':
-                world.table.faults = iter(_STORE_FAULTS)
+                testbed.table.faults = iter(_STORE_FAULTS)
             case 'new':
-                fresh = listed(f'n{len(world.fleet.instances)}', world.address)
-                world.fleet.take_instances({fresh.id: fresh}, False)
+                fresh = listed(
+                    f'n{len(testbed.fleet.instances)}', testbed.address
+                )
+                testbed.fleet.take_instances({fresh.id: fresh}, False)
             case 'placer':
                 await self._replace_placer()
             case _:
                 await self._strike_table(kind)
 
     async def _strike_table(self, kind: str) -> None:
-        world = self.world
+        testbed = self.testbed
         match kind:
             case 'copy':
-                self.copy = world.table.copied()
+                self.copy = testbed.table.copied()
             case 'return':
-                world.table.restore(self.copy)
-                world.fleet.take_records(self._rows(), False)
+                testbed.table.restore(self.copy)
+                testbed.fleet.take_records(self._rows(), False)
             case 'fresh':
                 await self._start_afresh()
 
@@ -119,37 +123,37 @@
         prefix = records_prefix(DOMAIN)
         read = {
             key: record_from_row(row)
-            for key, row in self.world.table.rows.items()
+            for key, row in self.testbed.table.rows.items()
             if key.startswith(prefix)
         }
         return {key: one for key, one in read.items() if one is not None}
 
     async def _start_afresh(self) -> None:
         """Kill the placer; the next one knows the list and the rows only."""
-        world = self.world
-        listed_now = dict(world.fleet.instances)
-        world.fleet = Fleet()
-        world.fleet.take_instances(listed_now, True)
-        world.fleet.take_records(self._rows(), True)
-        world.engines.fleet = world.fleet
-        world.has_traffic = True
+        testbed = self.testbed
+        listed_now = dict(testbed.fleet.instances)
+        testbed.fleet = Fleet()
+        testbed.fleet.take_instances(listed_now, True)
+        testbed.fleet.take_records(self._rows(), True)
+        testbed.engines.fleet = testbed.fleet
+        testbed.has_traffic = True
         await self._replace_placer()
 
     async def _replace_placer(self) -> None:
         """Kill the placer without a word; another one takes over."""
-        world = self.world
+        testbed = self.testbed
         assert self.running is not None
         await self.running.cancel()
-        lost = world.placer.losses.current()
-        world.placer = world.make_placer(f'{len(lost)}-{id(self.running)}')
+        lost = testbed.placer.failure_detector.lost_instances()
+        testbed.placer = testbed.make_placer(f'{len(lost)}-{id(self.running)}')
         for name in lost:
-            world.placer.losses.note_lost(name, 'a test says so')
-        self.running = await curio.spawn(world.placer.run)
+            testbed.placer.failure_detector.report_lost(name, 'a test says so')
+        self.running = await curio.spawn(testbed.placer.run)
 
     def _is_settled(self) -> bool:
-        records = self.world.fleet.records.values()
-        serving = {head.replica for head in self.world.heads()}
-        return bool(self.world.placer.places) and all(
+        records = self.testbed.fleet.records.values()
+        serving = {head.replica for head in self.testbed.heads()}
+        return bool(self.testbed.placer.held_failure_domain) and all(
             record.state is RecordState.SERVING and record.name in serving
             for record in records
         )
@@ -177,15 +181,15 @@
         self._play(events)
 
     def _play(self, events: list[tuple[str, int]]) -> None:
-        world = World()
+        testbed = PlacerTestbed()
         try:
-            curio.run(_Play(world, events).run)
+            curio.run(_Play(testbed, events).run)
         finally:
-            world.listener.close()
-        self.assertEqual(world.engines.violations, [])
+            testbed.listener.close()
+        self.assertEqual(testbed.engines.violations, [])
         members = [
             name
-            for record in world.fleet.records.values()
+            for record in testbed.fleet.records.values()
             for name in record.members
         ]
         self.assertEqual(len(members), len(set(members)))
--- a/tests/unit/test_first_division.py
+++ b/tests/unit/test_initial_allocation.py
@@ -16,11 +16,11 @@
 import attrs
 
 from cranecart.fleet import Fleet, ReplicaRecord
-from cranecart.grouping._adoption import Adoption
+from cranecart.grouping._inventory import Inventory
+from cranecart.grouping._orphans import OrphanedReplicas
 from cranecart.grouping._plan import plan
+from cranecart.grouping._plan_types import NewReplica
 from cranecart.grouping._stager import Stager
-from cranecart.grouping._stock import Stock
-from cranecart.grouping._supply import NewReplica
 from cranecart.http import Address
 from cranecart.models import EngineModel, EngineProfile, ServiceProfile
 from tests.lib.fake_engines import SERVICE, listed
@@ -52,17 +52,23 @@
     return fleet
 
 
-def _stock(fleet: Fleet, domain: str) -> Stock:
-    losses: Any = SimpleNamespace(current=frozenset)
+def _inventory(fleet: Fleet, domain: str) -> Inventory:
+    failure_detector: Any = SimpleNamespace(lost_instances=frozenset)
     nothing: Any = None
     stager = Stager(nothing, nothing, len(_DOMAINS), bool)
-    adoption = Adoption(domain, fleet)
-    return Stock(domain, fleet, losses, stager, adoption, dict, bool, 4)
+    adoption = OrphanedReplicas(domain, fleet)
+    return Inventory(
+        domain, fleet, failure_detector, stager, adoption, dict, bool, 4
+    )
 
 
 def _own_part(fleet: Fleet, domain: str) -> list[NewReplica]:
-    stock = _stock(fleet, domain)
-    return list(plan(stock.supply(_PROFILE)).only(stock.is_own).replicas)
+    inventory = _inventory(fleet, domain)
+    return list(
+        plan(inventory.plan_input(_PROFILE))
+        .restricted_to(inventory.is_own)
+        .replicas
+    )
 
 
 def _record(fleet: Fleet, domain: str, new: NewReplica) -> None:
--- a/tests/unit/test_large_replicas.py
+++ b/tests/unit/test_large_replicas.py
@@ -21,15 +21,19 @@
 import attrs
 
 from cranecart.fleet import ReplicaRecord
-from cranecart.grouping._objective import objective
+from cranecart.grouping._objective import build_objective
 from cranecart.grouping._plan import plan
-from cranecart.grouping._reshape import MAKES_ROOM, Closing, RoomPause
-from cranecart.grouping._supply import ServingMember, Supply
+from cranecart.grouping._plan_types import PlanInput, ServingMember
+from cranecart.grouping._preemption import (
+    PREEMPTION_REASON,
+    PreemptionCooldown,
+    PreemptionScope,
+)
 from cranecart.http import Address
 from cranecart.models import EngineModel, EngineProfile, ServiceProfile
 from cranecart.ports import ListedInstance
-from tests.lib.deaths import Deployment, Layout
 from tests.lib.fake_engines import SERVICE, listed
+from tests.lib.placement_simulation import SimulatedDeployment, SimulationLayout
 
 _LARGE = EngineModel('large', 16, 1.0, 0.5, 16, 1.6)
 _SMALL = EngineModel('small', 4, 0.6, 0.5, 12, 1.1)
@@ -63,20 +67,20 @@
     return tuple(one.instance for one in _serving(_LARGE, 1)[:count])
 
 
-def _supply(
+def _plan_input(
     free: tuple[ListedInstance, ...],
     members: Sequence[ServingMember],
     large: float,
     small: float,
-) -> Supply:
-    return Supply(
+) -> PlanInput:
+    return PlanInput(
         _PROFILE,
         free,
         {'large': large, 'small': small},
         {},
         {'large': 3.0, 'small': 13.7},
         tuple(members),
-        instances=_INSTANCES,
+        instance_count=_INSTANCES,
     )
 
 
@@ -85,46 +89,48 @@
 
     def test_four_small_ones_make_room(self) -> None:
         """With 3 large replicas for the work of 3, and 36 small ones."""
-        supply = _supply((), _serving(_SMALL, 9), 3, 36)
-        found = plan(supply, Closing.ANYWHERE)
+        plan_input = _plan_input((), _serving(_SMALL, 9), 3, 36)
+        found = plan(plan_input, PreemptionScope.ANYWHERE)
         self.assertEqual([one.model for one in found.replicas], ['large'])
-        self.assertEqual(len(found.closings), 4)
+        self.assertEqual(len(found.preempted), 4)
 
     def test_a_large_one_is_not_closed_for_four(self) -> None:
         """As it lasts a quarter as long, 7 are no plenty for work of 2.5."""
         members = (*_serving(_LARGE, 1), *_serving(_SMALL, 5))
         spare = listed('spare', _ADDRESS, 'f')
-        supply = attrs.evolve(
-            _supply((_with(spare, 'small'),), members, 7, 26),
-            measured={'large': 2.53, 'small': 15.4},
+        plan_input = attrs.evolve(
+            _plan_input((_with(spare, 'small'),), members, 7, 26),
+            measured_demand={'large': 2.53, 'small': 15.4},
+        )
+        self.assertEqual(
+            plan(plan_input, PreemptionScope.ANYWHERE).preempted, ()
         )
-        self.assertEqual(plan(supply, Closing.ANYWHERE).closings, ())
 
     def test_survivors_wait_where_room_is_made_a_little_later(self) -> None:
         """Another placer has just made room; these must not close yet."""
         now = 10.0
-        pause = RoomPause(lambda: now)
+        cooldown = PreemptionCooldown(lambda: now)
         other = ReplicaRecord('r', 1, SERVICE, 'small', 'east', 'g', ('a',))
-        record = attrs.evolve(other, reason=MAKES_ROOM)
-        supply = _supply(_survivors(14), _serving(_SMALL, 5), 3, 30)
-        found = plan(supply, pause.closing([record]))
-        self.assertEqual(found.closings, ())
+        record = attrs.evolve(other, reason=PREEMPTION_REASON)
+        plan_input = _plan_input(_survivors(14), _serving(_SMALL, 5), 3, 30)
+        found = plan(plan_input, cooldown.scope([record]))
+        self.assertEqual(found.preempted, ())
         self.assertEqual(found.replicas, ())
         self.assertEqual(found.warmings, ())
         now += 1
-        found = plan(supply, pause.closing([record]))
-        self.assertEqual(len(found.closings), 1)
+        found = plan(plan_input, cooldown.scope([record]))
+        self.assertEqual(len(found.preempted), 1)
         self.assertEqual([one.model for one in found.replicas], ['large'])
 
     def test_the_pause_does_not_grow_with_the_time_to_close(self) -> None:
         """Six fabric domains that lose members together take turns."""
         now = 10.0
-        pause = RoomPause(lambda: now)
+        cooldown = PreemptionCooldown(lambda: now)
         record = ReplicaRecord('r', 1, SERVICE, 'small', 'east', 'g', ('a',))
-        making = attrs.evolve(record, reason=MAKES_ROOM)
+        making = attrs.evolve(record, reason=PREEMPTION_REASON)
         allowed = []
         for _look in range(4):
-            allowed.append(pause.closing([making]).allows(False))
+            allowed.append(cooldown.scope([making]).allows(False))
             now += 0.5
         self.assertEqual(allowed, [False, False, True, True])
 
@@ -134,14 +140,14 @@
 
     def test_more_members_are_worth_less(self) -> None:
         """Of two that do the same work, as each member may die."""
-        weigh = objective(
+        objective = build_objective(
             (attrs.evolve(_LARGE, name='a'), attrs.evolve(_SMALL, name='b')),
             {'a': 3.0, 'b': 3.0},
             _INSTANCES,
         )
         part_of = {
-            'a': weigh.value({'a': 3}) / _LARGE.size,
-            'b': weigh.value({'b': 3}) / _SMALL.size,
+            'a': objective.value({'a': 3}) / _LARGE.size,
+            'b': objective.value({'b': 3}) / _SMALL.size,
         }
         self.assertLess(part_of['a'], part_of['b'])
 
@@ -152,10 +158,10 @@
     def test_large_replicas_are_formed_again(self) -> None:
         """Means of six seeds; with what fits taken first, 4.4 of 6 to 7."""
         work = {'large': 2.6, 'small': 13.8}
-        layout = Layout(6, 37, _MODELS, work)
+        layout = SimulationLayout(6, 37, _MODELS, work)
         seen: list[tuple[int, int]] = []
         for seed in range(6):
-            deployment = Deployment(layout, random.Random(seed))
+            deployment = SimulatedDeployment(layout, random.Random(seed))
             for turn in range(12):
                 seen.extend(
                     (turn, counts['large']) for counts in deployment.run(2)
--- a/tests/unit/test_liveness.py
+++ b/tests/unit/test_liveness.py
@@ -16,8 +16,8 @@
 from hypothesis import strategies as st
 
 from cranecart.fleet import Fleet, ReplicaRecord
+from cranecart.grouping._failure_detector import FailureDetector
 from cranecart.grouping._liveness import LivenessCheck
-from cranecart.grouping._losses import Losses
 from cranecart.http import Address
 from cranecart.ports import ListedInstance
 from tests.lib.fake_engines import DOMAIN, SERVICE, listed
@@ -104,15 +104,15 @@
     async def note(record: ReplicaRecord) -> None:  # noqa: WPS430
         found.append(record.name)
 
-    losses = Losses(fleet, note)
-    losses.liveness = LivenessCheck(network.attempt)
+    failure_detector = FailureDetector(fleet, note)
+    failure_detector.liveness = LivenessCheck(network.attempt)
 
     async def run() -> None:  # noqa: WPS430
-        losses.doubt(_RECORD, 'silent')
-        await losses.check([_RECORD])
+        failure_detector.suspect(_RECORD, 'silent')
+        await failure_detector.check([_RECORD])
         await curio.sleep(0.02)
 
     curio.run(run)
-    lost = losses.current()
+    lost = failure_detector.lost_instances()
     assert bool(found) is bool(lost)
     return set(lost)
--- a/tests/unit/test_lives.py
+++ b/tests/unit/test_lives.py
@@ -17,7 +17,7 @@
 from cranecart.fleet._listing import Listing
 from cranecart.fleet._lives import LifeBook
 from cranecart.forwarding import TargetConnections
-from cranecart.grouping._losses import Losses
+from cranecart.grouping._failure_detector import FailureDetector
 from cranecart.http import Address
 from cranecart.ports import ListedInstance, MemberPhase, Membership
 from cranecart.routing import RoutingRequest
@@ -30,7 +30,7 @@
     GatewayWorld,
 )
 from tests.lib.waiting import until
-from tests.unit.test_grouping import World
+from tests.unit.test_grouping import PlacerTestbed
 
 _ADDRESS = Address('127.0.0.1', 9)
 _FIRST = 1000
@@ -136,11 +136,11 @@
 
     def test_found_lost_and_back(self) -> None:
         """What was found of the old life is not held against the new one."""
-        losses = Losses(self.fleet, _ignore)
-        losses.note_lost('i1', 'a test says so')
-        self.assertEqual(losses.current(), {'i1'})
+        failure_detector = FailureDetector(self.fleet, _ignore)
+        failure_detector.report_lost('i1', 'a test says so')
+        self.assertEqual(failure_detector.lost_instances(), {'i1'})
         self._list(_entry('i1', _SECOND, is_member=False))
-        self.assertEqual(losses.current(), set())
+        self.assertEqual(failure_detector.lost_instances(), set())
 
     def _list(self, *entries: ListedInstance) -> None:
         items = {entry.id: entry for entry in entries}
@@ -155,7 +155,7 @@
 
     def setUp(self) -> None:
         """Build a world whose instances tell their births."""
-        self.world = World()
+        self.world = PlacerTestbed()
         self.addCleanup(self.world.listener.close)
         fleet = self.world.fleet
         fleet.take_instances(
@@ -180,7 +180,7 @@
 
     def test_back_while_joining(self) -> None:
         """A replica that still forms is formed anew with the new life."""
-        self.world.engines.dark.add('i2')
+        self.world.engines.unreachable.add('i2')
         curio.run(self._back_while_joining)
         self.assertEqual(self.world.engines.violations, [])
 
@@ -190,7 +190,7 @@
         leaves = [
             name
             for order, name in self.world.engines.orders
-            if order == 'leave' and name in self.world.engines.dark
+            if order == 'leave' and name in self.world.engines.unreachable
         ]
         self.assertLessEqual(len(leaves), 1)
 
@@ -200,7 +200,7 @@
         asked = [
             name
             for order, name in self.world.engines.orders
-            if order == 'leave' and name in self.world.engines.dark
+            if order == 'leave' and name in self.world.engines.unreachable
         ]
         self.assertLessEqual(len(asked), 2)
 
@@ -251,8 +251,8 @@
 
     def _start_again(self, name: str) -> None:
         engines = self.world.engines
-        engines.dark.discard(name)
-        engines.start_again(name, _SECOND)
+        engines.unreachable.discard(name)
+        engines.restart(name, _SECOND)
 
     def _is_replaced(self, old: ServingHead) -> bool:
         heads = self.world.fleet.heads(SERVICE, BIG.name)
--- a/tests/unit/test_plan_groups.py
+++ b/tests/unit/test_replica_plan.py
@@ -8,10 +8,14 @@
 
 from cranecart.fleet import ReplicaRecord
 from cranecart.grouping._plan import plan
-from cranecart.grouping._reshape import MAKES_ROOM, Closing, RoomPause
-from cranecart.grouping._settling import Settling
+from cranecart.grouping._plan_types import Plan, PlanInput, ServingMember
+from cranecart.grouping._preemption import (
+    PREEMPTION_REASON,
+    PreemptionCooldown,
+    PreemptionScope,
+)
+from cranecart.grouping._stabilization import ListStabilization
 from cranecart.grouping._stager import Stager
-from cranecart.grouping._supply import Plan, ServingMember, Supply
 from cranecart.http import Address
 from cranecart.ports import ListedInstance
 from tests.lib.fake_engines import BIG, PROFILE, SERVICE, SMALL, listed
@@ -24,9 +28,9 @@
     return attrs.evolve(instance, staged=(staged,) if staged else ())
 
 
-def _plan(*free: ListedInstance, **present: int) -> Plan:
+def _plan(*free: ListedInstance, **replica_counts: int) -> Plan:
     demand = {BIG.name: 3.0, SMALL.name: 3.0}
-    return plan(Supply(PROFILE, free, present, {}, demand))
+    return plan(PlanInput(PROFILE, free, replica_counts, {}, demand))
 
 
 class PlanTest(unittest.TestCase):
@@ -71,7 +75,7 @@
         spare = attrs.evolve(_host('a'), loaded=('big',), staged=('big',))
         member = attrs.evolve(_host('m'), loaded=('small',), staged=('small',))
         done = attrs.evolve(_host('n'), loaded=('small',), staged=('big',))
-        supply = Supply(
+        plan_input = PlanInput(
             PROFILE,
             (spare,),
             {'big': 2, 'small': 2},
@@ -83,7 +87,7 @@
             ),
         )
         stagings = [
-            (one.instance.id, one.model) for one in plan(supply).stagings
+            (one.instance.id, one.model) for one in plan(plan_input).stagings
         ]
         self.assertEqual(stagings, [('a', 'small'), ('m', 'big')])
 
@@ -96,14 +100,14 @@
     def test_a_spare_for_each_model_before_a_second(self) -> None:
         """However the models' work and numbers differ for a moment."""
         hosts = (_host('a'), _host('b'))
-        supply = Supply(
+        plan_input = PlanInput(
             PROFILE,
             hosts,
             {BIG.name: 2, SMALL.name: 6},
             {('f', BIG.name): 1, ('f', SMALL.name): 1},
             {BIG.name: 3.0, SMALL.name: 3.0},
         )
-        models = {staging.model for staging in plan(supply).stagings}
+        models = {staging.model for staging in plan(plan_input).stagings}
         self.assertEqual(models, {BIG.name, SMALL.name})
 
     @given(
@@ -136,55 +140,55 @@
     def test_makes_room(self) -> None:
         """Three and a spare become four where four are lacking."""
         found = _room('big', 'r', spares=1, big=2, small=8)
-        self.assertEqual(found.closings, ('r',))
+        self.assertEqual(found.preempted, ('r',))
         self.assertEqual([one.model for one in found.replicas], ['big'])
 
     def test_two_make_room_for_one(self) -> None:
         """Where no spare is left, six become four and two spares."""
         found = _room('big', 'ab', spares=0, big=1, small=9)
-        self.assertEqual(found.closings, ('a', 'b'))
+        self.assertEqual(found.preempted, ('a', 'b'))
         self.assertEqual([one.model for one in found.replicas], ['big'])
 
     def test_small_differences_are_left(self) -> None:
         """Chance alone brings them."""
         found = _room('big', 'r', spares=1, big=7, small=6)
-        self.assertEqual(found.closings, ())
+        self.assertEqual(found.preempted, ())
 
     def test_not_where_the_other_would_have_to_load(self) -> None:
         """That would cost more than it brings."""
         found = _room('small', 'r', spares=1, big=2, small=8)
-        self.assertEqual(found.closings, ())
+        self.assertEqual(found.preempted, ())
 
     def test_one_placer_at_a_time(self) -> None:
         """What has made room is waited for before more is closed."""
         now = 10.0
-        pause = RoomPause(lambda: now)
+        cooldown = PreemptionCooldown(lambda: now)
         record = ReplicaRecord('r', 1, SERVICE, 'small', 'east', 'f', ('a',))
-        self.assertIs(pause.closing([record]), Closing.ANYWHERE)
+        self.assertIs(cooldown.scope([record]), PreemptionScope.ANYWHERE)
         now += 1
-        closing = attrs.evolve(record, reason=MAKES_ROOM)
-        self.assertIs(pause.closing([closing]), Closing.LATER)
+        closing = attrs.evolve(record, reason=PREEMPTION_REASON)
+        self.assertIs(cooldown.scope([closing]), PreemptionScope.DEFERRED)
         now += 0.5
-        self.assertIs(pause.closing([record]), Closing.LATER)
+        self.assertIs(cooldown.scope([record]), PreemptionScope.DEFERRED)
         now += 1
-        self.assertIs(pause.closing([record]), Closing.ANYWHERE)
+        self.assertIs(cooldown.scope([record]), PreemptionScope.ANYWHERE)
 
     def test_where_nothing_is_free_only_now_and_then(self) -> None:
         """All replicas of a failure domain are compared twice a second."""
         now = 10.0
-        pause = RoomPause(lambda: now)
-        pause.closing([])
+        cooldown = PreemptionCooldown(lambda: now)
+        cooldown.scope([])
         now += 0.1
-        self.assertIs(pause.closing([]), Closing.BESIDE_FREE)
-        self.assertTrue(Closing.BESIDE_FREE.allows(True))
-        self.assertFalse(Closing.BESIDE_FREE.allows(False))
+        self.assertIs(cooldown.scope([]), PreemptionScope.WITH_FREE_INSTANCES)
+        self.assertTrue(PreemptionScope.WITH_FREE_INSTANCES.allows(True))
+        self.assertFalse(PreemptionScope.WITH_FREE_INSTANCES.allows(False))
 
 
 def _room(
     staged: str,
     replicas: str,
     spares: int,
-    **present: int,
+    **replica_counts: int,
 ) -> Plan:
     """Choose between small replicas whose members have a model staged."""
     members = tuple(
@@ -201,8 +205,8 @@
         for number in range(spares)
     )
     demand = {'big': 3.0, 'small': 3.0}
-    supply = Supply(PROFILE, unused, present, {}, demand, members)
-    return plan(supply, Closing.ANYWHERE)
+    plan_input = PlanInput(PROFILE, unused, replica_counts, {}, demand, members)
+    return plan(plan_input, PreemptionScope.ANYWHERE)
 
 
 class SettlingTest(unittest.TestCase):
@@ -211,25 +215,25 @@
     def test_waits_for_those_that_come_together(self) -> None:
         """The first three form nothing while others follow."""
         now = 10.0
-        settling = Settling(lambda: now)
+        stabilization = ListStabilization(lambda: now)
         hosts = [_host(f'i{number}') for number in range(9)]
-        settling.note(hosts[:3])
+        stabilization.update(hosts[:3])
         now = 10.2
-        settling.note(hosts[:6])
-        self.assertFalse(settling.may_use(hosts[:3]))
+        stabilization.update(hosts[:6])
+        self.assertFalse(stabilization.may_use(hosts[:3]))
         now = 10.6
-        settling.note(hosts[:6])
-        self.assertTrue(settling.may_use(hosts[:3]))
+        stabilization.update(hosts[:6])
+        self.assertTrue(stabilization.may_use(hosts[:3]))
 
     def test_survivors_do_not_wait(self) -> None:
         """Others' coming or going says nothing about old members."""
         now = 10.0
-        settling = Settling(lambda: now)
+        stabilization = ListStabilization(lambda: now)
         hosts = [_host(f'i{number}') for number in range(9)]
-        settling.note(hosts[:4])
+        stabilization.update(hosts[:4])
         now = 20.0
-        settling.note(hosts)
-        self.assertTrue(settling.may_use(hosts[:4]))
+        stabilization.update(hosts)
+        self.assertTrue(stabilization.may_use(hosts[:4]))
 
 
 class LoadsTest(unittest.TestCase):
--- a/tests/unit/test_restored_records.py
+++ b/tests/unit/test_restored_records.py
@@ -13,13 +13,13 @@
     record_from_row,
     records_prefix,
 )
-from cranecart.grouping._judge import judge
+from cranecart.grouping._transitions import required_transition
 from cranecart.models import RouteConfig
 from cranecart.ports import MemberPhase
 from tests.lib.fake_engines import DOMAIN, PROFILE, SERVICE
 from tests.lib.fake_platform import FakePlatform
 from tests.lib.waiting import until
-from tests.unit.test_grouping import World
+from tests.unit.test_grouping import PlacerTestbed
 
 _AIM_SECONDS = 1.0
 _WATCH_SECONDS = 1.5
@@ -32,8 +32,8 @@
 
     def setUp(self) -> None:
         """Build a world with replicas to be formed."""
-        self.world = World()
-        self.addCleanup(self.world.listener.close)
+        self.testbed = PlacerTestbed()
+        self.addCleanup(self.testbed.listener.close)
 
     def test_a_copy_lacks_records_of_serving_replicas(self) -> None:
         """The placer writes them again."""
@@ -72,7 +72,7 @@
     def test_nothing_is_ordered_before_the_rows_are_read(self) -> None:
         """A placer that has the duty may fail to read what others wrote."""
         curio.run(self._fail_to_read)
-        self.assertEqual(self.world.engines.orders, [])
+        self.assertEqual(self.testbed.engines.orders, [])
 
     def test_a_whole_reading_of_a_copy(self) -> None:
         """Nodes that do not place keep the records that it lacks."""
@@ -81,19 +81,19 @@
 
     def _play(self, scene: Callable[[], Awaitable[None]]) -> None:
         curio.run(self._formed, scene)
-        self.assertEqual(self.world.engines.violations, [])
+        self.assertEqual(self.testbed.engines.violations, [])
 
     async def _formed(self, scene: Callable[[], Awaitable[None]]) -> None:
-        self.empty = self.world.table.copied()
-        self.running = await curio.spawn(self.world.placer.run)
-        await until(lambda: len(self.world.heads()) == 2)
-        self.first = {head.replica for head in self.world.heads()}
+        self.empty = self.testbed.table.copied()
+        self.running = await curio.spawn(self.testbed.placer.run)
+        await until(lambda: len(self.testbed.heads()) == 2)
+        self.first = {head.replica for head in self.testbed.heads()}
         await scene()
         await self.running.cancel()
 
     async def _lose_records(self) -> None:
         orders = self._orders()
-        self.world.table.restore(self.empty)
+        self.testbed.table.restore(self.empty)
         await until(lambda: self._recorded() == self.first, _AIM_SECONDS)
         await curio.sleep(_WATCH_SECONDS)
         self.assertEqual(self._serving(), self.first)
@@ -102,8 +102,8 @@
     async def _succeed(self) -> None:
         await self.running.cancel()
         orders = self._orders()
-        self.world.table.restore(self.empty)
-        placer = self.world.make_placer('two')
+        self.testbed.table.restore(self.empty)
+        placer = self.testbed.make_placer('two')
         self.running = await curio.spawn(placer.run)
         await until(lambda: self._recorded() == self.first)
         await curio.sleep(_WATCH_SECONDS)
@@ -111,30 +111,30 @@
         self.assertEqual(self._orders(), orders)
 
     async def _bring_back(self) -> None:
-        world = self.world
-        earlier = world.table.copied()
-        lost = world.heads()[0]
-        world.lose(lost.members[1])
+        testbed = self.testbed
+        earlier = testbed.table.copied()
+        lost = testbed.heads()[0]
+        testbed.lose(lost.members[1])
         await until(lambda: lost.replica not in self._recorded())
-        await until(lambda: len(world.heads()) == 2)
+        await until(lambda: len(testbed.heads()) == 2)
         serving = self._serving()
-        world.table.restore(earlier)
+        testbed.table.restore(earlier)
         await until(lambda: self._recorded() == serving, _AIM_SECONDS)
         await curio.sleep(_WATCH_SECONDS)
         self.assertEqual(self._serving(), serving)
 
     async def _end(self) -> None:
-        world = self.world
-        earlier = world.table.copied()
-        world.engines.work_seconds = 1
-        head = world.heads()[0]
+        testbed = self.testbed
+        earlier = testbed.table.copied()
+        testbed.engines.work_seconds = 1
+        head = testbed.heads()[0]
         leaves = attrs.evolve(
-            world.fleet.instances[head.members[1]],
+            testbed.fleet.instances[head.members[1]],
             leaving=True,
         )
-        world.fleet.take_instances({leaves.id: leaves}, False)
+        testbed.fleet.take_instances({leaves.id: leaves}, False)
         await until(lambda: head.replica not in self._recorded())
-        world.table.restore(earlier)
+        testbed.table.restore(earlier)
         await until(lambda: head.replica not in self._recorded())
         await curio.sleep(_WATCH_SECONDS)
         self.assertNotIn(head.replica, self._serving())
@@ -147,50 +147,50 @@
         self.assertEqual(self._orders(), orders)
 
     async def _start_anew_without_one(self) -> None:
-        world = self.world
-        gone = world.heads()[0].members[1]
+        testbed = self.testbed
+        gone = testbed.heads()[0].members[1]
         await self._restart(gone)
         await until(lambda: len(self._serving()) == 2, _END_SECONDS)
         await curio.sleep(_WATCH_SECONDS)
 
     async def _close_head(self) -> None:
         await self.running.cancel()
-        world = self.world
-        head = world.fleet.instances[world.heads()[0].id]
-        record = next(iter(world.fleet.recorded.naming_one(head.id)))
+        testbed = self.testbed
+        head = testbed.fleet.instances[testbed.heads()[0].id]
+        record = next(iter(testbed.fleet.recorded.naming_one(head.id)))
         assert head.membership is not None
         closing = attrs.evolve(head.membership, phase=MemberPhase.CLOSING)
-        world.fleet.take_instances(
+        testbed.fleet.take_instances(
             {head.id: attrs.evolve(head, membership=closing)},
             False,
         )
         config = RouteConfig(1, (), {SERVICE: PROFILE})
-        verdict = judge(record, world.fleet, (), config)
-        assert verdict is not None
-        self.assertIs(verdict.state, RecordState.CLOSING)
+        transition = required_transition(record, testbed.fleet, (), config)
+        assert transition is not None
+        self.assertIs(transition.state, RecordState.CLOSING)
 
     async def _restart(self, *gone: str) -> None:
         """Begin with another node that knows the list only."""
         await self.running.cancel()
-        world = self.world
-        world.has_traffic = True
-        world.table.restore(self.empty)
+        testbed = self.testbed
+        testbed.has_traffic = True
+        testbed.table.restore(self.empty)
         listed = {
             name: one
-            for name, one in world.fleet.instances.items()
+            for name, one in testbed.fleet.instances.items()
             if name not in gone
         }
-        world.fleet = Fleet()
-        world.fleet.take_instances(listed, True)
-        world.engines.fleet = world.fleet
-        self.running = await curio.spawn(world.make_placer('two').run)
+        testbed.fleet = Fleet()
+        testbed.fleet.take_instances(listed, True)
+        testbed.engines.fleet = testbed.fleet
+        self.running = await curio.spawn(testbed.make_placer('two').run)
 
     async def _fail_to_read(self) -> None:
-        world = self.world
+        testbed = self.testbed
         unread = mock.AsyncMock(side_effect=PlatformUnavailableError('busy'))
         with mock.patch.object(FakePlatform, 'read_prefix', unread):
-            running = await curio.spawn(world.placer.run)
-            await until(lambda: world.placer.lease.is_held)
+            running = await curio.spawn(testbed.placer.run)
+            await until(lambda: testbed.placer.lease.is_held)
             await curio.sleep(_WATCH_SECONDS)
             await running.cancel()
         # No more often than five times a second.
@@ -198,26 +198,26 @@
 
     async def _read_whole(self) -> None:
         await self.running.cancel()
-        self.world.table.restore(self.empty)
-        self.world.fleet.take_records({}, True, self.world.table.era)
+        self.testbed.table.restore(self.empty)
+        self.testbed.fleet.take_records({}, True, self.testbed.table.era)
 
     def _orders(self) -> int:
         """Return how many orders to members were sent."""
-        bound = {name for one in self.world.heads() for name in one.members}
+        bound = {name for one in self.testbed.heads() for name in one.members}
         return sum(
             1
-            for order, name in self.world.engines.orders
+            for order, name in self.testbed.engines.orders
             if name in bound and order != 'stage'
         )
 
     def _serving(self) -> set[str]:
-        return {head.replica for head in self.world.heads()}
+        return {head.replica for head in self.testbed.heads()}
 
     def _recorded(self) -> set[str]:
         prefix = records_prefix(DOMAIN)
         read = [
             record_from_row(row)
-            for key, row in self.world.table.rows.items()
+            for key, row in self.testbed.table.rows.items()
             if key.startswith(prefix)
         ]
         return {
--- a/tests/unit/test_store_path.py
+++ b/tests/unit/test_store_path.py
@@ -107,23 +107,23 @@
         """The duty is looked at seldom until a reader has been answered."""
         lease = mock.Mock(is_held=False, keep=mock.AsyncMock())
         lease.keep.return_value = False
-        view = mock.Mock()
-        view.hears_other.return_value = False
-        view.is_cut.return_value = True
+        environment = mock.Mock()
+        environment.is_held_elsewhere.return_value = False
+        environment.is_store_unreachable.return_value = True
         placer: Any = object.__new__(GroupPlacer)
         placer._ticked_at = float('inf')
         placer.lease = lease
-        placer._book = mock.Mock()
-        placer._view = view
-        placer._renewed_at = since_boot() - 1
+        placer._record_store = mock.Mock()
+        placer._environment = environment
+        placer._lease_checked_at = since_boot() - 1
         curio.run(placer._keep_lease)
         lease.keep.assert_not_awaited()
-        view.is_cut.return_value = False
+        environment.is_store_unreachable.return_value = False
         curio.run(placer._keep_lease)
         lease.keep.assert_awaited_once()
         # One reader alone may fail for long, while the duty can be had.
-        view.is_cut.return_value = True
-        placer._renewed_at = since_boot() - 3.1
+        environment.is_store_unreachable.return_value = True
+        placer._lease_checked_at = since_boot() - 3.1
         curio.run(placer._keep_lease)
         self.assertEqual(lease.keep.await_count, 2)
 
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -40,33 +40,33 @@
 MECHANISMS = (
     Mechanism(
         'making room for another model',
-        'grouping/_shaper.py',
-        'return self._room.closing(self._fleet.records.values())',
-        'return Closing.NOTHING',
+        'grouping/_plan_executor.py',
+        'return self._cooldown.scope(self._fleet.records.values())',
+        'return PreemptionScope.NONE',
     ),
     Mechanism(
         'a second model on every host',
         'grouping/_plan.py',
-        'return (*stagings, *second_models(supply, members))',
+        'return (*stagings, *stage_second_models(plan_input, members))',
         'return tuple(stagings)',
     ),
     Mechanism(
         'spares that load beforehand',
-        'grouping/_shaper.py',
-        'if warming.instance.id not in bound:',
+        'grouping/_plan_executor.py',
+        'if warming.instance.id not in bound_instances:',
         'if not warming:',
     ),
     Mechanism(
         'one first division by all placers',
-        'grouping/_stock.py',
+        'grouping/_inventory.py',
         'return is_own or not self._has_traffic()',
         'return is_own',
     ),
     Mechanism(
         "loads at the weight store's pace",
         'grouping/_stager.py',
-        'if loading and loading + count > engine.loads_at_once - reserve:',
-        'if loading < 0:',
+        'if in_progress and in_progress + count > engine.loads_at_once - reserve:',
+        'if in_progress < 0:',
     ),
     Mechanism(
         'checks at the first silence',
--- a/tools/bench/_fleet.py
+++ b/tools/bench/_fleet.py
@@ -14,11 +14,11 @@
 
 from cranecart.demand import DemandMeter
 from cranecart.fleet import Fleet, ReplicaRecord
-from cranecart.grouping._judge import judge
-from cranecart.grouping._losses import Losses
+from cranecart.grouping._failure_detector import FailureDetector
 from cranecart.grouping._plan import plan
-from cranecart.grouping._reshape import Closing
-from cranecart.grouping._supply import Supply
+from cranecart.grouping._plan_types import PlanInput
+from cranecart.grouping._preemption import PreemptionScope
+from cranecart.grouping._transitions import required_transition
 from cranecart.http import Address
 from cranecart.models import (
     EngineModel,
@@ -74,7 +74,7 @@
     return {
         'change_of_the_list_ms': _time(size.change),
         'judging_own_records_ms': _time(size.judge),
-        'looking_for_witnesses_ms': _time(size.witnesses),
+        'looking_for_witnesses_ms': _time(size.reference_instances),
         'first_plan_ms': _time(size.plan_first, 5),
         'plan_after_a_loss_ms': _time(size.plan_loss, 10),
         'missing_member_ms': _time(size.missing),
@@ -98,7 +98,7 @@
 
     fleet: Fleet = attrs.field(factory=Fleet, init=False)
     router: TargetRouter = attrs.field(init=False)
-    losses: Losses = attrs.field(init=False)
+    failure_detector: FailureDetector = attrs.field(init=False)
     own: Sequence[ReplicaRecord] = attrs.field(init=False)
     _turn: Iterator[str] = attrs.field(init=False)
 
@@ -135,7 +135,7 @@
             DemandMeter().mean_seconds,
             'd0',
         )
-        self.losses = Losses(self.fleet, _nobody)
+        self.failure_detector = FailureDetector(self.fleet, _nobody)
         self._turn = itertools.cycle(instances)
 
     def change(self) -> object:
@@ -146,12 +146,15 @@
 
     def judge(self) -> object:
         """Judge all replicas of a failure domain."""
-        lost = self.losses.current()
-        return [judge(one, self.fleet, lost, _CONFIG) for one in self.own]
+        lost = self.failure_detector.lost_instances()
+        return [
+            required_transition(one, self.fleet, lost, _CONFIG)
+            for one in self.own
+        ]
 
-    def witnesses(self) -> object:
+    def reference_instances(self) -> object:
         """Look for instances to ask where no member answers."""
-        return self.losses._witnesses(self.own[0])
+        return self.failure_detector._reference_instances(self.own[0])
 
     def missing(self) -> object:
         """Look whether each member of a large replica is bound elsewhere."""
@@ -170,26 +173,32 @@
             for one in self.fleet.instances.values()
             if one.service == _ENGINES
         )
-        supply = Supply(
-            _PROFILE, free, {}, {}, {}, load_part=0.1, instances=len(free)
+        plan_input = PlanInput(
+            _PROFILE,
+            free,
+            {},
+            {},
+            {},
+            load_time_factor=0.1,
+            instance_count=len(free),
         )
-        return plan(supply)
+        return plan(plan_input)
 
     def plan_loss(self) -> object:
         """Divide what is left of a large replica in one failure domain."""
         free = tuple(
             self.fleet.instances[name] for name in self.own[0].members[:28]
         )
-        present = {'large': 14.0, 'small': 76.0}
-        supply = Supply(
+        replica_counts = {'large': 14.0, 'small': 76.0}
+        plan_input = PlanInput(
             _PROFILE,
             free,
-            present,
+            replica_counts,
             {},
             dict(_DEMAND),
-            instances=_FABRICS * _FABRIC_SIZE,
+            instance_count=_FABRICS * _FABRIC_SIZE,
         )
-        return plan(supply, Closing.BESIDE_FREE)
+        return plan(plan_input, PreemptionScope.WITH_FREE_INSTANCES)
 
     def choose_plain(self) -> object:
         """Choose an instance of the plain service."""
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -131,7 +131,7 @@
     ),
     Mutation(
         'members-freed-at-once',
-        'grouping/_ending.py',
+        'grouping/_teardown.py',
         """        if self._fleet.listing.has_ended(self.record.incarnations[0]):
             return 'the head lives anew'
         if self._member""",
@@ -141,14 +141,14 @@
     ),
     Mutation(
         'members-not-waited-for',
-        'grouping/_forming.py',
+        'grouping/_formation.py',
         'and not self._is_bound_elsewhere(name)',
         'and bool(name)',
         _DRAWN_FAULTS,
     ),
     Mutation(
         'heads-opened-before-all-are-ready',
-        'grouping/_forming.py',
+        'grouping/_formation.py',
         'return all(self._phase(name) in phases',
         'return any(self._phase(name) in phases',
         'tests.unit.test_grouping.GroupingTest'
@@ -359,15 +359,15 @@
     ),
     Mutation(
         'records-are-not-written-again',
-        'grouping/_book.py',
-        'await self._write_lost()',
+        'grouping/_record_store.py',
+        'await self._rewrite_missing()',
         'self.records()',
         f'{_RESTORED_RECORDS}.test_a_copy_lacks_records_of_serving_replicas',
     ),
     Mutation(
         'members-without-a-record-are-free',
-        'grouping/_stock.py',
-        'used.update(self._adoption.members())',
+        'grouping/_inventory.py',
+        'used.update(self._orphans.members())',
         'used.update(())',
         f'{_RESTORED_RECORDS}.test_nobody_knows_a_serving_replica',
     ),
