--- a/src/cranecart/grouping/_failure_detector.py
+++ b/src/cranecart/grouping/_failure_detector.py
@@ -58,7 +58,8 @@
         self._lost_at = {
             incarnation: at
             for incarnation, at in self._lost_at.items()
-            if now - at < _LOST_TTL_SECONDS or incarnation.id in self._fleet.lapsed
+            if now - at < _LOST_TTL_SECONDS
+            or incarnation.id in self._fleet.lapsed
         }
         return frozenset(
             incarnation.id
--- a/src/cranecart/grouping/_stager.py
+++ b/src/cranecart/grouping/_stager.py
@@ -53,7 +53,10 @@
             if now - at < _STAGE_RETRY_SECONDS
             and _is_pending(instances.get(incarnation.id), incarnation, model)
         }
-        return {incarnation.id: model for incarnation, (_, model) in self._pending.items()}
+        return {
+            incarnation.id: model
+            for incarnation, (_, model) in self._pending.items()
+        }
 
     def may_load(
         self,
--- a/src/cranecart/grouping/_transitions.py
+++ b/src/cranecart/grouping/_transitions.py
@@ -32,7 +32,11 @@
     if lost_members:
         return Transition(RecordState.ENDING, f'lost {", ".join(lost_members)}')
     is_superseded = fleet.listing.is_superseded
-    restarted = [incarnation.id for incarnation in record.incarnations if is_superseded(incarnation)]
+    restarted = [
+        incarnation.id
+        for incarnation in record.incarnations
+        if is_superseded(incarnation)
+    ]
     if restarted:
         return Transition(
             RecordState.ENDING, f'{", ".join(restarted)} lives anew'
