--- a/src/cranecart/clients/_attempts.py
+++ b/src/cranecart/clients/_attempts.py
@@ -46,7 +46,7 @@
         while self._may_go_on():
             self._number += 1
             try:
-                self._guard.passed_over(self._identity)
+                self._guard.instances_to_avoid(self._identity)
                 return await attempt()
             except TargetError as error:
                 self._note(error)
@@ -75,12 +75,12 @@
         if self._number >= _MAX_ATTEMPTS or self._call.seconds_left <= 0:
             return False
         if self._last is None:
-            self._budget.pay_in()
+            self._budget.deposit()
             return True
         is_safe = (
             self._call.repeatable or self._last.execution is Execution.NOT_RUN
         )
-        return is_safe and self._budget.take()
+        return is_safe and self._budget.withdraw()
 
     def _final_error(self, without_attempt: RequestError) -> RequestError:
         is_held = isinstance(without_attempt, HeldError)
--- a/src/cranecart/clients/_gateway.py
+++ b/src/cranecart/clients/_gateway.py
@@ -161,13 +161,13 @@
             replica = self._router.choose_replica(call, tried)
             tried.append(replica.id)
             runner = replica_runner(replica)
-            with self._router.in_flight(replica.id):
-                async with self._guard.watching(
+            with self._router.track_in_flight(replica.id):
+                async with self._guard.watch(
                     lambda: call.identity,
                     runner,
                 ) as watch:
                     answer = await self._engines.start(replica, call)
-                    watch.answering()
+                    watch.record_begun()
                     return await _read_completion(call, answer)
 
         return await self._attempts(call).run(attempt)
@@ -180,8 +180,8 @@
             tried.append(instance.id)
             incarnation = Incarnation(instance.id)
             runner = NamedRunner(instance.id, incarnation, instance.address)
-            watching = self._guard.watching(lambda: call.identity, runner)
-            with self._router.in_flight(instance.id):
+            watching = self._guard.watch(lambda: call.identity, runner)
+            with self._router.track_in_flight(instance.id):
                 async with watching:
                     return await self._services.call(instance, call)
 
--- a/src/cranecart/clients/_relay.py
+++ b/src/cranecart/clients/_relay.py
@@ -62,8 +62,8 @@
         replica = self._router.choose_replica(self._call, self._tried)
         self._tried.append(replica.id)
         runner = replica_runner(replica)
-        watching = self._guard.watching(lambda: self._call.identity, runner)
-        with self._router.in_flight(replica.id):
+        watching = self._guard.watch(lambda: self._call.identity, runner)
+        with self._router.track_in_flight(replica.id):
             async with watching as watch:
                 await self._relay(replica, watch)
 
@@ -97,7 +97,7 @@
             self._counter.tokens,
         )
         async with answer:
-            watch.answering()
+            watch.record_begun()
             await self._start()
             # One timer for the whole stream; one an event costs too much.
             await within_deadline(self._call, self._pass_all_on, answer, watch)
@@ -122,7 +122,7 @@
         self, answer: EngineAnswer, watch: AttemptProgress
     ) -> None:
         while piece := await answer.read_chunk():
-            watch.progressing()
+            watch.record_progress()
             whole = self._counter.feed(piece)
             if not whole:
                 continue
--- a/src/cranecart/dispatch/_client_retries.py
+++ b/src/cranecart/dispatch/_client_retries.py
@@ -44,13 +44,13 @@
     being refused does a shorter one mean that its client has come back.
     """
 
-    _longest: dict[str, float] = attrs.field(
+    _longest_deadline: dict[str, float] = attrs.field(
         factory=lambda: defaultdict(float),
         init=False,
     )
     _refused_at: dict[str, float] = attrs.field(factory=dict, init=False)
 
-    def note_refused(self, route: str, now: float) -> None:
+    def record_refusal(self, route: str, now: float) -> None:
         """Take over that a client was told to come back."""
         self._refused_at[route] = now
 
@@ -63,8 +63,10 @@
         """Return since when a client has been asking, zero if it is new."""
         if deadline is None:
             return 0
-        self._longest[route] = max(self._longest[route], deadline)
+        self._longest_deadline[route] = max(
+            self._longest_deadline[route], deadline
+        )
         refused_at = self._refused_at.get(route, float('-inf'))
-        elapsed = self._longest[route] - deadline
+        elapsed = self._longest_deadline[route] - deadline
         is_likely = now - refused_at < _MEMORY_SECONDS
         return elapsed if is_likely and elapsed > _WAY_SECONDS else 0
--- a/src/cranecart/dispatch/_decision.py
+++ b/src/cranecart/dispatch/_decision.py
@@ -34,15 +34,15 @@
     """Send to a replica; ``is_late`` ones let those in time pass."""
 
     name: str
-    seconds: float
-    is_late: bool = False
+    forecast_seconds: float
+    is_deferred: bool = False
 
 
 @attrs.frozen
 class Refuse:
     """Refuse; a place is expected in ``seconds``, counted from now."""
 
-    seconds: float
+    excess_seconds: float
 
 
 def decide(
@@ -56,19 +56,19 @@
         best, seconds = _quickest(ask, asked, behind=False)
         if seconds <= ask.objective_seconds:
             return Send(best.name, seconds)
-    if ask.has_begun:
+    if ask.is_resumed:
         return Send(best.name, seconds)
     best, seconds = _quickest(ask, standings, behind=True)
-    part = _RETURNED_PATIENCE_PART if ask.has_returned else _PATIENCE_PART
-    over = seconds - part * ask.patience_seconds
+    part = _RETURNED_PATIENCE_PART if ask.was_refused else _PATIENCE_PART
+    over = seconds - part * ask.max_wait_seconds
     if over <= 0:
-        return Send(best.name, seconds, is_late=True)
+        return Send(best.name, seconds, is_deferred=True)
     return Refuse(over)
 
 
 def _drawn(standings: Sequence[ReplicaState]) -> Sequence[ReplicaState]:
-    near = [one for one in standings if one.is_near]
-    far = [one for one in standings if not one.is_near]
+    near = [one for one in standings if one.is_local]
+    far = [one for one in standings if not one.is_local]
     return (*near[:_DRAWN], *far[:_DRAWN])
 
 
@@ -87,6 +87,6 @@
 
 
 def _penalty(ask: DispatchRequest, standing: ReplicaState) -> float:
-    if standing.is_near:
+    if standing.is_local:
         return 0
     return _FAR_PART * ask.route.objective_seconds
--- a/src/cranecart/dispatch/_forecast.py
+++ b/src/cranecart/dispatch/_forecast.py
@@ -23,11 +23,11 @@
     timing = ask.engine.timing
     before = standing.in_flight
     if behind:
-        before += standing.behind
+        before += standing.deferred
     writers = min(before + 1, slots)
     own = timing.reading_seconds(ask.prompt_tokens)
     own += _PASSES * timing.pass_seconds(writers)
     # A full replica ends a request in each mean part of its time.
     queued = max(0, before + 1 - slots)
-    waiting = queued * ask.run_seconds
+    waiting = queued * ask.completion_interval
     return own * ask.model.pace + waiting + standing.error_seconds
--- a/src/cranecart/dispatch/_forecast_errors.py
+++ b/src/cranecart/dispatch/_forecast_errors.py
@@ -32,7 +32,7 @@
         init=False,
     )
 
-    def note(
+    def record(
         self,
         name: Hashable,
         model: str,
@@ -53,7 +53,7 @@
             return self._models[model]
         return known[0]
 
-    def forget(self, names: Collection[Hashable]) -> None:
+    def prune(self, names: Collection[Hashable]) -> None:
         """Forget all replicas but some."""
         for name in self._replicas.keys() - set(names):
             self._replicas.pop(name)
--- a/src/cranecart/dispatch/_inputs.py
+++ b/src/cranecart/dispatch/_inputs.py
@@ -23,9 +23,9 @@
 
     name: str
     in_flight: int
-    behind: int = 0
+    deferred: int = 0
     error_seconds: float = 0
-    is_near: bool = True
+    is_local: bool = True
 
 
 @attrs.frozen
@@ -43,10 +43,10 @@
     model: EngineModel
     prompt_tokens: int
     elapsed_seconds: float
-    left_seconds: float
-    run_seconds: float
-    has_returned: bool = False
-    has_begun: bool = False
+    remaining_seconds: float
+    completion_interval: float
+    was_refused: bool = False
+    is_resumed: bool = False
 
     @property
     def objective_seconds(self) -> float:
@@ -54,11 +54,11 @@
         return self.route.objective_seconds - self.elapsed_seconds
 
     @property
-    def patience_seconds(self) -> float:
+    def max_wait_seconds(self) -> float:
         """Return how long the client waits for a first event."""
         patience = max(
             _PATIENCE_SECONDS,
             _PATIENCE_OBJECTIVES * self.route.objective_seconds,
             _PATIENCE_PAUSES * self.route.pause_seconds,
         )
-        return min(patience, self.left_seconds)
+        return min(patience, self.remaining_seconds)
--- a/src/cranecart/emulation/_policies.py
+++ b/src/cranecart/emulation/_policies.py
@@ -119,13 +119,17 @@
         chosen = decide(ask, standings)
         if isinstance(chosen, Refuse):
             drawn = self._random.random()
-            return Refuse(spread_retry_after(chosen.seconds, left, drawn))
+            return Refuse(
+                spread_retry_after(chosen.excess_seconds, left, drawn)
+            )
         return chosen
 
     def note_first(self, run: Run, sent: Send, took: float, now: float) -> None:
         """Learn how late it was against the forecast."""
-        if sent.is_late:
+        if sent.is_deferred:
             return
         name, model = sent.name, run.model.name
         expected = self._errors.expected(name, model, now)
-        self._errors.note(name, model, took - sent.seconds + expected, now)
+        self._errors.record(
+            name, model, took - sent.forecast_seconds + expected, now
+        )
--- a/src/cranecart/emulation/_world.py
+++ b/src/cranecart/emulation/_world.py
@@ -47,7 +47,7 @@
     has_begun: bool = False
 
     def counts(self) -> Counter[str]:
-        is_behind = self.sent.is_late and not self.has_begun
+        is_behind = self.sent.is_deferred and not self.has_begun
         return self.node.behind if is_behind else self.node.counts
 
     def begin(self) -> None:
@@ -120,7 +120,7 @@
             self._now,
         )
         if isinstance(chosen, Refuse):
-            self._refuse(run, chosen.seconds)
+            self._refuse(run, chosen.excess_seconds)
             return
         engine = next(one for one in engines if one.name == chosen.name)
         self._send(run, _Place(node, engine, chosen, self._now))
@@ -137,7 +137,7 @@
     def _send(self, run: Run, place: _Place) -> None:
         self._places[run] = place
         place.counts()[place.engine.name] += 1
-        place.engine.put(run, _LATE_RANK if place.sent.is_late else 0)
+        place.engine.put(run, _LATE_RANK if place.sent.is_deferred else 0)
         self._begin_pass(place.engine)
         if run.first_at is None:
             patience = max(
--- a/src/cranecart/forwarding/_attempts.py
+++ b/src/cranecart/forwarding/_attempts.py
@@ -54,7 +54,7 @@
 
     async def run(self, attempt: Callable[[Target], Awaitable[None]]) -> None:
         """Attempt until one succeeds; raise ``RequestError`` for the last."""
-        self._budget.pay_in(self.call.service)
+        self._budget.record_request(self.call.service)
         while not await self._succeeds(attempt, self._choose()):
             if not self._may_go_on():
                 raise self._final_error()
@@ -67,7 +67,7 @@
         call = self.call
         if not call.may_repeat or self._sent + 1 >= call.route.attempts:
             return False
-        return self._router.has_untried(
+        return self._router.has_untried_target(
             call.config,
             call.service,
             call.facts.model,
@@ -77,38 +77,38 @@
     def begun(self, target: Target) -> None:
         """Take over that an event came, maybe the first after a move."""
         if self._watch is not None:
-            self._watch.progressing()
+            self._watch.record_progress()
         if not self.has_begun:
-            self._router.begun(target, self.call.facts.model)
+            self._router.record_first_event(target, self.call.facts.model)
         self.has_begun = True
 
     def answering(self) -> None:
         """Take over that the present target has begun to answer."""
         if self._watch is not None:
-            self._watch.answering()
+            self._watch.record_begun()
 
     async def _succeeds(
         self,
         attempt: Callable[[Target], Awaitable[None]],
         target: Target,
     ) -> bool:
-        watching = self._guard.watching(self._identity, target.instance)
+        watching = self._guard.watch(self._identity, target.instance)
         try:
             async with watching as watch:
                 self._watch = watch
-                with self._router.in_flight(target):
+                with self._router.track_in_flight(target):
                     await attempt(target)
         except TargetError as error:
             self._note(target, error)
             return False
-        self._router.succeeded(target.instance.incarnation)
+        self._router.record_success(target.instance.incarnation)
         return True
 
     def _wanted(self) -> RoutingRequest:
         return wanted(
             self.call,
             self.tried,
-            self._guard.passed_over(self._identity),
+            self._guard.instances_to_avoid(self._identity),
             has_begun=self.has_begun,
         )
 
@@ -126,13 +126,13 @@
         call.trace.add(
             'routed',
             instance=target.instance.id,
-            replica=target.forming,
+            replica=target.replica_epoch,
             load=target.load,
             why=target.reason,
-            forecast=round(target.seconds, 3),
+            forecast=round(target.forecast_seconds, 3),
             learned=round(target.error_seconds, 3),
             returned=round(call.returned_seconds, 3),
-            passed_over=target.passed_over,
+            passed_over=target.throttled,
             tried=list(self.tried),
         )
         self.tried.append(target.instance.id)
@@ -175,11 +175,14 @@
         if isinstance(error, TargetWithdrawnError):
             # That it said so in time is no failure.
             return
-        if isinstance(error, TargetDisconnectedError) and not target.forming:
-            self._router.broke(incarnation)
+        if (
+            isinstance(error, TargetDisconnectedError)
+            and not target.replica_epoch
+        ):
+            self._router.record_broken_connection(incarnation)
             return
         is_reached = not isinstance(error, TargetNotReachedError)
-        self._router.failed(incarnation, reached=is_reached)
+        self._router.record_failure(incarnation, reached=is_reached)
 
     def _tell_disconnected(self, target: Target) -> None:
         """Log what shows whether the request has ended its target."""
@@ -219,7 +222,7 @@
         if not call.may_repeat and self._has_run:
             return False
         # What has reached no target costs none of them anything yet.
-        return not self._sent or self._budget.take(call.service)
+        return not self._sent or self._budget.withdraw(call.service)
 
     def _final_error(self) -> RequestError:
         last = self._last
@@ -227,7 +230,7 @@
             again = wanted(self.call, (), has_begun=self.has_begun)
             return NotTakenError(
                 str(last),
-                retry_after=self._router.return_after(again),
+                retry_after=self._router.retry_after_seconds(again),
             )
         if isinstance(last, TargetTimeoutError):
             return TimeoutPassedError(str(last))
--- a/src/cranecart/forwarding/_gateway.py
+++ b/src/cranecart/forwarding/_gateway.py
@@ -148,7 +148,7 @@
             await self._attempt(call, attempts, responder)
         except RequestError as error:
             if error.retry_after is not None:
-                self._returns.note_refused(call.route.name, since_boot())
+                self._returns.record_refusal(call.route.name, since_boot())
             raise
         except ConnectionBrokenError:
             raise
--- a/src/cranecart/forwarding/_sender.py
+++ b/src/cranecart/forwarding/_sender.py
@@ -137,8 +137,8 @@
 
     async def tell(self, target: Target, evidence: str) -> None:
         """Tell that a target may stand still."""
-        if target.forming is not None:
-            await self._evidence(target.forming, evidence)
+        if target.replica_epoch is not None:
+            await self._evidence(target.replica_epoch, evidence)
 
     def _check_silence(
         self,
@@ -149,12 +149,12 @@
     ) -> None:
         if call.seconds_left <= 0:
             raise TargetTimeoutError('the answer was not whole in time')
-        forming = target.forming
+        forming = target.replica_epoch
         is_stopped = forming is not None and self._is_stopped(forming)
         if is_stopped and not patience.is_last:
             raise TargetBrokenError(f'{target.instance.id} has stopped')
         model = call.facts.model
-        if silence > patience.still and self.router.is_still(target, model):
+        if silence > patience.still and self.router.is_stalled(target, model):
             raise TargetBrokenError(
                 f'{target.instance.id} gives its streams nothing',
             )
@@ -187,12 +187,12 @@
         connection: HttpConnection,
         resume_after: str,
     ) -> None:
-        if not self.router.gate.may_reach(target.instance.incarnation):
+        if not self.router.throttle.may_send(target.instance.incarnation):
             # While it waited for a connection another answer asked for rest.
             raise TargetWithdrawnError(
                 f'{target.instance.id} takes nothing any more',
             )
-        late_ranks = _LATE_RANKS if target.is_late else 0
+        late_ranks = _LATE_RANKS if target.is_deferred else 0
         dispatch = Dispatch(
             target.instance.id,
             call.seconds_left,
@@ -217,7 +217,7 @@
     ) -> TargetAnswer:
         facts = self.form.read_answer(head)
         self.connections.note_head(target.instance, head)
-        self.router.gate.note_answer(
+        self.router.throttle.record_response(
             target.instance.incarnation, facts, sent_at
         )
         if facts.at_fault:
--- a/src/cranecart/forwarding/_stream.py
+++ b/src/cranecart/forwarding/_stream.py
@@ -86,7 +86,7 @@
                 self._sender.form.answer_lines(answer.head),
             )
         incarnation = target.instance.incarnation
-        with self._sender.router.pulse.following(incarnation) as pulse:
+        with self._sender.router.stalls.track_stream(incarnation) as pulse:
             await self._pass_events(target, answer, pulse)
         if not self.cutter.is_between_events:
             raise TargetDisconnectedError(
@@ -108,7 +108,7 @@
         ):
             self._attempts.begun(target)
             patience = self._patience()
-            pulse.beat()
+            pulse.record_event()
             whole = self.cutter.feed(piece)
             if whole:
                 await self._responder.write(whole)
@@ -117,7 +117,7 @@
     def _note_gap(self, gap: float | None) -> None:
         if gap is not None:
             model = self._attempts.call.facts.model
-            self._sender.router.gaps.note(model, gap)
+            self._sender.router.gaps.record(model, gap)
 
     async def _take_failure(
         self,
@@ -141,7 +141,7 @@
 
     def _patience(self) -> Patience:
         model = self._attempts.call.facts.model
-        suspect = self._sender.router.gaps.suspect_seconds(model)
+        suspect = self._sender.router.gaps.stall_seconds(model)
         if self._attempts.may_try_another():
             pause = self._attempts.call.route.pause_seconds
             return Patience(suspect, _SILENT_SECONDS, pause)
--- a/src/cranecart/forwarding/_whole.py
+++ b/src/cranecart/forwarding/_whole.py
@@ -34,7 +34,7 @@
             )
             self.response = self._response(answer, body)
             took = since_boot() - started
-            self._sender.router.gaps.note(call.service, took)
+            self._sender.router.gaps.record(call.service, took)
         if self._is_worth_another(answer):
             raise TargetBrokenError(
                 f'{target.instance.id} failed with {answer.head.status}',
@@ -51,7 +51,7 @@
         if not self._attempts.may_try_another():
             return Patience(float('inf'), float('inf'))
         call = self._attempts.call
-        usual = self._sender.router.gaps.suspect_seconds(call.service)
+        usual = self._sender.router.gaps.stall_seconds(call.service)
         half = call.route.objective_seconds / 2
         return Patience(float('inf'), max(half, usual))
 
--- a/src/cranecart/limits/_admission.py
+++ b/src/cranecart/limits/_admission.py
@@ -40,12 +40,12 @@
     _capacity: Capacity
     _shares: LimitShares
     _rates: TokenRateLimiter
-    _inside: Counter[str] = attrs.field(factory=Counter, init=False)
+    _in_progress: Counter[str] = attrs.field(factory=Counter, init=False)
 
     @property
-    def inside(self) -> int:
+    def in_progress(self) -> int:
         """Return how many calls are in progress."""
-        return self._inside.total()
+        return self._in_progress.total()
 
     @contextlib.contextmanager
     def admit(
@@ -59,17 +59,17 @@
         Raise ``LimitedError`` or ``OverloadedError`` at once, never wait.
         """
         name = organisation.name
-        self._shares.want(name)
+        self._shares.call_started(name)
         try:
             self._check(organisation, priority)
             self._rates.take(organisation, tokens)
-            self._inside[name] += 1
+            self._in_progress[name] += 1
             try:
                 yield
             finally:
-                self._inside[name] -= 1
+                self._in_progress[name] -= 1
         finally:
-            self._shares.done(name)
+            self._shares.call_ended(name)
 
     def allowance(self, organisation: OrganisationSpec) -> int:
         """Return how many calls of an organisation this node admits."""
@@ -82,10 +82,10 @@
         priority: Priority,
     ) -> None:
         name = organisation.name
-        if self._inside[name] >= self.allowance(organisation):
+        if self._in_progress[name] >= self.allowance(organisation):
             raise LimitedError(f'{name} has its share of calls in progress')
         limit = self._capacity.calls * self._capacity.fill[priority]
-        if self.inside >= limit:
+        if self.in_progress >= limit:
             raise OverloadedError(
                 f'the node is too full for priority {priority.value}',
             )
--- a/src/cranecart/limits/_rates.py
+++ b/src/cranecart/limits/_rates.py
@@ -14,7 +14,7 @@
 @attrs.define
 class _Bucket:
     tokens: float
-    at: float
+    refilled_at: float
 
 
 @attrs.define
@@ -36,9 +36,9 @@
         rate = organisation.limits.tokens_per_second * self._share(name)
         most = rate * _BURST_SECONDS
         bucket = self._buckets.setdefault(name, _Bucket(most, now))
-        earned = (now - bucket.at) * rate
+        earned = (now - bucket.refilled_at) * rate
         bucket.tokens = min(most, bucket.tokens + earned)
-        bucket.at = now
+        bucket.refilled_at = now
         missing = min(tokens, most) - bucket.tokens
         if missing > 0:
             raise LimitedError(
--- a/src/cranecart/limits/_shares.py
+++ b/src/cranecart/limits/_shares.py
@@ -36,7 +36,7 @@
 class _Heard:
     demand: Demand
     nodes: int
-    at: float
+    received_at: float
 
 
 @attrs.define
@@ -60,69 +60,73 @@
         factory=deque,
         init=False,
     )
-    _wanted: Counter[str] = attrs.field(factory=Counter, init=False)
-    _heard: dict[str, _Heard] = attrs.field(factory=dict, init=False)
+    _open_calls: Counter[str] = attrs.field(factory=Counter, init=False)
+    _remote_demand: dict[str, _Heard] = attrs.field(factory=dict, init=False)
     _shares: dict[str, float] = attrs.field(factory=dict, init=False)
     _limits: dict[str, int] = attrs.field(factory=dict, init=False)
     _raises: dict[str, _Raise] = attrs.field(factory=dict, init=False)
 
-    def want(self, organisation: str) -> None:
+    def call_started(self, organisation: str) -> None:
         """Count a call that came in, admitted or not."""
-        self._wanted[organisation] += 1
+        self._open_calls[organisation] += 1
         now = self._clock()
         peak, at = self._peaks.get(organisation, (0, now))
-        wanted = self._wanted[organisation]
+        wanted = self._open_calls[organisation]
         if wanted >= peak or now - at > _HOLD_SECONDS:
             self._peaks[organisation] = (wanted, now)
 
-    def done(self, organisation: str) -> None:
+    def call_ended(self, organisation: str) -> None:
         """Count a call that ended or was turned away."""
-        self._wanted[organisation] -= 1
+        self._open_calls[organisation] -= 1
 
     def demand(self) -> dict[str, int]:
         """Return the most calls at once of each organisation, recently."""
         now = self._clock()
         self._peaks = {
-            name: (max(peak, self._wanted[name]), at)
+            name: (max(peak, self._open_calls[name]), at)
             for name, (peak, at) in self._peaks.items()
-            if now - at <= _HOLD_SECONDS or self._wanted[name]
+            if now - at <= _HOLD_SECONDS or self._open_calls[name]
         }
         demand = {name: peak for name, (peak, _at) in self._peaks.items()}
         if not self._samples or now - self._samples[-1][0] > _SAMPLED_SECONDS:
             self._samples.append((now, demand))
-        while len(self._samples) > 1 and self._is_known(self._samples[1], now):
+        while len(self._samples) > 1 and self._is_published(
+            self._samples[1], now
+        ):
             self._samples.popleft()
         return demand
 
-    def hear(self, source: str, demand: Demand, nodes: int = 1) -> None:
+    def record_demand(
+        self, source: str, demand: Demand, nodes: int = 1
+    ) -> None:
         """Take over the demand of another node, or of a failure domain."""
-        self._heard[source] = _Heard(demand, nodes, self._clock())
+        self._remote_demand[source] = _Heard(demand, nodes, self._clock())
 
-    def expect(self, sources: Iterable[str]) -> None:
+    def add_sources(self, sources: Iterable[str]) -> None:
         """Count nodes that are known but have told no demand yet."""
         for source in sources:
-            if source not in self._heard:
-                self.hear(source, {})
+            if source not in self._remote_demand:
+                self.record_demand(source, {})
 
-    def forget(self, source: str) -> None:
+    def remove_source(self, source: str) -> None:
         """Drop a node's demand, as it stopped in order.
 
         It admits nothing more and its clients come to the others, so what it
         leaves is taken at once; nobody has to lower a share for that.
         """
-        if source not in self._heard:
+        if source not in self._remote_demand:
             return
-        before = {name: self._target(name) for name in self._shares}
-        self._heard.pop(source)
+        before = {name: self._target_share(name) for name in self._shares}
+        self._remote_demand.pop(source)
         for name, target in before.items():
-            left = self._target(name) - target
+            left = self._target_share(name) - target
             self._shares[name] = min(1, self._shares[name] + left)
 
-    def heard(self, sources: Iterable[str]) -> Counter[str]:
+    def total_demand(self, sources: Iterable[str]) -> Counter[str]:
         """Return the demand of some sources together."""
         together: Counter[str] = Counter()
-        for source in self._heard.keys() & set(sources):
-            together.update(self._heard[source].demand)
+        for source in self._remote_demand.keys() & set(sources):
+            together.update(self._remote_demand[source].demand)
         return together
 
     def share(self, organisation: str, limit: int = 0) -> float:
@@ -133,9 +137,9 @@
         now = self._clock()
         if limit:
             self._limits[organisation] = limit
-        self._forget_old(now)
-        target = self._target(organisation)
-        nodes = 1 + sum(heard.nodes for heard in self._heard.values())
+        self._prune(now)
+        target = self._target_share(organisation)
+        nodes = 1 + sum(heard.nodes for heard in self._remote_demand.values())
         current = self._shares.setdefault(organisation, 1 / nodes)
         if target <= current:
             self._shares[organisation] = target
@@ -148,26 +152,26 @@
             self._raises.pop(organisation)
         return self._shares[organisation]
 
-    def _own_known(self) -> Demand:
+    def _published_demand(self) -> Demand:
         """Return the own demand as the other nodes know it by now."""
         now = self._clock()
         self.demand()
         first = self._samples[0]
-        return first[1] if self._is_known(first, now) else {}
+        return first[1] if self._is_published(first, now) else {}
 
-    def _is_known(self, sample: tuple[float, Demand], now: float) -> bool:
+    def _is_published(self, sample: tuple[float, Demand], now: float) -> bool:
         return now - sample[0] > _KNOWN_SECONDS
 
-    def _forget_old(self, now: float) -> None:
-        self._heard = {
+    def _prune(self, now: float) -> None:
+        self._remote_demand = {
             source: heard
-            for source, heard in self._heard.items()
-            if now - heard.at < DEMAND_RETENTION_SECONDS
+            for source, heard in self._remote_demand.items()
+            if now - heard.received_at < DEMAND_RETENTION_SECONDS
         }
 
-    def _target(self, organisation: str) -> float:
-        own = self._own_known().get(organisation, 0)
-        heard = self._heard.values()
+    def _target_share(self, organisation: str) -> float:
+        own = self._published_demand().get(organisation, 0)
+        heard = self._remote_demand.values()
         total = own + sum(one.demand.get(organisation, 0) for one in heard)
         nodes = 1 + sum(one.nodes for one in heard)
         free = self._limits.get(organisation, 0) - total
--- a/src/cranecart/node/_demand_sharing.py
+++ b/src/cranecart/node/_demand_sharing.py
@@ -29,24 +29,24 @@
 
     def expect(self, nodes: frozenset[str]) -> None:
         """Count nodes that live but have told nothing yet."""
-        self._shares.expect(nodes - {self._members.node_id})
+        self._shares.add_sources(nodes - {self._members.node_id})
 
     def take_entry(self, entry: Entry) -> None:
         """Take over a node's demand, or that it stops."""
         match entry.key.topic:
             case Topic.DEMAND if entry.key.origin != self._members.node_id:
-                self._shares.hear(entry.key.origin, entry.body)
+                self._shares.record_demand(entry.key.origin, entry.body)
             case Topic.MEMBER if entry.body['stopping']:
-                self._shares.forget(entry.key.subject)
+                self._shares.remove_source(entry.key.subject)
             case Topic.MEMBER if entry.key.subject != self._members.node_id:
                 # Counted from the moment it is known, before it tells more.
-                self._shares.expect([entry.key.subject])
+                self._shares.add_sources([entry.key.subject])
 
     def take_summary(self, summary: Summary) -> None:
         """Take over the demand of another failure domain."""
         domain = summary.failure_domain
         if domain != self._members.info.failure_domain and summary.versions:
-            self._shares.hear(
+            self._shares.record_demand(
                 f'domain/{domain}',
                 summary.demand,
                 summary.versions.nodes,
@@ -54,6 +54,6 @@
 
     def of_domain(self) -> dict[str, int]:
         """Return the demand of this failure domain's nodes together."""
-        near = self._shares.heard(self._members.others())
+        near = self._shares.total_demand(self._members.others())
         near.update(self._shares.demand())
         return dict(near)
--- a/src/cranecart/node/_node.py
+++ b/src/cranecart/node/_node.py
@@ -131,14 +131,14 @@
     async def _wait_for_stop(self, stop: StopSignal) -> None:
         await stop.wait()
         self._stopping = True
-        decision('node_stopping', in_flight=self._admission.inside)
+        decision('node_stopping', in_flight=self._admission.in_progress)
         self._peering.state.stop()
         await self._control.hand_over()
         # The balancer needs a while to see that the node is not ready.
         await curio.sleep(self._settings.ready_off_ms / _MILLISECONDS)
         self._client_server.disable_keep_alive()
         deadline = since_boot() + self._settings.stop_grace_ms / _MILLISECONDS
-        while self._admission.inside and since_boot() < deadline:
+        while self._admission.in_progress and since_boot() < deadline:
             await curio.sleep(_DRAIN_POLL_SECONDS)
 
     async def _watch_loop(self) -> None:
@@ -151,7 +151,7 @@
     async def _keep_guard(self) -> None:
         while True:
             await curio.sleep(_KEEP_SECONDS)
-            self._guard.keep(())
+            self._guard.refresh(())
 
     def _take_list(self, instances: Sequence[Instance]) -> None:
         self._peering.state.replace_instances(
@@ -209,5 +209,5 @@
                 **self._directory.versions(),
                 self._settings.failure_domain: self._peering.state.versions(),
             },
-            self._admission.inside,
+            self._admission.in_progress,
         )
--- a/src/cranecart/node/_peering.py
+++ b/src/cranecart/node/_peering.py
@@ -106,7 +106,7 @@
             is_expected,
             functools.partial(self.state.tell_cases, self.peers),
         )
-        self.state.on_case = guard.hear
+        self.state.on_case = guard.merge_remote
         return guard
 
     async def run(self) -> None:
--- a/src/cranecart/quarantine/_cases.py
+++ b/src/cranecart/quarantine/_cases.py
@@ -46,7 +46,7 @@
     # Goes where no other suspect is.
     SUSPECT = 'suspect'
     # Goes where no other suspect is, and others pass its target over.
-    APART = 'apart'
+    ISOLATED = 'apart'
     # Is answered at once, and reaches no target.
     HELD = 'held'
 
@@ -88,19 +88,19 @@
     cleared: dict[Incarnation, None] = attrs.field(factory=dict)
 
     @property
-    def begun(self) -> int:
+    def begun_count(self) -> int:
         """Return how many lives ended shortly after it had begun there."""
         return sum(self.ends.values())
 
     @property
-    def news(self) -> CaseUpdate:
+    def update(self) -> CaseUpdate:
         """Return all that is known, to be told."""
         ends = tuple(
             Termination(life, begun) for life, begun in self.ends.items()
         )
         return CaseUpdate(self.identity, ends, tuple(self.cleared))
 
-    def standing(self, explained: Container[Incarnation] = ()) -> Verdict:
+    def verdict(self, explained: Container[Incarnation] = ()) -> Verdict:
         """Return what its ends say, but for those that others explain."""
         left = [
             had_begun
@@ -111,16 +111,16 @@
         if begun >= _HELD_BEGUN or len(left) >= _HELD_ALL:
             return Verdict.HELD
         if len(left) >= _APART:
-            return Verdict.APART
+            return Verdict.ISOLATED
         return Verdict.SUSPECT if begun else Verdict.FREE
 
-    def grave_since(self, now: float, *, is_own: bool) -> None:
+    def mark_held(self, now: float, *, is_own: bool) -> None:
         """Take over that there are ends enough to hold it."""
         if self.held_at is None:
             self.held_at = now
             self.is_own = is_own
 
-    def take(self, news: CaseUpdate) -> bool:
+    def merge(self, news: CaseUpdate) -> bool:
         """Join what somebody knows; return whether anything is new."""
         before = (dict(self.ends), set(self.cleared))
         self.cleared.update(dict.fromkeys(news.cleared))
@@ -151,7 +151,7 @@
     _clock: Callable[[], float] = since_boot
     _suspected: dict[str, Case] = attrs.field(factory=dict, init=False)
     # With ends enough to be held, unless others explain some of them.
-    _grave: dict[str, Case] = attrs.field(factory=dict, init=False)
+    _hold_candidates: dict[str, Case] = attrs.field(factory=dict, init=False)
     # By life the most begun ends that a request with enough of them has, as
     # far as one has ended there.
     _most_begun: dict[Incarnation, int] = attrs.field(factory=dict, init=False)
@@ -159,71 +159,73 @@
     @property
     def is_empty(self) -> bool:
         """Tell whether nothing is suspected, as on most days."""
-        return not self._suspected and not self._grave
+        return not self._suspected and not self._hold_candidates
 
     def counts(self) -> dict[str, int]:
         """Return how many requests are suspected, and how many held."""
         held = len(self.held())
-        known = len(self._suspected) + len(self._grave)
+        known = len(self._suspected) + len(self._hold_candidates)
         return {'requests_suspected': known - held, 'requests_held': held}
 
-    def standing(self, identity: str) -> Verdict:
+    def verdict(self, identity: str) -> Verdict:
         """Return what is done with a request now."""
         case = self.find(identity)
-        return Verdict.FREE if case is None else self._judged(case)
+        return Verdict.FREE if case is None else self._judge(case)
 
     def find(self, identity: str) -> Case | None:
         """Return what is known of a request."""
-        return self._grave.get(identity) or self._suspected.get(identity)
+        return self._hold_candidates.get(identity) or self._suspected.get(
+            identity
+        )
 
-    def is_grave(self, identity: str) -> bool:
+    def is_hold_candidate(self, identity: str) -> bool:
         """Tell whether a request has ends enough, explained or not."""
-        return identity in self._grave
+        return identity in self._hold_candidates
 
     def held(self) -> Sequence[Case]:
         """Return the held requests, those first that came first."""
         return [
             case
-            for case in self._grave.values()
-            if self._judged(case) is Verdict.HELD
+            for case in self._hold_candidates.values()
+            if self._judge(case) is Verdict.HELD
         ]
 
-    def take(self, news: CaseUpdate, *, is_own: bool) -> bool:
+    def merge(self, news: CaseUpdate, *, is_own: bool) -> bool:
         """Join what this node saw, or was told; return whether it is new."""
         now = self._clock()
         case = self.find(news.identity) or Case(news.identity, now)
-        if not case.take(news):
+        if not case.merge(news):
             return False
         case.changed_at = now
         self._suspected.pop(case.identity, None)
-        was_grave = self._grave.pop(case.identity, None) is not None
-        if case.standing() is Verdict.HELD:
-            case.grave_since(now, is_own=is_own)
-            self._grave[case.identity] = case
+        was_grave = self._hold_candidates.pop(case.identity, None) is not None
+        if case.verdict() is Verdict.HELD:
+            case.mark_held(now, is_own=is_own)
+            self._hold_candidates[case.identity] = case
         else:
             case.held_at = None
             self._suspected[case.identity] = case
-        self._forget(now)
+        self._prune(now)
         if was_grave or case.held_at is not None:
             self._count_begun()
         return True
 
-    def cleared(self, identity: str) -> CaseUpdate | None:
+    def clearing_update(self, identity: str) -> CaseUpdate | None:
         """Return the news that a request was not the cause of any end."""
         case = self.find(identity)
         if case is None or not case.ends:
             return None
         return CaseUpdate(identity, cleared=tuple(case.ends))
 
-    def _judged(self, case: Case) -> Verdict:
+    def _judge(self, case: Case) -> Verdict:
         """Judge a case beside the others.
 
         What many targets ended under explains the ends of those who were there
         as well: they share some of its lives, and it has more than they. So
         each node comes to the same by the same sets.
         """
-        begun = case.begun
-        return case.standing(
+        begun = case.begun_count
+        return case.verdict(
             {
                 life
                 for life in case.ends
@@ -233,22 +235,22 @@
 
     def _count_begun(self) -> None:
         self._most_begun = {}
-        for case in self._grave.values():
-            begun = case.begun
+        for case in self._hold_candidates.values():
+            begun = case.begun_count
             if begun < _HELD_BEGUN:
                 continue
             for life in case.ends:
                 most = self._most_begun.get(life, 0)
                 self._most_begun[life] = max(most, begun)
 
-    def _forget(self, now: float) -> None:
+    def _prune(self, now: float) -> None:
         """Drop what is too much, or too old; the oldest comes first."""
-        while len(self._grave) > _MOST_HELD:
-            self._grave.pop(next(iter(self._grave)))
-        while len(self._suspected) > _MOST_CASES or self._is_outdated(now):
+        while len(self._hold_candidates) > _MOST_HELD:
+            self._hold_candidates.pop(next(iter(self._hold_candidates)))
+        while len(self._suspected) > _MOST_CASES or self._has_expired(now):
             self._suspected.pop(next(iter(self._suspected)))
 
-    def _is_outdated(self, now: float) -> bool:
+    def _has_expired(self, now: float) -> bool:
         oldest = next(iter(self._suspected.values()), None)
         if oldest is None:
             return False
--- a/src/cranecart/quarantine/_guard.py
+++ b/src/cranecart/quarantine/_guard.py
@@ -33,7 +33,7 @@
 # Three turns of housekeeping: a connection between nodes that carries nothing
 # any more is found out after 1.5 s.
 _REPEAT_SECONDS = 2.0
-_SUSPECTS = frozenset((Verdict.SUSPECT, Verdict.APART))
+_SUSPECTS = frozenset((Verdict.SUSPECT, Verdict.ISOLATED))
 
 
 @attrs.define
@@ -42,21 +42,25 @@
 
     _clock: Callable[[], float]
     has_begun: bool = attrs.field(default=False, init=False)
-    _since: float | None = attrs.field(default=None, init=False)
+    _progress_since: float | None = attrs.field(default=None, init=False)
 
     @property
     def progress_seconds(self) -> float:
         """Return how long ago the first part of an answer came."""
-        return 0 if self._since is None else self._clock() - self._since
+        return (
+            0
+            if self._progress_since is None
+            else self._clock() - self._progress_since
+        )
 
-    def answering(self) -> None:
+    def record_begun(self) -> None:
         """Take over that the target has begun to answer."""
         self.has_begun = True
 
-    def progressing(self) -> None:
+    def record_progress(self) -> None:
         """Take over that a part of the answer came."""
-        if self._since is None:
-            self._since = self._clock()
+        if self._progress_since is None:
+            self._progress_since = self._clock()
 
 
 def _tell_of_none(_incarnation: Incarnation) -> bool:
@@ -74,47 +78,49 @@
     """
 
     _is_expected: Callable[[Runner], bool]
-    _tell: Callable[[Sequence[CaseUpdate]], None]
-    book: CaseRegistry = attrs.field(factory=CaseRegistry)
+    _publish: Callable[[Sequence[CaseUpdate]], None]
+    cases: CaseRegistry = attrs.field(factory=CaseRegistry)
     _clock: Callable[[], float] = since_boot
     probe: TerminationProbe = attrs.field(factory=TerminationProbe)
-    _has_ended: Callable[[Incarnation], bool] = attrs.field(
+    _has_terminated: Callable[[Incarnation], bool] = attrs.field(
         default=_tell_of_none
     )
-    refused: int = attrs.field(default=0, init=False)
-    ended: int = attrs.field(default=0, init=False)
+    refusals: int = attrs.field(default=0, init=False)
+    terminations: int = attrs.field(default=0, init=False)
     _pending: PendingTerminations = attrs.field(init=False)
-    _told_at: dict[str, float] = attrs.field(factory=dict, init=False)
+    _published_at: dict[str, float] = attrs.field(factory=dict, init=False)
     # This node's suspects by instance, and those of them that run apart.
     _suspects: Counter[str] = attrs.field(factory=Counter, init=False)
-    _apart: Counter[str] = attrs.field(factory=Counter, init=False)
+    _isolated: Counter[str] = attrs.field(factory=Counter, init=False)
 
     def counts(self) -> dict[str, int]:
         """Return the figures of this node, by name."""
         return {
-            **self.book.counts(),
-            'held_refusals': self.refused,
-            'targets_ended_under_requests': self.ended,
+            **self.cases.counts(),
+            'held_refusals': self.refusals,
+            'targets_ended_under_requests': self.terminations,
         }
 
-    def passed_over(self, identity: Callable[[], str]) -> Collection[str]:
+    def instances_to_avoid(
+        self, identity: Callable[[], str]
+    ) -> Collection[str]:
         """Return the instances that a request should rather not go to.
 
         Raise ``HeldError`` if it may not go to any. The identity is asked for
         only where there is something to compare it with.
         """
-        if self.book.is_empty:
+        if self.cases.is_empty:
             return ()
         named = identity()
-        standing = self.book.standing(named)
+        standing = self.cases.verdict(named)
         if standing is Verdict.HELD:
-            self.refused += 1
-            raise HeldError(self._why(named))
+            self.refusals += 1
+            raise HeldError(self._hold_reason(named))
         suspected = standing in _SUSPECTS
-        return (self._suspects if suspected else self._apart).keys()
+        return (self._suspects if suspected else self._isolated).keys()
 
     @contextlib.asynccontextmanager
-    async def watching(
+    async def watch(
         self,
         identity: Callable[[], str],
         runner: Runner,
@@ -122,28 +128,28 @@
         """Watch one attempt; it succeeded if the context ends without error."""
         watch = AttemptProgress(self._clock)
         try:
-            with self.running(identity, runner):
+            with self.track_running(identity, runner):
                 yield watch
         except TargetDisconnectedError:
-            await self._look_for_end(identity(), runner, watch)
+            await self._check_termination(identity(), runner, watch)
             raise
-        self.served(identity)
+        self.record_served(identity)
 
     @contextlib.contextmanager
-    def running(
+    def track_running(
         self,
         identity: Callable[[], str],
         runner: Runner,
     ) -> Generator[None, None, None]:
         """Count a suspected request at an instance while the context lasts."""
         standing = Verdict.FREE
-        if not self.book.is_empty:
-            standing = self.book.standing(identity())
+        if not self.cases.is_empty:
+            standing = self.cases.verdict(identity())
         counts = [
             count
             for count, counted in (
                 (self._suspects, _SUSPECTS),
-                (self._apart, frozenset((Verdict.APART,))),
+                (self._isolated, frozenset((Verdict.ISOLATED,))),
             )
             if standing in counted
         ]
@@ -155,50 +161,50 @@
             for count in counts:
                 _take_off(count, runner.id)
 
-    def served(self, identity: Callable[[], str]) -> None:
+    def record_served(self, identity: Callable[[], str]) -> None:
         """Take over that a request was answered whole: it ends nothing."""
-        if self.book.is_empty:
+        if self.cases.is_empty:
             return
-        news = self.book.cleared(identity())
+        news = self.cases.clearing_update(identity())
         if news is None:
             return
-        self.book.take(news, is_own=True)
-        self._spread(news.identity)
+        self.cases.merge(news, is_own=True)
+        self._publish_case(news.identity)
         if len(news.cleared) > 1:
             decision('request_cleared', identity=news.identity)
 
-    def hear(self, news: CaseUpdate, sender: str) -> bool:
+    def merge_remote(self, news: CaseUpdate, sender: str) -> bool:
         """Take over what another node knows; return whether it is news."""
-        is_news = self.book.take(news, is_own=False)
-        if is_news and self.book.standing(news.identity) is Verdict.HELD:
-            self._log(news.identity, None, f'heard from {sender}')
+        is_news = self.cases.merge(news, is_own=False)
+        if is_news and self.cases.verdict(news.identity) is Verdict.HELD:
+            self._log_termination(news.identity, None, f'heard from {sender}')
         return is_news
 
-    def keep(self, listed: Collection[Incarnation]) -> None:
+    def refresh(self, listed: Collection[Incarnation]) -> None:
         """Forget lives that are gone, and tell once more what is new."""
-        self.probe.forget(listed)
-        for news in self._pending.take_ended(self._has_ended):
-            self._note_end(news, 'seen here, and known later')
-        self._repeat()
+        self.probe.prune(listed)
+        for news in self._pending.pop_terminated(self._has_terminated):
+            self._record_termination(news, 'seen here, and known later')
+        self._republish()
 
     @_pending.default
     def _make_pending(self) -> PendingTerminations:
         return PendingTerminations(self._clock)
 
-    def _repeat(self) -> None:
+    def _republish(self) -> None:
         """Tell what was told lately; some of it may be lost."""
         oldest = self._clock() - _REPEAT_SECONDS
-        self._told_at = {
+        self._published_at = {
             identity: at
-            for identity, at in self._told_at.items()
+            for identity, at in self._published_at.items()
             if at > oldest
         }
-        cases = filter(None, map(self.book.find, self._told_at))
-        news = [case.news for case in cases]
+        cases = filter(None, map(self.cases.find, self._published_at))
+        news = [case.update for case in cases]
         if news:
-            self._tell(news)
+            self._publish(news)
 
-    async def _look_for_end(
+    async def _check_termination(
         self,
         identity: str,
         runner: Runner,
@@ -208,30 +214,30 @@
         if self._is_expected(runner):
             return
         if watch.progress_seconds > _BEGIN_SECONDS:
-            self._pending.note_alive(runner.incarnation)
+            self._pending.record_alive(runner.incarnation)
             return
-        if await self.probe.has_ended(runner):
+        if await self.probe.has_terminated(runner):
             end = Termination(runner.incarnation, watch.has_begun)
-            self._note_end(CaseUpdate(identity, (end,)), 'seen here')
+            self._record_termination(CaseUpdate(identity, (end,)), 'seen here')
         else:
-            self._pending.note(
+            self._pending.record_break(
                 runner.incarnation, identity, begun=watch.has_begun
             )
 
-    def _note_end(self, news: CaseUpdate, source: str) -> None:
-        if self.book.take(news, is_own=True):
-            self.ended += 1
-            self._log(news.identity, news.ends[0].life, source)
-            self._spread(news.identity)
+    def _record_termination(self, news: CaseUpdate, source: str) -> None:
+        if self.cases.merge(news, is_own=True):
+            self.terminations += 1
+            self._log_termination(news.identity, news.ends[0].life, source)
+            self._publish_case(news.identity)
 
-    def _spread(self, identity: str) -> None:
-        case = self.book.find(identity)
+    def _publish_case(self, identity: str) -> None:
+        case = self.cases.find(identity)
         if case is not None:
-            self._told_at[identity] = self._clock()
-            self._tell((case.news,))
+            self._published_at[identity] = self._clock()
+            self._publish((case.update,))
 
-    def _why(self, identity: str) -> str:
-        case = self.book.find(identity)
+    def _hold_reason(self, identity: str) -> str:
+        case = self.cases.find(identity)
         incarnations = (
             []
             if case is None
@@ -239,10 +245,10 @@
         )
         return f'request {identity} ended {", ".join(incarnations)}'
 
-    def _log(
+    def _log_termination(
         self, identity: str, incarnation: Incarnation | None, source: str
     ) -> None:
-        case = self.book.find(identity)
+        case = self.cases.find(identity)
         if case is None:
             return
         decision(
@@ -251,7 +257,7 @@
             instance=incarnation and incarnation.id,
             born=incarnation and incarnation.born,
             source=source,
-            standing=self.book.standing(identity).value,
+            standing=self.cases.verdict(identity).value,
             ends=[one.id for one in case.ends],
             begun=sum(case.ends.values()),
         )
--- a/src/cranecart/quarantine/_pending.py
+++ b/src/cranecart/quarantine/_pending.py
@@ -42,7 +42,7 @@
     alive_at: float | None = None
     breaks: list[_Break] = attrs.field(factory=list)
 
-    def at_the_end(self) -> list[_Break]:
+    def at_termination(self) -> list[_Break]:
         """Return those that were there when the life ended."""
         ended_at = self.first_at if self.alive_at is None else self.alive_at
         return [
@@ -57,9 +57,9 @@
     """Breaks of the last seconds, by life."""
 
     _clock: Callable[[], float] = since_boot
-    _broken: dict[Incarnation, _Breaks] = attrs.field(factory=dict, init=False)
+    _breaks: dict[Incarnation, _Breaks] = attrs.field(factory=dict, init=False)
 
-    def note(
+    def record_break(
         self, incarnation: Incarnation, identity: str, *, begun: bool
     ) -> None:
         """Take over that a request's connection broke shortly after a begin.
@@ -67,32 +67,32 @@
         It has not begun where nobody can tell.
         """
         now = self._clock()
-        known = self._broken.setdefault(incarnation, _Breaks(now))
+        known = self._breaks.setdefault(incarnation, _Breaks(now))
         known.breaks.append(_Break(identity, begun, now))
         if begun:
             known.alive_at = now
 
-    def note_alive(self, incarnation: Incarnation) -> None:
+    def record_alive(self, incarnation: Incarnation) -> None:
         """Take over that an answer was cut that had been coming for long."""
         now = self._clock()
-        self._broken.setdefault(incarnation, _Breaks(now)).alive_at = now
+        self._breaks.setdefault(incarnation, _Breaks(now)).alive_at = now
 
-    def take_ended(
+    def pop_terminated(
         self,
         has_ended: Callable[[Incarnation], bool],
     ) -> list[CaseUpdate]:
         """Return what is known of requests whose targets have ended."""
         oldest = self._clock() - _KEPT_SECONDS
         found: list[CaseUpdate] = []
-        for incarnation, known in list(self._broken.items()):
+        for incarnation, known in list(self._breaks.items()):
             if has_ended(incarnation):
-                self._broken.pop(incarnation)
+                self._breaks.pop(incarnation)
                 found.extend(
                     CaseUpdate(
                         one.identity, (Termination(incarnation, one.begun),)
                     )
-                    for one in known.at_the_end()
+                    for one in known.at_termination()
                 )
             elif known.first_at < oldest:
-                self._broken.pop(incarnation)
+                self._breaks.pop(incarnation)
         return found
--- a/src/cranecart/quarantine/_probe.py
+++ b/src/cranecart/quarantine/_probe.py
@@ -38,7 +38,7 @@
 
     _connect: Callable[[Address], Awaitable[None]] = connect_once
     _clock: Callable[[], float] = since_boot
-    _found: dict[Incarnation, tuple[bool, float]] = attrs.field(
+    _probed: dict[Incarnation, tuple[bool, float]] = attrs.field(
         factory=dict,
         init=False,
     )
@@ -46,35 +46,35 @@
         factory=dict, init=False
     )
 
-    async def has_ended(self, runner: Runner) -> bool:
+    async def has_terminated(self, runner: Runner) -> bool:
         """Tell whether a life has surely ended."""
         incarnation = runner.incarnation
         async with self._locks.setdefault(incarnation, curio.Lock()):
-            known = self._recent(incarnation)
+            known = self._cached(incarnation)
             if known is None:
-                known = await self._ask(runner.address)
-                self._found[incarnation] = (known, self._clock())
+                known = await self._probe(runner.address)
+                self._probed[incarnation] = (known, self._clock())
         return known
 
-    def forget(self, listed: Collection[Incarnation]) -> None:
+    def prune(self, listed: Collection[Incarnation]) -> None:
         """Forget lives that are not listed and that nobody asks for."""
         old = [
             incarnation
-            for incarnation in self._found
-            if incarnation not in listed and self._recent(incarnation) is None
+            for incarnation in self._probed
+            if incarnation not in listed and self._cached(incarnation) is None
         ]
         for incarnation in old:
-            self._found.pop(incarnation)
+            self._probed.pop(incarnation)
             self._locks.pop(incarnation, None)
 
-    def _recent(self, incarnation: Incarnation) -> bool | None:
-        if incarnation not in self._found:
+    def _cached(self, incarnation: Incarnation) -> bool | None:
+        if incarnation not in self._probed:
             return None
-        has_ended, at = self._found[incarnation]
+        has_ended, at = self._probed[incarnation]
         holds = _ENDED_SECONDS if has_ended else _ALIVE_SECONDS
         return has_ended if self._clock() - at < holds else None
 
-    async def _ask(self, address: Address) -> bool:
+    async def _probe(self, address: Address) -> bool:
         try:
             await self._connect(address)
         except ConnectRefusedError:
--- a/src/cranecart/quarantine/_rows.py
+++ b/src/cranecart/quarantine/_rows.py
@@ -78,22 +78,22 @@
 
     _node_id: str
     _table: Table
-    _book: CaseRegistry
+    _cases: CaseRegistry
     _clock: Callable[[], float] = since_boot
     # Digests whose rows were read, and those that were written since: a whole
     # read that is older than a write does not show that its row has gone.
     _read: set[str] = attrs.field(factory=set, init=False)
     _written: set[str] = attrs.field(factory=set, init=False)
     # Digests whose rows a copy of the table lacks, and since when.
-    _lost: dict[str, float] = attrs.field(factory=dict, init=False)
+    _missing_since: dict[str, float] = attrs.field(factory=dict, init=False)
     _is_writing: bool = attrs.field(default=False, init=False)
 
     @property
-    def is_behind(self) -> bool:
+    def has_pending_writes(self) -> bool:
         """Tell whether there is something to write, and nobody writes."""
-        return not self._is_writing and any(self._due())
+        return not self._is_writing and any(self._pending())
 
-    def take(self, items: Mapping[str, Row | None], is_whole: bool) -> None:
+    def apply(self, items: Mapping[str, Row | None], is_whole: bool) -> None:
         """Take over changed rows, or all; a row that goes releases."""
         held = held_from_rows(items)
         gone = [one for one, news in held.items() if news is None]
@@ -106,8 +106,8 @@
             if news is not None:
                 self._read.add(identity)
                 self._written.discard(identity)
-                self._lost.pop(identity, None)
-                self._book.take(news, is_own=False)
+                self._missing_since.pop(identity, None)
+                self._cases.merge(news, is_own=False)
 
     def restore(self, items: Mapping[str, Row]) -> None:
         """Take over the rows of a table that has come back from a copy.
@@ -116,16 +116,16 @@
         """
         known = self._read | self._written
         lost = {one for one in known if held_key(one) not in items}
-        self._lost.update(dict.fromkeys(lost, self._clock()))
+        self._missing_since.update(dict.fromkeys(lost, self._clock()))
         self._read -= lost
         self._written -= lost
-        self.take(items, False)
+        self.apply(items, False)
 
     async def write(self) -> None:
         """Bring the rows up to date, if anything has changed."""
-        if not self.is_behind:
+        if not self.has_pending_writes:
             return
-        puts, deletes = self._due()
+        puts, deletes = self._pending()
         self._is_writing = True
         try:
             await self._commit(puts, deletes)
@@ -139,7 +139,7 @@
     ) -> None:
         transaction = Transaction(
             (),
-            tuple(map(self._put, cases)),
+            tuple(map(self._make_put, cases)),
             tuple(map(held_key, deletes)),
         )
         try:
@@ -149,36 +149,36 @@
             return
         for case in cases:
             self._written.add(case.identity)
-            self._lost.pop(case.identity, None)
+            self._missing_since.pop(case.identity, None)
         self._written.difference_update(deletes)
         self._read.difference_update(deletes)
 
-    def _due(self) -> tuple[list[Case], list[str]]:
+    def _pending(self) -> tuple[list[Case], list[str]]:
         """Return whose rows are to be written, and whose dropped."""
         now = self._clock()
         known = self._read | self._written
         puts = [
             case
-            for case in self._book.held()
+            for case in self._cases.held()
             if case.identity not in known and self._is_due(case, now)
         ]
         deletes = [
             identity
             for identity in sorted(known)
-            if not self._book.is_grave(identity)
+            if not self._cases.is_hold_candidate(identity)
         ]
         return puts[:_MOST_AT_ONCE], deletes[:_MOST_AT_ONCE]
 
     def _is_due(self, case: Case, now: float) -> bool:
-        since = self._lost.get(case.identity, case.held_at)
+        since = self._missing_since.get(case.identity, case.held_at)
         age = now - (since or now)
         return age < _GIVEN_UP_SECONDS and (
             case.is_own or age >= _OTHERS_SECONDS
         )
 
-    def _put(self, case: Case) -> Put:
+    def _make_put(self, case: Case) -> Put:
         # The time of day, as people read it beside the logs.
-        value = _Value(case.news, self._node_id, round(time.time(), 3))
+        value = _Value(case.update, self._node_id, round(time.time(), 3))
         return Put(
             held_key(case.identity),
             msgspec.json.encode(value).decode(),
@@ -188,8 +188,8 @@
         """Take over that an operator, or a node, has dropped a row."""
         self._read.discard(identity)
         self._written.discard(identity)
-        self._lost.pop(identity, None)
-        news = self._book.cleared(identity)
+        self._missing_since.pop(identity, None)
+        news = self._cases.clearing_update(identity)
         if news is not None:
-            self._book.take(news, is_own=False)
+            self._cases.merge(news, is_own=False)
             decision('request_released', identity=identity)
--- a/src/cranecart/retries/_budget.py
+++ b/src/cranecart/retries/_budget.py
@@ -14,15 +14,15 @@
     storm, and small enough that sent calls stay under 1.2 times the offered.
     """
 
-    _saved: float = _MOST
+    _balance: float = _MOST
 
-    def pay_in(self) -> None:
+    def deposit(self) -> None:
         """Count a call that came in."""
-        self._saved = min(_MOST, self._saved + _PART)
+        self._balance = min(_MOST, self._balance + _PART)
 
-    def take(self) -> bool:
+    def withdraw(self) -> bool:
         """Take one retry; return whether the budget allows it."""
-        if self._saved < 1:
+        if self._balance < 1:
             return False
-        self._saved -= 1
+        self._balance -= 1
         return True
--- a/src/cranecart/retries/_window.py
+++ b/src/cranecart/retries/_window.py
@@ -34,22 +34,22 @@
     and the ratio of its own requests, so that nothing has to be agreed.
     """
 
-    rules: RetryLimits
-    _nodes: Callable[[], int]
+    limits: RetryLimits
+    _count_nodes: Callable[[], int]
     _clock: Callable[[], float] = since_boot
     _requests: dict[str, deque[float]] = attrs.field(factory=dict, init=False)
-    _repeats: dict[str, deque[float]] = attrs.field(factory=dict, init=False)
+    _retries: dict[str, deque[float]] = attrs.field(factory=dict, init=False)
 
-    def pay_in(self, service: str) -> None:
+    def record_request(self, service: str) -> None:
         """Count a request for a service."""
         self._requests.setdefault(service, deque()).append(self._clock())
 
-    def take(self, service: str) -> bool:
+    def withdraw(self, service: str) -> bool:
         """Take one repeated send; return whether the budget allows it."""
         requests = self._recent(self._requests, service)
-        repeats = self._recent(self._repeats, service)
-        slack = self.rules.slack / max(self._nodes(), 1)
-        allowed = _MARGIN * (slack + self.rules.ratio * len(requests))
+        repeats = self._recent(self._retries, service)
+        slack = self.limits.slack / max(self._count_nodes(), 1)
+        allowed = _MARGIN * (slack + self.limits.ratio * len(requests))
         if len(repeats) + 1 > allowed:
             return False
         repeats.append(self._clock())
@@ -61,7 +61,7 @@
         service: str,
     ) -> deque[float]:
         kept = times.setdefault(service, deque())
-        oldest = self._clock() - self.rules.window_seconds
+        oldest = self._clock() - self.limits.window_seconds
         while kept and kept[0] < oldest:
             kept.popleft()
         return kept
--- a/src/cranecart/routing/_availability.py
+++ b/src/cranecart/routing/_availability.py
@@ -27,7 +27,7 @@
     takes any.
     """
     drawn = draw(heads)
-    if gate.is_open:
+    if gate.is_unrestricted:
         return drawn, 0
     taking = _open_ones(drawn, gate, rank)
     if taking:
@@ -47,13 +47,15 @@
     Raise ``OverloadedError`` where none of them does: they are not asked.
     ``return_after`` makes of the seconds until one does when to come back.
     """
-    if gate.is_open:
+    if gate.is_unrestricted:
         return targets
     taking = _open_ones(targets, gate, rank)
     if taking:
         return taking
-    gate.note_turned_away((one.incarnation for one in targets), rank)
-    seconds = min(gate.room_seconds(one.incarnation) for one in targets)
+    gate.record_rejection((one.incarnation for one in targets), rank)
+    seconds = min(
+        gate.seconds_until_accepted(one.incarnation) for one in targets
+    )
     raise OverloadedError(
         f'none of {len(targets)} targets takes more, as they have said; '
         f'the first does in {seconds:.2f} s',
@@ -66,4 +68,4 @@
     gate: TargetThrottle,
     rank: int,
 ) -> list[Named]:
-    return [one for one in targets if gate.is_open_to(one.incarnation, rank)]
+    return [one for one in targets if gate.accepts(one.incarnation, rank)]
--- a/src/cranecart/routing/_ejection.py
+++ b/src/cranecart/routing/_ejection.py
@@ -20,7 +20,7 @@
 @attrs.define
 class _Record:
     failures: int = 0
-    until: float = 0
+    ejected_until: float = 0
 
 
 @attrs.define
@@ -34,7 +34,7 @@
     _key: Callable[[Any], Key] = operator.attrgetter('id')
     _records: dict[Key, _Record] = attrs.field(factory=dict, init=False)
 
-    def failed(self, name: Key, *, reached: bool = True) -> None:
+    def record_failure(self, name: Key, *, reached: bool = True) -> None:
         """Count a failure that was the target's.
 
         One that could not be reached at all is passed over at once.
@@ -46,28 +46,32 @@
         over = record.failures - _FAILURES
         if over >= 0:
             seconds = min(_LONGEST_SECONDS, _FIRST_SECONDS * 2**over)
-            record.until = self._clock() + seconds
+            record.ejected_until = self._clock() + seconds
 
-    def pass_over(self, name: Key) -> None:
+    def eject_reported(self, name: Key) -> None:
         """Take over that a target broke another node's connection."""
         record = self._records.setdefault(name, _Record())
-        record.until = max(record.until, self._clock() + _FIRST_SECONDS)
+        record.ejected_until = max(
+            record.ejected_until, self._clock() + _FIRST_SECONDS
+        )
 
-    def succeeded(self, name: Key) -> None:
+    def record_success(self, name: Key) -> None:
         """Forget a target's failures."""
         self._records.pop(name, None)
 
-    def is_out(self, name: Key) -> bool:
+    def is_ejected(self, name: Key) -> bool:
         """Tell whether a target is passed over now."""
-        return self._is_out(name, self._clock())
+        return self._is_ejected(name, self._clock())
 
     def without_ejected(self, targets: Iterable[Target]) -> list[Target]:
         """Return the targets in good standing, or all if none is."""
         every = list(targets)
         now = self._clock()
-        good = [one for one in every if not self._is_out(self._key(one), now)]
+        good = [
+            one for one in every if not self._is_ejected(self._key(one), now)
+        ]
         return good or every
 
-    def _is_out(self, name: Key, now: float) -> bool:
+    def _is_ejected(self, name: Key, now: float) -> bool:
         record = self._records.get(name)
-        return record is not None and record.until > now
+        return record is not None and record.ejected_until > now
--- a/src/cranecart/routing/_event_gaps.py
+++ b/src/cranecart/routing/_event_gaps.py
@@ -26,8 +26,8 @@
     recent: deque[float] = attrs.field(
         factory=lambda: deque(maxlen=_MOST_GAPS),
     )
-    since: int = 0
-    suspect_seconds: float = _UNKNOWN_SECONDS
+    since_recomputed: int = 0
+    stall_seconds: float = _UNKNOWN_SECONDS
 
 
 @attrs.define
@@ -36,19 +36,19 @@
 
     _models: dict[str, _ModelGaps] = attrs.field(factory=dict, init=False)
 
-    def note(self, model: str, seconds: float) -> None:
+    def record(self, model: str, seconds: float) -> None:
         """Take over one gap of a stream that went on."""
         gaps = self._models.setdefault(model, _ModelGaps())
         gaps.recent.append(seconds)
-        gaps.since += 1
-        if gaps.since >= _RECOMPUTED_EVERY:
-            gaps.since = 0
-            gaps.suspect_seconds = _suspect_seconds(gaps.recent)
+        gaps.since_recomputed += 1
+        if gaps.since_recomputed >= _RECOMPUTED_EVERY:
+            gaps.since_recomputed = 0
+            gaps.stall_seconds = _suspect_seconds(gaps.recent)
 
-    def suspect_seconds(self, model: str) -> float:
+    def stall_seconds(self, model: str) -> float:
         """Return after which silence a replica should be looked at."""
         gaps = self._models.get(model)
-        return _UNKNOWN_SECONDS if gaps is None else gaps.suspect_seconds
+        return _UNKNOWN_SECONDS if gaps is None else gaps.stall_seconds
 
 
 def _suspect_seconds(recent: deque[float]) -> float:
--- a/src/cranecart/routing/_in_flight.py
+++ b/src/cranecart/routing/_in_flight.py
@@ -18,14 +18,14 @@
     """
 
     instance: ListedInstance
-    forming: tuple[str, int] | None
+    replica_epoch: tuple[str, int] | None
     load: int
     reason: str
     sent_at: float = 0
-    seconds: float = 0
+    forecast_seconds: float = 0
     error_seconds: float = 0
-    is_late: bool = False
-    passed_over: int = 0
+    is_deferred: bool = False
+    throttled: int = 0
 
 
 @attrs.define
@@ -33,31 +33,31 @@
     """Counts by instance; what is late counts as behind until it begins."""
 
     in_flight: Counter[str] = attrs.field(factory=Counter, init=False)
-    behind: Counter[str] = attrs.field(factory=Counter, init=False)
-    _begun: set[Target] = attrs.field(factory=set, init=False)
+    deferred: Counter[str] = attrs.field(factory=Counter, init=False)
+    _started: set[Target] = attrs.field(factory=set, init=False)
 
-    def take(self, target: Target) -> None:
+    def add(self, target: Target) -> None:
         """Count a request."""
         self._counts(target)[target.instance.id] += 1
 
-    def begin(self, target: Target) -> bool:
+    def record_first_event(self, target: Target) -> bool:
         """Take over a first event; return whether it came as one in time."""
-        if not target.is_late:
+        if not target.is_deferred:
             return True
-        if target not in self._begun:
-            self.leave(target)
-            self._begun.add(target)
-            self.take(target)
+        if target not in self._started:
+            self.remove(target)
+            self._started.add(target)
+            self.add(target)
         return False
 
-    def leave(self, target: Target) -> None:
+    def remove(self, target: Target) -> None:
         """Count a request less."""
         counts = self._counts(target)
         counts[target.instance.id] -= 1
         if counts[target.instance.id] <= 0:
             counts.pop(target.instance.id)
-        self._begun.discard(target)
+        self._started.discard(target)
 
     def _counts(self, target: Target) -> Counter[str]:
-        is_behind = target.is_late and target not in self._begun
-        return self.behind if is_behind else self.in_flight
+        is_behind = target.is_deferred and target not in self._started
+        return self.deferred if is_behind else self.in_flight
--- a/src/cranecart/routing/_request.py
+++ b/src/cranecart/routing/_request.py
@@ -22,12 +22,12 @@
     service: str
     model: str
     prompt_tokens: int
-    left_seconds: float
+    remaining_seconds: float
     elapsed_seconds: float = 0
-    has_returned: bool = False
-    has_begun: bool = False
+    was_refused: bool = False
+    is_resumed: bool = False
     tried: Collection[str] = ()
-    passed_over: Collection[str] = ()
+    avoided: Collection[str] = ()
     rank: int = 0
 
     @property
--- a/src/cranecart/routing/_router.py
+++ b/src/cranecart/routing/_router.py
@@ -63,25 +63,27 @@
 
     _fleet: Fleet
     _random: random.Random
-    _elsewhere: Callable[[str], int]
-    _run_seconds: Callable[[str], float]
+    _remote_in_flight: Callable[[str], int]
+    _completion_interval: Callable[[str], float]
     _failure_domain: str = ''
     _clock: Callable[[], float] = since_boot
     # Told of instances of plain services that broke a connection.
-    _tell_broken: Callable[[Incarnation], None] = attrs.field(
+    _report_broken: Callable[[Incarnation], None] = attrs.field(
         default=_tell_nobody
     )
-    gate: TargetThrottle = attrs.field(factory=TargetThrottle)
+    throttle: TargetThrottle = attrs.field(factory=TargetThrottle)
     gaps: EventGapTracker = attrs.field(factory=EventGapTracker, init=False)
-    pulse: StallDetector = attrs.field(init=False)
-    errors: ForecastErrors = attrs.field(factory=ForecastErrors, init=False)
+    stalls: StallDetector = attrs.field(init=False)
+    forecast_errors: ForecastErrors = attrs.field(
+        factory=ForecastErrors, init=False
+    )
     _ejection: OutlierEjection = attrs.field(
         factory=functools.partial(
             OutlierEjection, key=operator.attrgetter('incarnation')
         ),
         init=False,
     )
-    _places: InFlightCounts = attrs.field(factory=InFlightCounts, init=False)
+    _in_flight: InFlightCounts = attrs.field(factory=InFlightCounts, init=False)
 
     def choose(self, wanted: RoutingRequest) -> Target:
         """Return where to send.
@@ -91,10 +93,10 @@
         """
         engine = wanted.engine
         if engine is None:
-            return self._choose_plain(wanted)
-        return self._choose_head(wanted, engine)
+            return self._choose_instance(wanted)
+        return self._choose_replica(wanted, engine)
 
-    def return_after(self, wanted: RoutingRequest) -> float:
+    def retry_after_seconds(self, wanted: RoutingRequest) -> float:
         """Return when a client should come back that targets have refused."""
         targets = _targets(
             self._fleet,
@@ -103,12 +105,15 @@
             wanted.model,
         )
         expected = min(
-            (self.gate.room_seconds(one.incarnation) for one in targets),
+            (
+                self.throttle.seconds_until_accepted(one.incarnation)
+                for one in targets
+            ),
             default=_NOTHING_FORMS_SECONDS,
         )
         return _return_after(self._random, wanted, expected)
 
-    def has_untried(
+    def has_untried_target(
         self,
         config: RouteConfig,
         service: str,
@@ -119,39 +124,41 @@
 
         This is asked with every event of a stream, so that nothing is built.
         """
-        is_open = self.gate.is_open
+        is_open = self.throttle.is_unrestricted
         return any(
             one.id not in tried
-            and (is_open or self.gate.is_open_to(one.incarnation))
+            and (is_open or self.throttle.accepts(one.incarnation))
             for one in _targets(self._fleet, config, service, model)
         )
 
     @contextlib.contextmanager
-    def in_flight(self, target: Target) -> Generator[None, None, None]:
+    def track_in_flight(self, target: Target) -> Generator[None, None, None]:
         """Count one request more at a target while the context lasts."""
-        self._places.take(target)
+        self._in_flight.add(target)
         try:
             yield
         finally:
-            self._places.leave(target)
+            self._in_flight.remove(target)
 
-    def counts(self) -> Counter[str]:
+    def in_flight_counts(self) -> Counter[str]:
         """Return this node's requests in flight by instance."""
-        return self._places.in_flight
+        return self._in_flight.in_flight
 
-    def begun(self, target: Target, model: str) -> None:
+    def record_first_event(self, target: Target, model: str) -> None:
         """Take over that a stream's first event came."""
-        if self._places.begin(target):
+        if self._in_flight.record_first_event(target):
             seconds = self._clock() - target.sent_at
-            late = seconds - target.seconds + target.error_seconds
+            late = seconds - target.forecast_seconds + target.error_seconds
             incarnation = target.instance.incarnation
-            self.errors.note(incarnation, model, late, self._clock())
+            self.forecast_errors.record(incarnation, model, late, self._clock())
 
-    def failed(self, incarnation: Incarnation, *, reached: bool = True) -> None:
+    def record_failure(
+        self, incarnation: Incarnation, *, reached: bool = True
+    ) -> None:
         """Count a failure that was the instance's."""
-        self._ejection.failed(incarnation, reached=reached)
+        self._ejection.record_failure(incarnation, reached=reached)
 
-    def broke(self, incarnation: Incarnation) -> None:
+    def record_broken_connection(self, incarnation: Incarnation) -> None:
         """Take over that an instance of a plain service broke a connection.
 
         It may go down and up, and each of many nodes sends it too little to
@@ -159,86 +166,90 @@
         13 of 1,000 calls fail, and 28 where each node waits for three of its
         own.
         """
-        is_news = not self._ejection.is_out(incarnation)
-        self._ejection.failed(incarnation, reached=False)
+        is_news = not self._ejection.is_ejected(incarnation)
+        self._ejection.record_failure(incarnation, reached=False)
         if is_news:
             decision(
                 'target_passed_over', instance=incarnation.id, by='this node'
             )
-            self._tell_broken(incarnation)
+            self._report_broken(incarnation)
 
-    def pass_over(self, incarnation: Incarnation) -> None:
+    def eject_reported(self, incarnation: Incarnation) -> None:
         """Take over that an instance broke another node's connection."""
-        if not self._ejection.is_out(incarnation):
+        if not self._ejection.is_ejected(incarnation):
             decision(
                 'target_passed_over', instance=incarnation.id, by='another node'
             )
-        self._ejection.pass_over(incarnation)
+        self._ejection.eject_reported(incarnation)
 
-    def succeeded(self, incarnation: Incarnation) -> None:
+    def record_success(self, incarnation: Incarnation) -> None:
         """Forget an instance's failures."""
-        self._ejection.succeeded(incarnation)
+        self._ejection.record_success(incarnation)
 
-    def is_still(self, target: Target, model: str) -> bool:
+    def is_stalled(self, target: Target, model: str) -> bool:
         """Tell whether a replica gives none of its streams anything."""
-        return self.pulse.is_still(target.instance.incarnation, model)
+        return self.stalls.is_stalled(target.instance.incarnation, model)
 
     def load(self, name: str) -> int:
         """Return the requests in flight at an instance over all nodes."""
-        return self._places.in_flight[name] + self._elsewhere(name)
+        return self._in_flight.in_flight[name] + self._remote_in_flight(name)
 
-    @pulse.default
-    def _make_pulse(self) -> StallDetector:
-        return StallDetector(self.gaps.suspect_seconds)
+    @stalls.default
+    def _make_stalls(self) -> StallDetector:
+        return StallDetector(self.gaps.stall_seconds)
 
-    def _choose_head(
+    def _choose_replica(
         self, wanted: RoutingRequest, engine: EngineProfile
     ) -> Target:
         model = engine.model(wanted.model)
-        allowed = self._allowed_heads(wanted)
+        allowed = self._eligible_heads(wanted)
         if not allowed or model is None:
             raise self._no_replica(wanted)
         taking, passed_over = draw_available(
             allowed,
-            self.gate,
+            self.throttle,
             wanted.rank,
             functools.partial(_draw, self._random, self._failure_domain),
             functools.partial(_return_after, self._random, wanted),
         )
-        heads = {head.id: head for head in self._sound(taking, wanted)}
+        heads = {
+            head.id: head for head in self._without_unhealthy(taking, wanted)
+        }
         ask = DispatchRequest(
             wanted.route,
             engine,
             model,
             wanted.prompt_tokens,
             wanted.elapsed_seconds,
-            wanted.left_seconds,
-            self._run_seconds(wanted.model),
-            wanted.has_returned,
-            wanted.has_begun,
+            wanted.remaining_seconds,
+            self._completion_interval(wanted.model),
+            wanted.was_refused,
+            wanted.is_resumed,
         )
-        standings = [self._standing(one, wanted) for one in heads.values()]
+        standings = [self._replica_state(one, wanted) for one in heads.values()]
         chosen = decide(ask, standings)
         if isinstance(chosen, Refuse):
             raise OverloadedError(
-                f'a place is due {chosen.seconds:.2f} s after its client left',
-                retry_after=_return_after(self._random, wanted, chosen.seconds),
+                f'a place is due {chosen.excess_seconds:.2f} s after its client left',
+                retry_after=_return_after(
+                    self._random, wanted, chosen.excess_seconds
+                ),
             )
         head = heads[chosen.name]
-        self.gate.take(head.incarnation)
+        self.throttle.record_sent(head.incarnation)
         return Target(
             head.head,
             head.forming,
             self.load(head.id),
-            'behind those in time' if chosen.is_late else 'in time',
+            'behind those in time' if chosen.is_deferred else 'in time',
             self._clock(),
-            chosen.seconds,
-            self._error(head.incarnation, wanted.model),
-            chosen.is_late,
+            chosen.forecast_seconds,
+            self._forecast_error(head.incarnation, wanted.model),
+            chosen.is_deferred,
             passed_over,
         )
 
-    def _sound(
+    def _without_unhealthy(
         self,
         drawn: Sequence[ServingHead],
         wanted: RoutingRequest,
@@ -248,29 +259,29 @@
         moving = [
             one
             for one in good
-            if not self.pulse.is_still(one.incarnation, wanted.model)
+            if not self.stalls.is_stalled(one.incarnation, wanted.model)
         ]
         return moving or good
 
-    def _allowed_heads(self, wanted: RoutingRequest) -> Sequence[ServingHead]:
+    def _eligible_heads(self, wanted: RoutingRequest) -> Sequence[ServingHead]:
         heads = self._fleet.heads(wanted.service, wanted.model)
-        if not wanted.tried and not wanted.passed_over:
+        if not wanted.tried and not wanted.avoided:
             return heads
         return _allowed(heads, wanted)
 
-    def _standing(
+    def _replica_state(
         self, head: ServingHead, wanted: RoutingRequest
     ) -> ReplicaState:
         return ReplicaState(
             head.id,
             self.load(head.id),
-            self._places.behind[head.id],
-            self._error(head.incarnation, wanted.model),
+            self._in_flight.deferred[head.id],
+            self._forecast_error(head.incarnation, wanted.model),
             head.head.failure_domain == self._failure_domain,
         )
 
-    def _error(self, incarnation: Incarnation, model: str) -> float:
-        return self.errors.expected(incarnation, model, self._clock())
+    def _forecast_error(self, incarnation: Incarnation, model: str) -> float:
+        return self.forecast_errors.expected(incarnation, model, self._clock())
 
     def _no_replica(self, wanted: RoutingRequest) -> NoReplicaError:
         forms = self._fleet.recorded.is_forming(wanted.service, wanted.model)
@@ -280,7 +291,7 @@
             retry_after=_return_after(self._random, wanted, expected),
         )
 
-    def _choose_plain(self, wanted: RoutingRequest) -> Target:
+    def _choose_instance(self, wanted: RoutingRequest) -> Target:
         allowed = _allowed(self._fleet.plain(wanted.service), wanted)
         if not allowed:
             raise NoReplicaError(
@@ -289,32 +300,32 @@
             )
         instances = available_targets(
             allowed,
-            self.gate,
+            self.throttle,
             wanted.rank,
             functools.partial(_return_after, self._random, wanted),
         )
         good = self._ejection.without_ejected(instances)
-        chosen = min(good, key=self._load_then_chance)
+        chosen = min(good, key=self._load_then_random)
         if _is_full(chosen, self.load(chosen.id)):
             # What is passed over may be well again; those others refuse.
-            chosen = min(instances, key=self._load_then_chance)
+            chosen = min(instances, key=self._load_then_random)
         load = self.load(chosen.id)
         if _is_full(chosen, load):
             raise OverloadedError(
                 f'the least loaded target has {load} requests',
                 retry_after=_return_after(self._random, wanted, _FULL_SECONDS),
             )
-        self.gate.take(chosen.incarnation)
+        self.throttle.record_sent(chosen.incarnation)
         return Target(
             chosen,
             None,
             load,
             'fewest in flight',
             self._clock(),
-            passed_over=len(allowed) - len(instances),
+            throttled=len(allowed) - len(instances),
         )
 
-    def _load_then_chance(self, one: ListedInstance) -> tuple[int, float]:
+    def _load_then_random(self, one: ListedInstance) -> tuple[int, float]:
         return self.load(one.id), self._random.random()
 
 
@@ -342,7 +353,9 @@
     expected: float,
 ) -> float:
     """Return when a refused client should come back, drawn for it."""
-    return spread_retry_after(expected, wanted.left_seconds, source.random())
+    return spread_retry_after(
+        expected, wanted.remaining_seconds, source.random()
+    )
 
 
 def _targets(
@@ -363,5 +376,5 @@
 def _allowed(targets: Sequence[Named], wanted: RoutingRequest) -> list[Named]:
     """Leave out those that were tried, and if possible those passed over."""
     left = [one for one in targets if one.id not in wanted.tried]
-    good = [one for one in left if one.id not in wanted.passed_over]
+    good = [one for one in left if one.id not in wanted.avoided]
     return good or left
--- a/src/cranecart/routing/_stalls.py
+++ b/src/cranecart/routing/_stalls.py
@@ -29,13 +29,17 @@
     ``_suspect_seconds`` tells how long a stream of a model may be silent.
     """
 
-    _suspect_seconds: Callable[[str], float]
+    _stall_seconds: Callable[[str], float]
     _clock: Callable[[], float] = since_boot
-    _due: Counter[Hashable] = attrs.field(factory=Counter, init=False)
-    _at: dict[Hashable, float] = attrs.field(factory=dict, init=False)
+    _active_streams: Counter[Hashable] = attrs.field(
+        factory=Counter, init=False
+    )
+    _last_event_at: dict[Hashable, float] = attrs.field(
+        factory=dict, init=False
+    )
 
     @contextlib.contextmanager
-    def following(
+    def track_stream(
         self, name: Hashable
     ) -> Generator['StreamActivity', None, None]:
         """Follow a stream of an instance; it counts from its first event."""
@@ -43,37 +47,37 @@
         try:
             yield stream
         finally:
-            if stream.is_due:
-                self._end(name)
+            if stream.has_started:
+                self._remove_stream(name)
 
-    def beat(self, name: Hashable, is_first: bool) -> None:
+    def record_event(self, name: Hashable, is_first: bool) -> None:
         """Take over that a stream of an instance brought something."""
-        self._due[name] += is_first
-        self._at[name] = self._clock()
+        self._active_streams[name] += is_first
+        self._last_event_at[name] = self._clock()
 
-    def is_still(self, name: Hashable, model: str) -> bool:
+    def is_stalled(self, name: Hashable, model: str) -> bool:
         """Tell whether an instance gives none of its streams anything."""
-        if self._due[name] < _LEAST_STREAMS:
+        if self._active_streams[name] < _LEAST_STREAMS:
             return False
-        silence = self._clock() - self._at[name]
-        return silence > _FACTOR * self._suspect_seconds(model)
+        silence = self._clock() - self._last_event_at[name]
+        return silence > _FACTOR * self._stall_seconds(model)
 
-    def _end(self, name: Hashable) -> None:
-        self._due[name] -= 1
-        if self._due[name] <= 0:
-            self._due.pop(name)
-            self._at.pop(name, None)
+    def _remove_stream(self, name: Hashable) -> None:
+        self._active_streams[name] -= 1
+        if self._active_streams[name] <= 0:
+            self._active_streams.pop(name)
+            self._last_event_at.pop(name, None)
 
 
 @attrs.define
 class StreamActivity:
     """One stream's part in what is known of its instance."""
 
-    _pulse: StallDetector
+    _detector: StallDetector
     _name: Hashable
-    is_due: bool = attrs.field(default=False, init=False)
+    has_started: bool = attrs.field(default=False, init=False)
 
-    def beat(self) -> None:
+    def record_event(self) -> None:
         """Take over that the stream brought something."""
-        self._pulse.beat(self._name, not self.is_due)
-        self.is_due = True
+        self._detector.record_event(self._name, not self.has_started)
+        self.has_started = True
--- a/src/cranecart/selection/_router.py
+++ b/src/cranecart/selection/_router.py
@@ -55,7 +55,7 @@
             raise NoReplicaError(f'no whole replica of {call.model} serves')
         choice = choose(
             self._policy,
-            self._nearest(self._ejection.without_ejected(matching)),
+            self._prefer_local(self._ejection.without_ejected(matching)),
             call.prefix,
             self.load,
             self._random,
@@ -109,24 +109,24 @@
         return chosen
 
     @contextlib.contextmanager
-    def in_flight(self, name: str) -> Generator[None, None, None]:
+    def track_in_flight(self, name: str) -> Generator[None, None, None]:
         """Count one call more at a target while the context lasts."""
         self._in_flight[name] += 1
         try:
             yield
         except (TargetNotReachedError, TargetBrokenError):
-            self._ejection.failed(name)
+            self._ejection.record_failure(name)
             raise
         finally:
             self._in_flight[name] -= 1
-        self._ejection.succeeded(name)
+        self._ejection.record_success(name)
 
     def load(self, replica: ServingReplica) -> float:
         """Return work in flight a slot: the larger of reported and own."""
         reported = replica.running + replica.queued
         return max(reported, self._in_flight[replica.id]) / replica.slots
 
-    def _nearest(
+    def _prefer_local(
         self,
         replicas: Iterable[ServingReplica],
     ) -> list[ServingReplica]:
--- a/src/cranecart/serving/_holding.py
+++ b/src/cranecart/serving/_holding.py
@@ -46,17 +46,20 @@
             # Its entry went, but not as it was leaving.
             return not known.leaving
 
-        guard = RequestGuard(is_expected, tell, has_ended=has_ended)
-        return cls(guard, HeldRows(node_id, table, guard.book), fleet)
+        guard = RequestGuard(is_expected, tell, has_terminated=has_ended)
+        return cls(guard, HeldRows(node_id, table, guard.cases), fleet)
 
     def hear(self, message: RequestCases) -> bool:
         """Take over what another node knows; return whether it is news."""
-        news = [self.guard.hear(one, message.sender) for one in message.cases]
+        news = [
+            self.guard.merge_remote(one, message.sender)
+            for one in message.cases
+        ]
         return any(news)
 
     async def keep(self) -> None:
         """Repeat what is new, forget what is old, write what must last."""
-        self.guard.keep(self._fleet.listing.incarnations())
-        if self.rows.is_behind:
+        self.guard.refresh(self._fleet.listing.incarnations())
+        if self.rows.has_pending_writes:
             # The store may be slow: nothing else is kept waiting for it.
             await curio.spawn(self.rows.write, daemon=True)
--- a/src/cranecart/serving/_knowledge.py
+++ b/src/cranecart/serving/_knowledge.py
@@ -171,7 +171,7 @@
         versions = (0 if row is None else row.version for row in items.values())
         era = era_of(max(versions, default=0))
         self.fleet.take_records(_records_of(items), is_whole, era)
-        self.held.take(items, is_whole)
+        self.held.apply(items, is_whole)
 
 
 def _list_follower(
--- a/src/cranecart/serving/_node.py
+++ b/src/cranecart/serving/_node.py
@@ -79,10 +79,12 @@
             lambda name: self._mesh.in_flight_elsewhere(name),
             self._demand.mean_seconds,
             settings.failure_domain,
-            tell_broken=lambda incarnation: self._mesh.publish(
+            report_broken=lambda incarnation: self._mesh.publish(
                 Broken(settings.node_id, incarnation.id, incarnation.born),
             ),
-            gate=make_gate(settings.node_id, self._fleet, lambda: self._mesh),
+            throttle=make_gate(
+                settings.node_id, self._fleet, lambda: self._mesh
+            ),
         )
         self._mesh = self._make_mesh()
         self._holding = Holding.for_node(
@@ -174,12 +176,14 @@
             lambda message: self._holding.hear(message),
             lambda news: self._knowledge.take_list_news(news),
             lambda news: self._knowledge.take_record_news(news),
-            self._router.counts,
+            self._router.in_flight_counts,
             self._config.current,
             self._config.take_from_peer,
             self._renew_own,
-            lambda told: self._router.pass_over(told.incarnation),
-            lambda told: self._router.gate.hear(told.limits, told.sender),
+            lambda told: self._router.eject_reported(told.incarnation),
+            lambda told: self._router.throttle.merge_updates(
+                told.limits, told.sender
+            ),
             lambda told: note_leaving(
                 self._fleet, told.incarnation, told.sender
             ),
@@ -240,8 +244,8 @@
             self._fleet.settle_lives()
             listed = self._fleet.listing.incarnations()
             await self._connections.close_old(listed)
-            self._router.errors.forget(listed)
-            self._router.gate.renew(listed)
+            self._router.forecast_errors.prune(listed)
+            self._router.throttle.refresh(listed)
             await self._holding.keep()
             if self._registry.is_missing:
                 await curio.spawn(self._registry.register, daemon=True)
@@ -265,7 +269,7 @@
 
     def _take_settings(self) -> None:
         settings = self._live.current
-        self._budget.rules = retry_rules(settings)
+        self._budget.limits = retry_rules(settings)
         set_log_level(settings.log_level)
 
     async def _wait_for_stop(self, stop: StopSignal) -> None:
@@ -305,7 +309,7 @@
             'log_bytes': self._lines.written_bytes,
             'log_lines_dropped': self._lines.dropped,
             'liveness_checks': self._placing.checks,
-            **self._router.gate.counts(),
+            **self._router.throttle.counts(),
         }
 
     def _knows_enough(self) -> bool:
--- a/src/cranecart/throttling/_backoffs.py
+++ b/src/cranecart/throttling/_backoffs.py
@@ -24,7 +24,7 @@
         """Return how many targets rest."""
         return len(self._until)
 
-    def note(self, incarnation: Incarnation, seconds: float) -> None:
+    def record(self, incarnation: Incarnation, seconds: float) -> None:
         """Take over that a target asks for so many seconds from now on."""
         until = self._clock() + seconds
         earlier = self._until.get(incarnation, 0)
@@ -34,15 +34,15 @@
             instance=incarnation.id,
             born=incarnation.born,
             seconds=seconds,
-            left=round(self.seconds_left(incarnation), 3),
+            left=round(self.remaining_seconds(incarnation), 3),
         )
 
-    def seconds_left(self, incarnation: Incarnation) -> float:
+    def remaining_seconds(self, incarnation: Incarnation) -> float:
         """Return for how long a target still rests, 0 if it does not."""
         until = self._until.get(incarnation)
         return 0 if until is None else max(0, until - self._clock())
 
-    def forget_ended(self) -> None:
+    def prune(self) -> None:
         """Forget the rests that are over."""
         now = self._clock()
         for incarnation, until in list(self._until.items()):
--- a/src/cranecart/throttling/_bucket.py
+++ b/src/cranecart/throttling/_bucket.py
@@ -15,30 +15,30 @@
     filled_at: float
     _tokens: float = attrs.field(default=0, init=False)
 
-    def change(self, per_second: float, burst: float, now: float) -> None:
+    def set_rate(self, per_second: float, burst: float, now: float) -> None:
         """Go on at another rate with what is there."""
-        self._fill(now)
+        self._refill(now)
         self.per_second = per_second
         self.burst = burst
         self._tokens = min(self._tokens, burst)
 
     def has_tokens(self, count: int, now: float) -> bool:
         """Tell whether so many tokens are there."""
-        self._fill(now)
+        self._refill(now)
         return self._tokens >= count
 
     def take(self, now: float) -> None:
         """Take a token."""
-        self._fill(now)
+        self._refill(now)
         self._tokens -= 1
 
     def seconds_to_token(self, now: float) -> float:
         """Return how long it takes until a token is there."""
-        self._fill(now)
+        self._refill(now)
         missing = max(0, 1 - self._tokens)
         return max(0, self.filled_at - now) + missing / self.per_second
 
-    def _fill(self, now: float) -> None:
+    def _refill(self, now: float) -> None:
         if now > self.filled_at:
             came = (now - self.filled_at) * self.per_second
             self._tokens = min(self.burst, self._tokens + came)
--- a/src/cranecart/throttling/_limits.py
+++ b/src/cranecart/throttling/_limits.py
@@ -40,7 +40,7 @@
         """Return the life that the news is of."""
         return Incarnation(self.instance, self.born)
 
-    def is_after(self, other: 'LimitUpdate') -> bool:
+    def supersedes(self, other: 'LimitUpdate') -> bool:
         """Tell whether this counts and the other does not.
 
         Of two changes that were seen at once, the stricter counts.
@@ -58,21 +58,21 @@
     other nodes said so last at ``heard_at``.
     """
 
-    news: LimitUpdate
+    update: LimitUpdate
     is_own: bool
     changed_at: float
-    named_at: float
+    confirmed_at: float
     heard_at: float
 
     @property
     def is_in_force(self) -> bool:
         """Tell whether the life names a limit."""
-        return self.news.per_second is not None
+        return self.update.per_second is not None
 
     @property
-    def told_at(self) -> float:
+    def last_seen_at(self) -> float:
         """Return when this was said last."""
-        return max(self.named_at, self.heard_at)
+        return max(self.confirmed_at, self.heard_at)
 
 
 @attrs.define
@@ -88,13 +88,13 @@
     def limit(self, incarnation: Incarnation) -> float | None:
         """Return the limit that a life names, if it names one."""
         known = self._known.get(incarnation)
-        return None if known is None else known.news.per_second
+        return None if known is None else known.update.per_second
 
-    def in_force(self) -> list[LimitUpdate]:
+    def active_limits(self) -> list[LimitUpdate]:
         """Return the limits that are named now."""
-        return [one.news for one in self._known.values() if one.is_in_force]
+        return [one.update for one in self._known.values() if one.is_in_force]
 
-    def note_answer(
+    def record_response(
         self,
         incarnation: Incarnation,
         facts: AnswerFacts,
@@ -105,31 +105,33 @@
         ``sent_at`` is when the request was sent that it answers.
         """
         if facts.unreadable:
-            self._tell_unreadable(incarnation, facts.unreadable)
+            self._log_unreadable(incarnation, facts.unreadable)
         known = self._known.get(incarnation)
         if known is None:
             if facts.limit is None:
                 return None
             return self._change(incarnation, 1, facts.limit)
-        if facts.limit == known.news.per_second:
-            known.named_at = self._clock()
+        if facts.limit == known.update.per_second:
+            known.confirmed_at = self._clock()
             return None
-        if sent_at < known.named_at and not _is_stricter(facts.limit, known):
+        if sent_at < known.confirmed_at and not _is_stricter(
+            facts.limit, known
+        ):
             # It may be older than the answer that said so.
             return None
-        return self._change(incarnation, known.news.version + 1, facts.limit)
+        return self._change(incarnation, known.update.version + 1, facts.limit)
 
-    def note_news(self, news: LimitUpdate, by: str) -> bool:
+    def merge(self, news: LimitUpdate, by: str) -> bool:
         """Take over what another node knows; return whether it is new."""
         known = self._known.get(news.incarnation)
-        if known is not None and news == known.news:
+        if known is not None and news == known.update:
             known.heard_at = self._clock()
-        if known is not None and not news.is_after(known.news):
+        if known is not None and not news.supersedes(known.update):
             return False
-        self._put(news, by)
+        self._store(news, by)
         return True
 
-    def to_repeat(
+    def updates_to_repeat(
         self,
         sends: Collection[Incarnation],
         seconds: float,
@@ -141,12 +143,12 @@
         """
         oldest = self._clock() - seconds
         return [
-            known.news
+            known.update
             for incarnation, known in self._known.items()
             if _is_to_repeat(known, oldest, is_sent=incarnation in sends)
         ]
 
-    def forget(
+    def prune(
         self, listed: Collection[Incarnation], sends: Collection[Incarnation]
     ) -> None:
         """Forget lives that are listed no more, and limits nobody repeats."""
@@ -155,7 +157,8 @@
             incarnation: known
             for incarnation, known in self._known.items()
             if (
-                incarnation in listed or now - known.told_at < _UNLISTED_SECONDS
+                incarnation in listed
+                or now - known.last_seen_at < _UNLISTED_SECONDS
             )
             and (incarnation in sends or _is_believed(known, now))
         }
@@ -170,10 +173,10 @@
         news = LimitUpdate(
             incarnation.id, incarnation.born, version, per_second
         )
-        self._put(news, _ANSWER)
+        self._store(news, _ANSWER)
         return news
 
-    def _put(self, news: LimitUpdate, by: str) -> None:
+    def _store(self, news: LimitUpdate, by: str) -> None:
         now = self._clock()
         known = self._known.get(news.incarnation)
         decision(
@@ -181,7 +184,7 @@
             instance=news.instance,
             born=news.born,
             per_second=news.per_second,
-            before=known and known.news.per_second,
+            before=known and known.update.per_second,
             for_seconds=known and round(now - known.changed_at, 3),
             by=by,
             version=news.version,
@@ -190,7 +193,7 @@
             news, by == _ANSWER, now, now, now
         )
 
-    def _tell_unreadable(
+    def _log_unreadable(
         self, incarnation: Incarnation, texts: Iterable[str]
     ) -> None:
         if incarnation not in self._unreadable:
@@ -208,7 +211,7 @@
 
 
 def _is_stricter(limit: float | None, known: KnownLimit) -> bool:
-    return limit is not None and limit < _strictness(known.news)
+    return limit is not None and limit < _strictness(known.update)
 
 
 def _is_to_repeat(known: KnownLimit, oldest: float, *, is_sent: bool) -> bool:
@@ -218,4 +221,4 @@
 
 
 def _is_believed(known: KnownLimit, now: float) -> bool:
-    return not known.is_in_force or now - known.told_at < _BELIEVED_SECONDS
+    return not known.is_in_force or now - known.last_seen_at < _BELIEVED_SECONDS
--- a/src/cranecart/throttling/_shares.py
+++ b/src/cranecart/throttling/_shares.py
@@ -41,7 +41,7 @@
 class ShareRule(Protocol):
     """Divides a limit between nodes."""
 
-    def nodes_for(self, limit: float) -> int:
+    def max_nodes(self, limit: float) -> int:
         """Return how many nodes may send at most."""
 
     def share(self, limit: float, nodes: int) -> Share:
@@ -51,7 +51,7 @@
 class FewestNodes:
     """As few nodes send as can use the limit."""
 
-    def nodes_for(self, limit: float) -> int:
+    def max_nodes(self, limit: float) -> int:
         """Return how many nodes may send at most."""
         return max(1, int(limit / _LEAST_SHARE_PER_SECOND))
 
--- a/src/cranecart/throttling/_throttle.py
+++ b/src/cranecart/throttling/_throttle.py
@@ -55,31 +55,31 @@
 
 
 @attrs.define
-class _Part:
+class _Allotment:
     """This node's part of one limit; ``nodes`` is 0 if it has none."""
 
     limit: float
     nodes: int
     bucket: TokenBucket
-    looked_at: float
+    checked_at: float
     # The most urgent rank that was turned away lately, and when.
-    waiting_rank: int = 0
-    waited_at: float = float('-inf')
+    rejected_rank: int = 0
+    rejected_at: float = float('-inf')
 
-    def tokens_for(self, rank: int, now: float) -> int:
+    def tokens_required(self, rank: int, now: float) -> int:
         """Return how many tokens must be there for a request of a rank.
 
         The last one is left to what is more urgent and was turned away: it
         comes back within about that time.
         """
-        is_waited_for = now - self.waited_at < _WAITING_SECONDS
-        return 2 if is_waited_for and rank > self.waiting_rank else 1
+        is_waited_for = now - self.rejected_at < _WAITING_SECONDS
+        return 2 if is_waited_for and rank > self.rejected_rank else 1
 
-    def note_waiting(self, rank: int, now: float) -> None:
+    def record_rejection(self, rank: int, now: float) -> None:
         """Take over that a request of a rank was turned away."""
-        if self.tokens_for(rank, now) == 1:
-            self.waiting_rank = rank
-            self.waited_at = now
+        if self.tokens_required(rank, now) == 1:
+            self.rejected_rank = rank
+            self.rejected_at = now
 
 
 @attrs.define
@@ -91,29 +91,33 @@
     which do; the fleet leaves them out itself.
     """
 
-    _sharing_nodes: CountSharingNodes = attrs.field(default=_send_alone)
-    _known: Callable[[str], ListedInstance | None] = attrs.field(
+    _count_sharing_nodes: CountSharingNodes = attrs.field(default=_send_alone)
+    _find_instance: Callable[[str], ListedInstance | None] = attrs.field(
         default=_know_nothing,
     )
-    _tell: Callable[[Sequence[LimitUpdate]], None] = attrs.field(
+    _publish: Callable[[Sequence[LimitUpdate]], None] = attrs.field(
         default=_tell_nobody,
     )
-    _leave: Callable[[Incarnation], None] = attrs.field(default=_hear_of_none)
+    _mark_leaving: Callable[[Incarnation], None] = attrs.field(
+        default=_hear_of_none
+    )
     _is_leaving: Callable[[Incarnation], bool] = attrs.field(default=_has_none)
     _clock: Callable[[], float] = since_boot
     _rule: ShareRule = attrs.field(factory=FewestNodes)
-    _book: LimitRegistry = attrs.field(init=False)
-    _rests: BackoffRegistry = attrs.field(init=False)
-    _parts: dict[Incarnation, _Part] = attrs.field(factory=dict, init=False)
-    _repeated_at: float = attrs.field(default=0, init=False)
-    _turned_away: int = attrs.field(default=0, init=False)
+    _limits: LimitRegistry = attrs.field(init=False)
+    _backoffs: BackoffRegistry = attrs.field(init=False)
+    _allotments: dict[Incarnation, _Allotment] = attrs.field(
+        factory=dict, init=False
+    )
+    _republished_at: float = attrs.field(default=0, init=False)
+    _rejections: int = attrs.field(default=0, init=False)
 
     @property
-    def is_open(self) -> bool:
+    def is_unrestricted(self) -> bool:
         """Tell whether no target has said anything."""
-        return not self._parts and not self._rests
+        return not self._allotments and not self._backoffs
 
-    def note_answer(
+    def record_response(
         self,
         incarnation: Incarnation,
         facts: AnswerFacts,
@@ -124,53 +128,53 @@
         ``sent_at`` is when the request was sent that it answers.
         """
         if facts.rest_seconds:
-            self._rests.note(incarnation, facts.rest_seconds)
+            self._backoffs.record(incarnation, facts.rest_seconds)
         if facts.is_leaving:
-            self._leave(incarnation)
-        news = self._book.note_answer(incarnation, facts, sent_at)
+            self._mark_leaving(incarnation)
+        news = self._limits.record_response(incarnation, facts, sent_at)
         if news is not None:
-            self._put(news)
-            self._tell((news,))
+            self._apply(news)
+            self._publish((news,))
 
-    def hear(self, told: Iterable[LimitUpdate], by: str) -> None:
+    def merge_updates(self, told: Iterable[LimitUpdate], by: str) -> None:
         """Take over what another node knows."""
         for news in told:
-            if self._book.note_news(news, by):
-                self._put(news)
+            if self._limits.merge(news, by):
+                self._apply(news)
 
-    def is_open_to(self, incarnation: Incarnation, rank: int = 0) -> bool:
+    def accepts(self, incarnation: Incarnation, rank: int = 0) -> bool:
         """Tell whether a target takes a request of this node now.
 
         Ranks that are smaller are more urgent. What leaves is not asked for
         here, as the fleet leaves it out.
         """
-        if self._rests and self._rests.seconds_left(incarnation):
+        if self._backoffs and self._backoffs.remaining_seconds(incarnation):
             return False
-        part = self._parts.get(incarnation)
+        part = self._allotments.get(incarnation)
         if part is None:
             return True
         now = self._clock()
-        self._look(incarnation, part, now)
-        wanted = part.tokens_for(rank, now)
+        self._check_sharing(incarnation, part, now)
+        wanted = part.tokens_required(rank, now)
         return part.nodes > 0 and part.bucket.has_tokens(wanted, now)
 
-    def may_reach(self, incarnation: Incarnation) -> bool:
+    def may_send(self, incarnation: Incarnation) -> bool:
         """Tell whether what was chosen for a target may still be sent."""
         return not (
-            self._rests.seconds_left(incarnation)
+            self._backoffs.remaining_seconds(incarnation)
             or self._is_leaving(incarnation)
         )
 
-    def take(self, incarnation: Incarnation) -> None:
+    def record_sent(self, incarnation: Incarnation) -> None:
         """Count a request that goes to a target."""
-        part = self._parts.get(incarnation)
+        part = self._allotments.get(incarnation)
         if part is not None:
             part.bucket.take(self._clock())
 
-    def room_seconds(self, incarnation: Incarnation) -> float:
+    def seconds_until_accepted(self, incarnation: Incarnation) -> float:
         """Return after how long a target should take a request again."""
-        rest = self._rests.seconds_left(incarnation)
-        part = self._parts.get(incarnation)
+        rest = self._backoffs.remaining_seconds(incarnation)
+        part = self._allotments.get(incarnation)
         if part is None:
             return rest
         if part.nodes:
@@ -179,104 +183,106 @@
 
     def share_of(self, incarnation: Incarnation) -> Share | None:
         """Return this node's part of a target's limit, if it has one."""
-        part = self._parts.get(incarnation)
+        part = self._allotments.get(incarnation)
         if part is None or not part.nodes:
             return None
         return self._rule.share(part.limit, part.nodes)
 
-    def note_turned_away(
+    def record_rejection(
         self, incarnations: Iterable[Incarnation], rank: int
     ) -> None:
         """Take over that none of some targets took a request of a rank."""
-        self._turned_away += 1
+        self._rejections += 1
         now = self._clock()
         for incarnation in incarnations:
-            part = self._parts.get(incarnation)
+            part = self._allotments.get(incarnation)
             if part is not None:
-                part.note_waiting(rank, now)
+                part.record_rejection(rank, now)
 
-    def renew(self, listed: Collection[Incarnation]) -> None:
+    def refresh(self, listed: Collection[Incarnation]) -> None:
         """Look anew who sends, and repeat what others have to know."""
         now = self._clock()
-        self._rests.forget_ended()
-        for incarnation, part in self._parts.items():
-            self._look(incarnation, part, now)
+        self._backoffs.prune()
+        for incarnation, part in self._allotments.items():
+            self._check_sharing(incarnation, part, now)
         sends = {
             incarnation
-            for incarnation, part in self._parts.items()
+            for incarnation, part in self._allotments.items()
             if part.nodes
         }
-        self._book.forget(listed, sends)
-        self._parts = {
+        self._limits.prune(listed, sends)
+        self._allotments = {
             incarnation: part
-            for incarnation, part in self._parts.items()
-            if self._book.limit(incarnation) is not None
+            for incarnation, part in self._allotments.items()
+            if self._limits.limit(incarnation) is not None
         }
-        if now - self._repeated_at >= _REPEAT_SECONDS:
-            self._repeated_at = now
-            told = self._book.to_repeat(sends, 2 * _REPEAT_SECONDS)
+        if now - self._republished_at >= _REPEAT_SECONDS:
+            self._republished_at = now
+            told = self._limits.updates_to_repeat(sends, 2 * _REPEAT_SECONDS)
             if told:
-                self._tell(told)
+                self._publish(told)
 
     def counts(self) -> dict[str, int]:
         """Return figures by name."""
         return {
-            'targets_with_limit': len(self._parts),
-            'targets_at_rest': len(self._rests),
-            'turned_away_by_targets_words': self._turned_away,
+            'targets_with_limit': len(self._allotments),
+            'targets_at_rest': len(self._backoffs),
+            'turned_away_by_targets_words': self._rejections,
         }
 
-    @_rests.default
-    def _make_rests(self) -> BackoffRegistry:
+    @_backoffs.default
+    def _make_backoffs(self) -> BackoffRegistry:
         return BackoffRegistry(self._clock)
 
-    @_book.default
-    def _make_book(self) -> LimitRegistry:
+    @_limits.default
+    def _make_limits(self) -> LimitRegistry:
         return LimitRegistry(self._clock)
 
-    def _put(self, news: LimitUpdate) -> None:
+    def _apply(self, news: LimitUpdate) -> None:
         if news.per_second is None:
-            self._parts.pop(news.incarnation, None)
+            self._allotments.pop(news.incarnation, None)
             return
         now = self._clock()
-        part = self._parts.get(news.incarnation)
+        part = self._allotments.get(news.incarnation)
         if part is None:
-            self._parts[news.incarnation] = self._new_part(news, now)
+            self._allotments[news.incarnation] = self._new_allotment(news, now)
         else:
             part.limit = news.per_second
-            self._share_anew(
-                part, self._nodes(news.incarnation, part.limit), now
+            self._reallocate(
+                part, self._count_nodes(news.incarnation, part.limit), now
             )
-        self._tell_share(news.incarnation)
+        self._log_share(news.incarnation)
 
-    def _new_part(self, news: LimitUpdate, now: float) -> _Part:
+    def _new_allotment(self, news: LimitUpdate, now: float) -> _Allotment:
         limit = news.per_second or 0
-        nodes = self._nodes(news.incarnation, limit)
+        nodes = self._count_nodes(news.incarnation, limit)
         share = self._rule.share(limit, max(1, nodes))
         bucket = TokenBucket(share.per_second, share.burst, now)
-        return _Part(limit, nodes, bucket, now)
+        return _Allotment(limit, nodes, bucket, now)
 
-    def _look(self, incarnation: Incarnation, part: _Part, now: float) -> None:
+    def _check_sharing(
+        self, incarnation: Incarnation, part: _Allotment, now: float
+    ) -> None:
         """Find out whether this node is among those that send."""
-        if now - part.looked_at < _LOOK_SECONDS:
+        if now - part.checked_at < _LOOK_SECONDS:
             return
-        part.looked_at = now
-        nodes = self._nodes(incarnation, part.limit)
+        part.checked_at = now
+        nodes = self._count_nodes(incarnation, part.limit)
         if nodes != part.nodes:
-            self._share_anew(part, nodes, now)
-            self._tell_share(incarnation)
+            self._reallocate(part, nodes, now)
+            self._log_share(incarnation)
 
-    def _tell_share(self, incarnation: Incarnation) -> None:
+    def _log_share(self, incarnation: Incarnation) -> None:
         share = self.share_of(incarnation)
         decision(
             'target_share',
             instance=incarnation.id,
             born=incarnation.born,
             per_second=share and share.per_second,
-            nodes=self._parts[incarnation].nodes,
+            nodes=self._allotments[incarnation].nodes,
         )
 
-    def _share_anew(self, part: _Part, nodes: int, now: float) -> None:
+    def _reallocate(self, part: _Allotment, nodes: int, now: float) -> None:
         share = self._rule.share(part.limit, max(1, nodes))
         if nodes and not part.nodes:
             begins_at = now + _HANDOVER_SECONDS
@@ -286,13 +292,13 @@
                 begins_at,
             )
         else:
-            part.bucket.change(share.per_second, share.burst, now)
+            part.bucket.set_rate(share.per_second, share.burst, now)
         part.nodes = nodes
 
-    def _nodes(self, incarnation: Incarnation, limit: float) -> int:
-        instance = self._known(incarnation.id)
+    def _count_nodes(self, incarnation: Incarnation, limit: float) -> int:
+        instance = self._find_instance(incarnation.id)
         domain = '' if instance is None else instance.failure_domain
-        most = self._rule.nodes_for(limit)
-        return self._sharing_nodes(
+        most = self._rule.max_nodes(limit)
+        return self._count_sharing_nodes(
             domain, f'{incarnation.id} {incarnation.born}', most
         )
--- a/tests/lib/crash_simulation.py
+++ b/tests/lib/crash_simulation.py
@@ -132,7 +132,7 @@
         )
 
     def _send(self, one: Asked) -> None:
-        standing = self._book.standing(one.name)
+        standing = self._book.verdict(one.name)
         if standing is Verdict.HELD:
             self.held_by_chance += not one.is_cause
             self.refused_cause += one.is_cause
@@ -152,15 +152,17 @@
 
     def _choose(self, standing: Verdict) -> Spot | None:
         up = [spot for spot in self._spots if spot.is_up]
-        suspects = standing in {Verdict.SUSPECT, Verdict.APART}
+        suspects = standing in {Verdict.SUSPECT, Verdict.ISOLATED}
         shunned = (
-            {Verdict.SUSPECT, Verdict.APART} if suspects else {Verdict.APART}
+            {Verdict.SUSPECT, Verdict.ISOLATED}
+            if suspects
+            else {Verdict.ISOLATED}
         )
         good = [
             spot
             for spot in up
             if not any(
-                self._book.standing(other.name) in shunned
+                self._book.verdict(other.name) in shunned
                 for other in spot.there
             )
         ]
@@ -189,9 +191,9 @@
         if one.stay != stay or one not in spot.there:
             return
         spot.there.remove(one)
-        news = self._book.cleared(one.name)
+        news = self._book.clearing_update(one.name)
         if news is not None:
-            self._book.take(news, is_own=True)
+            self._book.merge(news, is_own=True)
 
     def _end(self, spot: Spot) -> None:
         there = spot.there
@@ -213,7 +215,7 @@
             self._at(seconds, lambda: self._hear(news))
 
     def _hear(self, news: CaseUpdate) -> None:
-        self._book.take(news, is_own=True)
+        self._book.merge(news, is_own=True)
 
     def _back(self, spot: Spot) -> None:
         spot.life += 1
--- a/tests/lib/crashing_targets.py
+++ b/tests/lib/crashing_targets.py
@@ -256,7 +256,7 @@
         for node in self.nodes:
             if node is not teller and node not in self.cut_off:
                 for news in cases:
-                    node.guard.hear(news, 'another node')
+                    node.guard.merge_remote(news, 'another node')
 
     def _list(self, node: GatewayWorld, target: CrashingTarget) -> None:
         name = target.name
@@ -287,7 +287,7 @@
             births=(target.incarnations,),
         )
         node.fleet.take_records({record.key: record}, False)
-        node.guard.keep(node.fleet.listing.incarnations())
+        node.guard.refresh(node.fleet.listing.incarnations())
 
 
 async def ask_in_turn(
--- a/tests/lib/fake_targets.py
+++ b/tests/lib/fake_targets.py
@@ -312,10 +312,10 @@
             lambda _name: 0,
             lambda _model: 0.1,
             'east',
-            tell_broken=lambda incarnation: self.told_broken.append(
+            report_broken=lambda incarnation: self.told_broken.append(
                 incarnation.id
             ),
-            gate=self._gate(),
+            throttle=self._gate(),
         )
         self.connections = TargetConnections()
         # Told of requests that end targets.
@@ -323,7 +323,7 @@
         self.guard = RequestGuard(
             lambda one: one.id not in self.fleet.instances,
             lambda cases: self.tell(cases),
-            has_ended=self._has_ended,
+            has_terminated=self._has_ended,
         )
         self.gateway = RoutedGateway(
             lambda: self.config,
--- a/tests/lib/limit_simulation.py
+++ b/tests/lib/limit_simulation.py
@@ -56,7 +56,7 @@
 class DividedByAll:
     """The way not taken: every node sends its part of the limit."""
 
-    def nodes_for(self, _limit: float) -> int:
+    def max_nodes(self, _limit: float) -> int:
         """Return how many nodes may send at most."""
         return sys.maxsize
 
@@ -68,7 +68,7 @@
 class OneNode(FewestNodes):
     """The other way not taken: one node sends all."""
 
-    def nodes_for(self, _limit: float) -> int:
+    def max_nodes(self, _limit: float) -> int:
         """Return how many nodes may send at most."""
         return 1
 
@@ -130,7 +130,7 @@
         lag = self._random.uniform(_LEAST_LAG_SECONDS, _MOST_LAG_SECONDS)
         gate = TargetThrottle(
             lambda _domain, _name, most: self._sharing_nodes(name, most),
-            tell=lambda told: self._tell(node, told),
+            publish=lambda told: self._tell(node, told),
             clock=lambda: self.now,
             rule=self._rule,
         )
@@ -210,21 +210,23 @@
             if node is teller or node.is_cut or teller.is_cut:
                 continue
             if self._random.random() >= _LOST_PART:
-                hear = functools.partial(node.gate.hear, told, teller.name)
+                hear = functools.partial(
+                    node.gate.merge_updates, told, teller.name
+                )
                 self._at(_NEWS_SECONDS, hear)
 
     def _renew(self, node: Node) -> None:
         if node.is_alive:
-            node.gate.renew({_LIFE})
+            node.gate.refresh({_LIFE})
             self._at(_RENEW_SECONDS, functools.partial(self._renew, node))
 
     def _ask(self, node: Node) -> None:
         if not node.is_alive:
             return
         self._at(self._pause(), functools.partial(self._ask, node))
-        if not node.gate.is_open_to(_LIFE):
+        if not node.gate.accepts(_LIFE):
             return
-        node.gate.take(_LIFE)
+        node.gate.record_sent(_LIFE)
         is_slow = self._random.random() < _SLOW_PART
         way = _SLOW_SECONDS if is_slow else _WAY_SECONDS
         self._at(way, functools.partial(self._arrive, node, self.now))
@@ -240,7 +242,7 @@
     def _answer(self, node: Node, facts: AnswerFacts, sent_at: float) -> None:
         if facts.limit is not None and node.told_at is None:
             node.told_at = self.now
-        node.gate.note_answer(_LIFE, facts, sent_at)
+        node.gate.record_response(_LIFE, facts, sent_at)
 
     def _pause(self) -> float:
         return self._random.expovariate(self.per_second)
--- a/tests/lib/simulated_cluster.py
+++ b/tests/lib/simulated_cluster.py
@@ -179,7 +179,7 @@
             lambda message: stopped.add(message.replica),
             _no_suspect,
             lambda message: any(
-                [book.take(one, is_own=False) for one in message.cases],
+                [book.merge(one, is_own=False) for one in message.cases],
             ),
             lambda news: versions.append(news.version),
             _ignore,
--- a/tests/lib/throttling_targets.py
+++ b/tests/lib/throttling_targets.py
@@ -224,7 +224,7 @@
 
     def _tell_limits(self, teller: int, told: Sequence[LimitUpdate]) -> None:
         for node in self._others(teller):
-            node.router.gate.hear(told, f'node-{teller}')
+            node.router.throttle.merge_updates(told, f'node-{teller}')
 
     def _tell_leaving(self, teller: int, incarnation: Incarnation) -> None:
         for node in self._others(teller):
--- a/tests/unit/test_broken_plain_instances.py
+++ b/tests/unit/test_broken_plain_instances.py
@@ -44,7 +44,7 @@
     def test_what_another_node_told_is_heeded(self) -> None:
         """No call is lost to it."""
         world = GatewayWorld(_whole, _break, service=PLAIN)
-        world.router.pass_over(world.fleet.instances['i1'].incarnation)
+        world.router.eject_reported(world.fleet.instances['i1'].incarnation)
         curio.run(world.run, self._write)
         self.assertEqual(set(self.statuses), {200})
 
@@ -52,11 +52,11 @@
         """Rather than refusing, the one that is passed over is tried."""
         world = GatewayWorld(_whole, _whole, service=PLAIN)
         first, second = world.fleet.plain(PLAIN)
-        world.router.pass_over(second.incarnation)
+        world.router.eject_reported(second.incarnation)
         call = RoutingRequest(CONFIG, CONFIG.routes[0], PLAIN, '', 0, 2)
         for _held in range(first.slots * 3):
             self.assertIs(world.router.choose(call).instance, first)
-            world.router.counts()[first.id] += 1
+            world.router.in_flight_counts()[first.id] += 1
         self.assertIs(world.router.choose(call).instance, second)
 
     def test_all_break(self) -> None:
@@ -76,10 +76,10 @@
         """What it broke once does not keep it out."""
         clock = mock.Mock(return_value=5)
         ejection = OutlierEjection(clock)
-        ejection.pass_over(Incarnation('a'))
-        self.assertTrue(ejection.is_out(Incarnation('a')))
+        ejection.eject_reported(Incarnation('a'))
+        self.assertTrue(ejection.is_ejected(Incarnation('a')))
         clock.return_value = 6.1
-        self.assertFalse(ejection.is_out(Incarnation('a')))
+        self.assertFalse(ejection.is_ejected(Incarnation('a')))
 
     def test_drawn_faults(self) -> None:
         """Told to all, less than half of the calls fail."""
--- a/tests/unit/test_crashing_requests.py
+++ b/tests/unit/test_crashing_requests.py
@@ -135,7 +135,7 @@
         for node in deployment.nodes:
             await _rows(node, table).write()
         late = deployment.new_node()
-        _rows(late, table).take(table.rows, True)
+        _rows(late, table).apply(table.rows, True)
         serving = await deployment.start(late)
         deployment.nodes = [late]
         await self._play(deployment, seconds=1)
@@ -199,7 +199,7 @@
 
 
 def _rows(node: GatewayWorld, table: FakePlatform) -> HeldRows:
-    return HeldRows('a node', table, node.guard.book)
+    return HeldRows('a node', table, node.guard.cases)
 
 
 async def _keep_rows(rows: Iterable[HeldRows], table: FakePlatform) -> None:
@@ -207,7 +207,7 @@
     while True:
         for one in rows:
             await one.write()
-            one.take(table.rows, False)
+            one.apply(table.rows, False)
         await curio.sleep(0.2)
 
 
--- a/tests/unit/test_dispatch.py
+++ b/tests/unit/test_dispatch.py
@@ -40,7 +40,7 @@
             _ASK, [ReplicaState('full', 20), ReplicaState('free', 2)]
         )
         self.assertEqual(_name(chosen), 'free')
-        self.assertFalse(chosen.is_late)  # type: ignore[union-attr]
+        self.assertFalse(chosen.is_deferred)  # type: ignore[union-attr]
 
     def test_a_slow_one_is_passed_over(self) -> None:
         """What came late from it counts more than its numbers."""
@@ -51,7 +51,7 @@
 
     def test_a_near_one_is_preferred_to_a_little_quicker_one(self) -> None:
         """But not if it is full."""
-        far = ReplicaState('far', 0, is_near=False)
+        far = ReplicaState('far', 0, is_local=False)
         self.assertEqual(
             _name(decide(_ASK, [far, ReplicaState('near', 9)])), 'near'
         )
@@ -62,25 +62,27 @@
     def test_what_is_late_lets_others_pass(self) -> None:
         """It waits as long as its client does."""
         chosen = decide(_ASK, [ReplicaState('full', 22)])
-        self.assertTrue(isinstance(chosen, Send) and chosen.is_late)
+        self.assertTrue(isinstance(chosen, Send) and chosen.is_deferred)
 
     def test_what_cannot_be_served_is_refused_at_once(self) -> None:
         """With the time after which it could be."""
-        chosen = decide(_ASK, [ReplicaState('full', 18, behind=60)])
-        self.assertTrue(isinstance(chosen, Refuse) and chosen.seconds > 0)
+        chosen = decide(_ASK, [ReplicaState('full', 18, deferred=60)])
+        self.assertTrue(
+            isinstance(chosen, Refuse) and chosen.excess_seconds > 0
+        )
 
     def test_one_that_came_back_is_refused_later_than_a_new_one(self) -> None:
         """It has waited already, and this is its last try."""
-        late = [ReplicaState('full', 18, behind=20)]
+        late = [ReplicaState('full', 18, deferred=20)]
         self.assertIsInstance(decide(_ASK, late), Refuse)
-        back = attrs.evolve(_ASK, elapsed_seconds=1, has_returned=True)
+        back = attrs.evolve(_ASK, elapsed_seconds=1, was_refused=True)
         self.assertIsInstance(decide(back, late), Send)
 
     def test_a_stream_that_moves_is_never_refused(self) -> None:
         """Its client has a part of the answer already."""
-        begun = attrs.evolve(_ASK, has_begun=True, elapsed_seconds=3)
+        begun = attrs.evolve(_ASK, is_resumed=True, elapsed_seconds=3)
         chosen = decide(begun, [ReplicaState('full', 40)])
-        self.assertTrue(isinstance(chosen, Send) and not chosen.is_late)
+        self.assertTrue(isinstance(chosen, Send) and not chosen.is_deferred)
 
     def test_a_decision_is_quick(self) -> None:
         """Under 50 us at 50 replicas and 200 us at 760 alone on a machine."""
@@ -104,7 +106,7 @@
         returns = ClientRetryDetector()
         self.assertEqual(returns.elapsed_seconds('r', 6, 10), 0)
         self.assertEqual(returns.elapsed_seconds('r', 5.5, 10), 0)
-        returns.note_refused('r', 10)
+        returns.record_refusal('r', 10)
         self.assertEqual(returns.elapsed_seconds('r', 5.5, 10.5), 0.5)
         self.assertEqual(returns.elapsed_seconds('r', 6, 10.5), 0)
         self.assertEqual(returns.elapsed_seconds('r', 5.5, 20), 0)
@@ -123,8 +125,8 @@
         """After a while without answers it counts like any other."""
         errors = ForecastErrors()
         for _answer in range(20):
-            errors.note('slow', 'm', 0.6, 10)
-            errors.note('good', 'm', 0.1, 10)
+            errors.record('slow', 'm', 0.6, 10)
+            errors.record('good', 'm', 0.1, 10)
         self.assertGreater(errors.expected('slow', 'm', 10), 0.5)
         self.assertLess(errors.expected('good', 'm', 10), 0.15)
         self.assertLess(errors.expected('slow', 'm', 20), 0.4)
--- a/tests/unit/test_event_gaps.py
+++ b/tests/unit/test_event_gaps.py
@@ -11,7 +11,7 @@
 
 def _note(meter: EventGapTracker, model: str, gap: float, times: int) -> None:
     for one in itertools.repeat(gap, times):
-        meter.note(model, one)
+        meter.record(model, one)
 
 
 class GapMeterTest(unittest.TestCase):
@@ -22,8 +22,8 @@
         meter = EventGapTracker()
         _note(meter, 'quick', 0.03, 100)
         _note(meter, 'slow', 0.13, 100)
-        self.assertLess(meter.suspect_seconds('quick'), 0.1)
-        self.assertGreater(meter.suspect_seconds('slow'), 0.13)
+        self.assertLess(meter.stall_seconds('quick'), 0.1)
+        self.assertGreater(meter.stall_seconds('slow'), 0.13)
 
     def test_one_long_gap_changes_little(self) -> None:
         """A single stall does not make a node blind to the next one."""
@@ -31,13 +31,13 @@
         _note(meter, 'm', 0.04, 300)
         _note(meter, 'm', 3, 1)
         _note(meter, 'm', 0.04, 50)
-        self.assertLess(meter.suspect_seconds('m'), 0.1)
+        self.assertLess(meter.stall_seconds('m'), 0.1)
 
     @given(st.lists(st.floats(0, 30), max_size=120))
     def test_always_within_bounds(self, gaps: list[float]) -> None:
         """Whatever comes, a stopped replica is looked at within 0.2 s."""
         meter = EventGapTracker()
         for gap in gaps:
-            meter.note('m', gap)
-        self.assertLessEqual(meter.suspect_seconds('m'), 0.2)
-        self.assertGreaterEqual(meter.suspect_seconds('m'), 0.08)
+            meter.record('m', gap)
+        self.assertLessEqual(meter.stall_seconds('m'), 0.2)
+        self.assertGreaterEqual(meter.stall_seconds('m'), 0.08)
--- a/tests/unit/test_forwarding.py
+++ b/tests/unit/test_forwarding.py
@@ -307,7 +307,7 @@
     for target in world.targets:
         # One more in flight, so that the other is chosen.
         is_later = first is not None and target.script is not first
-        world.router.counts()[target.name] += is_later
+        world.router.in_flight_counts()[target.name] += is_later
     return _ask_world(world, path, **how)
 
 
--- a/tests/unit/test_limits.py
+++ b/tests/unit/test_limits.py
@@ -36,7 +36,7 @@
         self.nodes = [LimitShares(self.clock) for _ in range(_NODES)]
         self.demands = list(itertools.repeat(0, _NODES))
         for one, other in itertools.permutations(range(_NODES), 2):
-            self.nodes[one].hear(str(other), {})
+            self.nodes[one].record_demand(str(other), {})
 
     def step(self, demands: list[int]) -> float:
         """Let a second pass; return the shares of all nodes together."""
@@ -46,7 +46,7 @@
         self.clock.now += 1
         together = sum(node.share(_NAME, self.limit) for node in self.nodes)
         for one, other in itertools.permutations(range(_NODES), 2):
-            self.nodes[one].hear(str(other), said[other])
+            self.nodes[one].record_demand(str(other), said[other])
         return together
 
     def _want(self, number: int, wanted: int) -> None:
@@ -54,7 +54,7 @@
         self.demands[number] = wanted
         node = self.nodes[number]
         for _ in range(abs(change)):
-            (node.want if change > 0 else node.done)(_NAME)
+            (node.call_started if change > 0 else node.call_ended)(_NAME)
 
 
 class SharesTest(unittest.TestCase):
@@ -92,17 +92,17 @@
         """Three others have five calls each, of forty that are allowed."""
         shares = LimitShares(float)
         for source in ('b', 'c', 'd'):
-            shares.hear(source, {'org': 5})
-        shares.want('org')
+            shares.record_demand(source, {'org': 5})
+        shares.call_started('org')
         self.assertGreaterEqual(40 * shares.share('org', 40), 6)
 
     def test_a_stopping_node_leaves_its_part_at_once(self) -> None:
         """Its clients come to the others at once, so the share does too."""
         shares = LimitShares(float)
         for source in ('b', 'c'):
-            shares.hear(source, {'org': 3})
+            shares.record_demand(source, {'org': 3})
         before = shares.share('org')
-        shares.forget('b')
+        shares.remove_source('b')
         self.assertAlmostEqual(before, 1 / 9)
         self.assertAlmostEqual(shares.share('org'), 1 / 5)
 
@@ -174,6 +174,6 @@
         budget = RetryBudget()
         retries = 0
         for _ in range(calls):
-            budget.pay_in()
-            retries += budget.take()
+            budget.deposit()
+            retries += budget.withdraw()
         self.assertLessEqual(retries, calls / 10 + 11)
--- a/tests/unit/test_lives.py
+++ b/tests/unit/test_lives.py
@@ -275,7 +275,7 @@
             born=_FIRST,
         )
         world.fleet.take_instances({old.id: old}, False)
-        world.router.failed(old.incarnation, reached=False)
+        world.router.record_failure(old.incarnation, reached=False)
         self.assertEqual(_chosen(world), {world.targets[1].name})
         new = attrs.evolve(old, born=_SECOND)
         world.fleet.take_instances({new.id: new}, False)
--- a/tests/unit/test_mesh.py
+++ b/tests/unit/test_mesh.py
@@ -353,7 +353,7 @@
                 for number in range(3):
                     _tell_end(cluster, f'node-{number:03}', number)
                 cluster.deliver()
-                held = [node.book.standing('a') for node in cluster.alive]
+                held = [node.book.verdict('a') for node in cluster.alive]
                 self.assertEqual(set(held), {Verdict.HELD})
 
     def test_it_does_not_go_round(self) -> None:
@@ -370,7 +370,7 @@
 def _tell_end(cluster: SimulatedCluster, name: str, number: int) -> None:
     news = CaseUpdate('a', (Termination(Incarnation(f'i{number}', 1), True),))
     node = cluster.nodes[name]
-    node.book.take(news, is_own=True)
+    node.book.merge(news, is_own=True)
     node.mesh.publish(RequestCases(name, [news]))
 
 
--- a/tests/unit/test_native_crashing_requests.py
+++ b/tests/unit/test_native_crashing_requests.py
@@ -43,7 +43,9 @@
         nodes = [_gateway(targets) for _number in range(3)]
         guards = [node._guard for node in nodes]
         for guard in guards:
-            guard._tell = _Others([one for one in guards if one is not guard])
+            guard._publish = _Others(
+                [one for one in guards if one is not guard]
+            )
         curio.run(_play, targets, nodes)
         self.assertEqual(sum(one.has_ended for one in targets), _MOST_ENDS)
 
@@ -102,7 +104,7 @@
 
     def __call__(self, cases: Iterable[CaseUpdate]) -> None:
         for guard, news in itertools.product(self.guards, cases):
-            guard.hear(news, 'another node')
+            guard.merge_remote(news, 'another node')
 
 
 def _gateway(targets: Iterable[_Target]) -> Gateway:
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -93,38 +93,38 @@
         """Told by three nodes, and once again by each."""
         book = CaseRegistry()
         for number in (0, 1, 2, 0, 1, 2):
-            book.take(_begun(number), is_own=False)
-        self.assertIs(book.standing('a'), Verdict.HELD)
+            book.merge(_begun(number), is_own=False)
+        self.assertIs(book.verdict('a'), Verdict.HELD)
 
     def test_one_life_counts_once(self) -> None:
         """However many tries had begun there, and whoever tells it."""
         book = CaseRegistry()
         for _number in range(9):
-            book.take(_begun(0), is_own=True)
-        self.assertIs(book.standing('a'), Verdict.SUSPECT)
+            book.merge(_begun(0), is_own=True)
+        self.assertIs(book.verdict('a'), Verdict.SUSPECT)
 
     def test_who_may_have_waited(self) -> None:
         """One end more is asked for, and none makes a suspect."""
         book = CaseRegistry()
         standings = []
         for number in range(4):
-            book.take(_unsure(number), is_own=True)
-            standings.append(book.standing('a'))
+            book.merge(_unsure(number), is_own=True)
+            standings.append(book.verdict('a'))
         self.assertEqual(
             standings,
-            [Verdict.FREE, Verdict.APART, Verdict.APART, Verdict.HELD],
+            [Verdict.FREE, Verdict.ISOLATED, Verdict.ISOLATED, Verdict.HELD],
         )
 
     def test_a_whole_answer_clears(self) -> None:
         """Also against news of the same ends that come late."""
         book = CaseRegistry()
-        book.take(_begun(0, 1), is_own=True)
-        news = book.cleared('a')
+        book.merge(_begun(0, 1), is_own=True)
+        news = book.clearing_update('a')
         assert news is not None
-        book.take(news, is_own=True)
-        book.take(_begun(0, 1), is_own=False)
-        book.take(_begun(2), is_own=False)
-        self.assertIs(book.standing('a'), Verdict.SUSPECT)
+        book.merge(news, is_own=True)
+        book.merge(_begun(0, 1), is_own=False)
+        book.merge(_begun(2), is_own=False)
+        self.assertIs(book.verdict('a'), Verdict.SUSPECT)
 
     @given(st.lists(_NEWS, max_size=12), st.randoms())
     def test_order_does_not_matter(
@@ -138,11 +138,11 @@
         books = (CaseRegistry(), CaseRegistry())
         for book, news in zip(books, (told, shuffled), strict=True):
             for one in news:
-                book.take(one, is_own=False)
+                book.merge(one, is_own=False)
         for identity in ('a', 'b'):
             self.assertIs(
-                books[0].standing(identity),
-                books[1].standing(identity),
+                books[0].verdict(identity),
+                books[1].verdict(identity),
             )
 
     def test_who_is_explained(self) -> None:
@@ -151,44 +151,44 @@
             with self.subTest(news=news):
                 book = CaseRegistry()
                 beside = attrs.evolve(news, identity='beside')
-                book.take(beside, is_own=True)
-                self.assertIs(book.standing('beside'), Verdict.HELD)
-                book.take(_begun(0, 1, 2, 3), is_own=True)
-                self.assertIs(book.standing('beside'), Verdict.FREE)
-                self.assertIs(book.standing('a'), Verdict.HELD)
+                book.merge(beside, is_own=True)
+                self.assertIs(book.verdict('beside'), Verdict.HELD)
+                book.merge(_begun(0, 1, 2, 3), is_own=True)
+                self.assertIs(book.verdict('beside'), Verdict.FREE)
+                self.assertIs(book.verdict('a'), Verdict.HELD)
 
     def test_nobody_explains_the_cause(self) -> None:
         """One that is held for as many ends, or of whom nobody can tell."""
         book = CaseRegistry()
         for beside in (_begun(0, 1, 2), _unsure(0, 1, 2, 3, 4)):
             news = attrs.evolve(beside, identity=f'beside {beside}')
-            book.take(news, is_own=True)
-        book.take(_begun(0, 1, 2), is_own=True)
-        self.assertIs(book.standing('a'), Verdict.HELD)
+            book.merge(news, is_own=True)
+        book.merge(_begun(0, 1, 2), is_own=True)
+        self.assertIs(book.verdict('a'), Verdict.HELD)
 
     def test_bounded(self) -> None:
         """Bodies that vary fill no memory; the newest held ones stay."""
         book = CaseRegistry()
         for number in range(3000):
             news = attrs.evolve(_begun(0, 1, 2), identity=f'held {number}')
-            book.take(news, is_own=True)
+            book.merge(news, is_own=True)
             news = attrs.evolve(_begun(0), identity=f'suspect {number}')
-            book.take(news, is_own=True)
+            book.merge(news, is_own=True)
         counts = book.counts()
         self.assertLessEqual(counts['requests_held'], 256)
         self.assertLessEqual(counts['requests_suspected'], 2048)
-        self.assertIs(book.standing('held 2999'), Verdict.HELD)
+        self.assertIs(book.verdict('held 2999'), Verdict.HELD)
 
     def test_suspects_are_forgotten(self) -> None:
         """After an hour; what is held stays."""
         clock = _Clock()
         book = CaseRegistry(clock)
-        book.take(_begun(0, 1, 2), is_own=True)
-        book.take(attrs.evolve(_begun(0), identity='old'), is_own=True)
+        book.merge(_begun(0, 1, 2), is_own=True)
+        book.merge(attrs.evolve(_begun(0), identity='old'), is_own=True)
         clock.now += 3700
-        book.take(attrs.evolve(_begun(0), identity='new'), is_own=True)
-        self.assertIs(book.standing('old'), Verdict.FREE)
-        self.assertIs(book.standing('a'), Verdict.HELD)
+        book.merge(attrs.evolve(_begun(0), identity='new'), is_own=True)
+        self.assertIs(book.verdict('old'), Verdict.FREE)
+        self.assertIs(book.verdict('a'), Verdict.HELD)
 
 
 class ProbeTest(unittest.TestCase):
@@ -203,7 +203,7 @@
         ):
             with self.subTest(error=error):
                 probe = TerminationProbe(_Port(error))
-                found = curio.run(probe.has_ended, _listed(0))
+                found = curio.run(probe.has_terminated, _listed(0))
                 self.assertIs(found, ended)
 
     def test_asked_once_for_all(self) -> None:
@@ -217,10 +217,10 @@
         clock = _Clock()
         port = _Port(ConnectRefusedError('nothing listens'))
         probe = TerminationProbe(port, clock)
-        curio.run(probe.has_ended, _listed(0))
+        curio.run(probe.has_terminated, _listed(0))
         clock.now += 120
-        probe.forget(())
-        self.assertFalse(probe._found or probe._locks)
+        probe.prune(())
+        self.assertFalse(probe._probed or probe._locks)
 
 
 class GuardTest(unittest.TestCase):
@@ -238,14 +238,14 @@
                 guard = _guard(_Port(error), clock, leaves=leaves)
                 for number in range(5):
                     curio.run(_end_under, guard, number, clock, seconds)
-                self.assertTrue(guard.book.is_empty)
+                self.assertTrue(guard.cases.is_empty)
 
     def test_nothing_is_computed_on_ordinary_days(self) -> None:
         """No digest where there is nothing to compare it with."""
         guard = _guard(_Port(None))
-        with guard.running(_fail, _listed(0)):
-            self.assertFalse(guard.passed_over(_fail))
-        guard.served(_fail)
+        with guard.track_running(_fail, _listed(0)):
+            self.assertFalse(guard.instances_to_avoid(_fail))
+        guard.record_served(_fail)
 
     def test_held(self) -> None:
         """The third end holds it; it is told with what it ended."""
@@ -253,24 +253,26 @@
         for number in range(3):
             curio.run(_end_under, guard, number)
         with self.assertRaises(HeldError) as caught:
-            guard.passed_over(lambda: 'a')
+            guard.instances_to_avoid(lambda: 'a')
         self.assertIn('i0, i1, i2', str(caught.exception))
-        self.assertFalse(guard.passed_over(lambda: 'b'))
+        self.assertFalse(guard.instances_to_avoid(lambda: 'b'))
 
     def test_suspects_keep_apart(self) -> None:
         """Those of one end go to different targets, others where none is."""
         guard = _guard(_Port(None))
         for identity, numbers in (('a', (0, 1)), ('b', (0,)), ('c', (0,))):
             news = attrs.evolve(_begun(*numbers), identity=identity)
-            guard.book.take(news, is_own=True)
+            guard.cases.merge(news, is_own=True)
         with (
-            guard.running(lambda: 'a', _listed(4)),
-            guard.running(lambda: 'b', _listed(5)),
+            guard.track_running(lambda: 'a', _listed(4)),
+            guard.track_running(lambda: 'b', _listed(5)),
         ):
-            self.assertEqual(set(guard.passed_over(lambda: 'c')), {'i4', 'i5'})
+            self.assertEqual(
+                set(guard.instances_to_avoid(lambda: 'c')), {'i4', 'i5'}
+            )
             # Others are kept away only from what was there at two ends.
-            self.assertEqual(set(guard.passed_over(lambda: 'x')), {'i4'})
-        self.assertFalse(guard.passed_over(lambda: 'c'))
+            self.assertEqual(set(guard.instances_to_avoid(lambda: 'x')), {'i4'})
+        self.assertFalse(guard.instances_to_avoid(lambda: 'c'))
 
     def test_told_again(self) -> None:
         """News may be lost: it is repeated for two seconds, then no more."""
@@ -286,7 +288,7 @@
         curio.run(_end_under, guard, 0)
         for _turn in range(9):
             clock.now += 0.5
-            guard.keep(())
+            guard.refresh(())
         self.assertEqual(len(told), 4)
 
 
@@ -301,12 +303,12 @@
 
     def found(self) -> dict[str, bool]:
         """Return who was there at ends that show now, and whether begun."""
-        news = self.pending.take_ended(self.ended.__contains__)
+        news = self.pending.pop_terminated(self.ended.__contains__)
         return {one.identity: one.ends[0].begun for one in news}
 
     def test_known_later(self) -> None:
         """It counts from when it broke, once."""
-        self.pending.note(_LIVES[0], 'a', begun=True)
+        self.pending.record_break(_LIVES[0], 'a', begun=True)
         self.assertEqual(self.found(), {})
         self.ended.add(_LIVES[0])
         self.assertEqual(self.found(), {'a': True})
@@ -314,25 +316,25 @@
 
     def test_who_came_after_the_end(self) -> None:
         """What is sent to a port without a target has ended nothing."""
-        self.pending.note(_LIVES[0], 'a', begun=True)
-        self.pending.note(_LIVES[0], 'waited', begun=False)
+        self.pending.record_break(_LIVES[0], 'a', begun=True)
+        self.pending.record_break(_LIVES[0], 'waited', begun=False)
         self.clock.now += 0.5
-        self.pending.note(_LIVES[0], 'later', begun=False)
+        self.pending.record_break(_LIVES[0], 'later', begun=False)
         self.ended.add(_LIVES[0])
         self.assertEqual(self.found(), {'a': True, 'waited': False})
 
     def test_an_earlier_break(self) -> None:
         """A connection was reset, and the target went on; then it ended."""
-        self.pending.note(_LIVES[0], 'reset', begun=False)
+        self.pending.record_break(_LIVES[0], 'reset', begun=False)
         self.clock.now += 1
-        self.pending.note(_LIVES[0], 'waited', begun=False)
-        self.pending.note_alive(_LIVES[0])
+        self.pending.record_break(_LIVES[0], 'waited', begun=False)
+        self.pending.record_alive(_LIVES[0])
         self.ended.add(_LIVES[0])
         self.assertEqual(self.found(), {'waited': False})
 
     def test_it_does_not_wait_for_ever(self) -> None:
         """An end that comes much later is another's doing."""
-        self.pending.note(_LIVES[0], 'a', begun=True)
+        self.pending.record_break(_LIVES[0], 'a', begun=True)
         self.clock.now += 10
         self.assertEqual(self.found(), {})
         self.ended.add(_LIVES[0])
@@ -345,11 +347,11 @@
     def test_another_node_reads_it(self) -> None:
         """One that has started since, or that nobody reaches."""
         table, book = FakePlatform(), CaseRegistry()
-        book.take(_begun(0, 1, 2), is_own=True)
+        book.merge(_begun(0, 1, 2), is_own=True)
         curio.run(HeldRows('n0', table, book).write)
         other = CaseRegistry()
-        HeldRows('n1', FakePlatform(), other).take(table.rows, True)
-        self.assertIs(other.standing('a'), Verdict.HELD)
+        HeldRows('n1', FakePlatform(), other).apply(table.rows, True)
+        self.assertIs(other.verdict('a'), Verdict.HELD)
 
     def test_written_once(self) -> None:
         """Also where an answer was lost, or the store was away."""
@@ -358,10 +360,10 @@
                 table = FakePlatform(faults=iter(faults))
                 book = CaseRegistry()
                 rows = HeldRows('n0', table, book)
-                book.take(_begun(0, 1, 2), is_own=True)
+                book.merge(_begun(0, 1, 2), is_own=True)
                 for _turn in range(5):
                     curio.run(rows.write)
-                    rows.take(table.rows, False)
+                    rows.apply(table.rows, False)
                 self.assertEqual(len(table.rows), 1)
                 self.assertLessEqual(table.version, 2)
 
@@ -370,7 +372,7 @@
         clock = _Clock()
         table, book = FakePlatform(), CaseRegistry(clock)
         rows = HeldRows('n1', table, book, clock)
-        book.take(_begun(0, 1, 2), is_own=False)
+        book.merge(_begun(0, 1, 2), is_own=False)
         curio.run(rows.write)
         self.assertFalse(table.rows)
         clock.now += 2.5
@@ -383,36 +385,36 @@
             with self.subTest(is_whole=is_whole):
                 table, book = FakePlatform(), CaseRegistry()
                 rows = HeldRows('n0', table, book)
-                book.take(_begun(0, 1, 2), is_own=True)
+                book.merge(_begun(0, 1, 2), is_own=True)
                 curio.run(rows.write)
-                rows.take(table.rows, False)
+                rows.apply(table.rows, False)
                 gone = {} if is_whole else dict.fromkeys(table.rows)
-                rows.take(gone, is_whole)
+                rows.apply(gone, is_whole)
                 table.rows.clear()
-                book.take(_begun(0, 1, 2), is_own=False)
+                book.merge(_begun(0, 1, 2), is_own=False)
                 curio.run(rows.write)
                 self.assertFalse(table.rows)
-                self.assertIs(book.standing('a'), Verdict.FREE)
+                self.assertIs(book.verdict('a'), Verdict.FREE)
 
     def test_a_read_from_before_the_write(self) -> None:
         """It does not show that the row was dropped."""
         table, book = FakePlatform(), CaseRegistry()
         rows = HeldRows('n0', table, book)
-        book.take(_begun(0, 1, 2), is_own=True)
+        book.merge(_begun(0, 1, 2), is_own=True)
         before = dict(table.rows)
         curio.run(rows.write)
-        rows.take(before, True)
-        self.assertIs(book.standing('a'), Verdict.HELD)
+        rows.apply(before, True)
+        self.assertIs(book.verdict('a'), Verdict.HELD)
 
     def test_cleared_drops_the_row(self) -> None:
         """A copy that was under way is answered whole."""
         table, book = FakePlatform(), CaseRegistry()
         rows = HeldRows('n0', table, book)
-        book.take(_begun(0, 1, 2), is_own=True)
+        book.merge(_begun(0, 1, 2), is_own=True)
         curio.run(rows.write)
-        news = book.cleared('a')
+        news = book.clearing_update('a')
         assert news is not None
-        book.take(news, is_own=True)
+        book.merge(news, is_own=True)
         curio.run(rows.write)
         self.assertFalse(table.rows)
 
@@ -421,10 +423,10 @@
         """They hold nobody, and change nothing that is known."""
         key = held_key('a')
         book = CaseRegistry()
-        book.take(_begun(0, 1, 2), is_own=True)
+        book.merge(_begun(0, 1, 2), is_own=True)
         rows = HeldRows('n0', FakePlatform(), book)
-        rows.take({key: Row(key, 1, text)}, False)
-        self.assertIs(book.standing('a'), Verdict.HELD)
+        rows.apply({key: Row(key, 1, text)}, False)
+        self.assertIs(book.verdict('a'), Verdict.HELD)
         self.assertFalse(held_from_rows({key: Row(key, 1, text)}))
 
 
@@ -464,9 +466,9 @@
 ) -> None:
     """Break an attempt off after its answer has been coming for so long."""
     with contextlib.suppress(TargetDisconnectedError):
-        async with guard.watching(lambda: 'a', _listed(number)) as watch:
-            watch.answering()
-            watch.progressing()
+        async with guard.watch(lambda: 'a', _listed(number)) as watch:
+            watch.record_begun()
+            watch.record_progress()
             if clock is not None:
                 clock.now += progress_seconds
             raise TargetDisconnectedError('it broke off')
@@ -482,7 +484,7 @@
 
 async def _ask_together(probe: TerminationProbe, count: int) -> None:
     asking = [
-        await curio.spawn(probe.has_ended, _listed(0))
+        await curio.spawn(probe.has_terminated, _listed(0))
         for _number in range(count)
     ]
     for task in asking:
--- a/tests/unit/test_restored_rows.py
+++ b/tests/unit/test_restored_rows.py
@@ -28,8 +28,8 @@
         self._hold(is_own=True)
         self.table.restore(self.empty)
         self.rows.restore(dict(self.table.rows))
-        self.rows.take(dict(self.table.rows), True)
-        self.assertIs(self.book.standing('a'), Verdict.HELD)
+        self.rows.apply(dict(self.table.rows), True)
+        self.assertIs(self.book.verdict('a'), Verdict.HELD)
         curio.run(self.rows.write)
         self.assertTrue(self.table.rows)
 
@@ -49,19 +49,19 @@
         """It stays released, and its row goes again."""
         self._hold(is_own=True)
         earlier = self.table.copied()
-        self.rows.take(dict.fromkeys(self.table.rows), False)
+        self.rows.apply(dict.fromkeys(self.table.rows), False)
         self.table.restore(earlier)
         self.rows.restore(dict(self.table.rows))
-        self.assertIs(self.book.standing('a'), Verdict.FREE)
+        self.assertIs(self.book.verdict('a'), Verdict.FREE)
         curio.run(self.rows.write)
         self.assertFalse(self.table.rows)
 
     def _hold(self, *, is_own: bool) -> None:
         writer = CaseRegistry(self.clock)
-        writer.take(_begun(0, 1, 2), is_own=True)
+        writer.merge(_begun(0, 1, 2), is_own=True)
         curio.run(HeldRows('n1', self.table, writer, self.clock).write)
-        self.book.take(_begun(0, 1, 2), is_own=is_own)
-        self.rows.take(dict(self.table.rows), False)
+        self.book.merge(_begun(0, 1, 2), is_own=is_own)
+        self.rows.apply(dict(self.table.rows), False)
 
 
 class RestoredNodeRowTest(unittest.TestCase):
--- a/tests/unit/test_routing.py
+++ b/tests/unit/test_routing.py
@@ -109,27 +109,27 @@
         """Then it is out for a second, and again after one more."""
         for _ in range(3):
             self.assertEqual(self._good(), ['r0', 'r1'])
-            self.ejection.failed('r0')
+            self.ejection.record_failure('r0')
         self.assertEqual(self._good(), ['r1'])
         self.clock.now += 1.1
         self.assertEqual(self._good(), ['r0', 'r1'])
-        self.ejection.failed('r0')
+        self.ejection.record_failure('r0')
         self.clock.now += 1.1
         self.assertEqual(self._good(), ['r1'])
 
     def test_success_forgets(self) -> None:
         """Failures count only in a row."""
-        self.ejection.failed('r0')
-        self.ejection.failed('r0')
-        self.ejection.succeeded('r0')
-        self.ejection.failed('r0')
+        self.ejection.record_failure('r0')
+        self.ejection.record_failure('r0')
+        self.ejection.record_success('r0')
+        self.ejection.record_failure('r0')
         self.assertEqual(self._good(), ['r0', 'r1'])
 
     def test_never_all(self) -> None:
         """If all fail, all are tried."""
         for name in ('r0', 'r1'):
             for _ in range(3):
-                self.ejection.failed(name)
+                self.ejection.record_failure(name)
         self.assertEqual(self._good(), ['r0', 'r1'])
 
     def _good(self) -> list[str]:
--- a/tests/unit/test_stalls.py
+++ b/tests/unit/test_stalls.py
@@ -33,38 +33,41 @@
 
     def test_all_streams_silent(self) -> None:
         """Two streams that are due and get nothing show it."""
-        with self.pulse.following('head') as one:
-            with self.pulse.following('head') as other:
-                one.beat()
-                other.beat()
+        with self.pulse.track_stream('head') as one:
+            with self.pulse.track_stream('head') as other:
+                one.record_event()
+                other.record_event()
                 self.now += 0.14
-                self.assertFalse(self.pulse.is_still('head', 'm'))
+                self.assertFalse(self.pulse.is_stalled('head', 'm'))
                 self.now += 0.02
-                self.assertTrue(self.pulse.is_still('head', 'm'))
-                one.beat()
-                self.assertFalse(self.pulse.is_still('head', 'm'))
+                self.assertTrue(self.pulse.is_stalled('head', 'm'))
+                one.record_event()
+                self.assertFalse(self.pulse.is_stalled('head', 'm'))
 
     def test_one_stream_is_too_little(self) -> None:
         """It may wait for the prompts of others."""
-        with self.pulse.following('head') as one:
-            one.beat()
+        with self.pulse.track_stream('head') as one:
+            one.record_event()
             self.now += 5
-            self.assertFalse(self.pulse.is_still('head', 'm'))
+            self.assertFalse(self.pulse.is_stalled('head', 'm'))
 
     def test_streams_without_an_event_do_not_count(self) -> None:
         """They wait for a slot or for their prompt."""
-        with self.pulse.following('head'), self.pulse.following('head') as one:
-            one.beat()
+        with (
+            self.pulse.track_stream('head'),
+            self.pulse.track_stream('head') as one,
+        ):
+            one.record_event()
             self.now += 5
-            self.assertFalse(self.pulse.is_still('head', 'm'))
+            self.assertFalse(self.pulse.is_stalled('head', 'm'))
 
     def test_ended_streams_are_forgotten(self) -> None:
         """A replica without streams is not held to stand still."""
         for _stream in range(3):
-            with self.pulse.following('head') as one:
-                one.beat()
+            with self.pulse.track_stream('head') as one:
+                one.record_event()
         self.now += 5
-        self.assertFalse(self.pulse.is_still('head', 'm'))
+        self.assertFalse(self.pulse.is_stalled('head', 'm'))
 
 
 class StillReplicaTest(unittest.TestCase):
@@ -76,8 +79,8 @@
         still = Incarnation(world.targets[0].name)
         with contextlib.ExitStack() as streams:
             for _stream in range(2):
-                following = world.router.pulse.following(still)
-                streams.enter_context(following).beat()
+                following = world.router.stalls.track_stream(still)
+                streams.enter_context(following).record_event()
             time.sleep(_LONG_SECONDS)
             chosen = {
                 world.router.choose(_WANTED).instance.id
@@ -92,8 +95,8 @@
     def test_one_failed_connection_is_enough(self) -> None:
         """Each request that tried such a target lost its objective."""
         ejection = OutlierEjection()
-        ejection.failed('cut', reached=False)
-        ejection.failed('failing')
+        ejection.record_failure('cut', reached=False)
+        ejection.record_failure('failing')
         left = ejection.without_ejected([_Named('cut'), _Named('failing')])
         self.assertEqual([one.id for one in left], ['failing'])
 
--- a/tests/unit/test_target_throttle.py
+++ b/tests/unit/test_target_throttle.py
@@ -28,7 +28,7 @@
         """Hear a target ask for three seconds at second ten."""
         self.now = float(10)
         self.gate = TargetThrottle(clock=self.clock)
-        self.gate.note_answer(_LIFE, _REFUSAL, 9)
+        self.gate.record_response(_LIFE, _REFUSAL, 9)
 
     def clock(self) -> float:
         """Return what the test has turned the clock to."""
@@ -36,37 +36,37 @@
 
     def test_it_ends(self) -> None:
         """Until then nothing goes there, and it is known when it does."""
-        self.assertFalse(self.gate.is_open_to(_LIFE))
+        self.assertFalse(self.gate.accepts(_LIFE))
         self.now = 12
-        self.assertEqual(self.gate.room_seconds(_LIFE), 1)
+        self.assertEqual(self.gate.seconds_until_accepted(_LIFE), 1)
         self.now = 13
-        self.assertTrue(self.gate.is_open_to(_LIFE))
-        self.gate.renew({_LIFE})
-        self.assertTrue(self.gate.is_open)
+        self.assertTrue(self.gate.accepts(_LIFE))
+        self.gate.refresh({_LIFE})
+        self.assertTrue(self.gate.is_unrestricted)
 
     def test_a_success_does_not_end_it(self) -> None:
         """Its request was sent before the target asked."""
-        self.gate.note_answer(_LIFE, _SUCCESS, 9.5)
-        self.assertFalse(self.gate.is_open_to(_LIFE))
+        self.gate.record_response(_LIFE, _SUCCESS, 9.5)
+        self.assertFalse(self.gate.accepts(_LIFE))
 
     def test_a_later_one_makes_it_longer_only(self) -> None:
         """Answers pass each other."""
         self.now = 12
         brief = attrs.evolve(_REFUSAL, rest_seconds=0.1)
-        self.gate.note_answer(_LIFE, brief, 11)
-        self.assertEqual(self.gate.room_seconds(_LIFE), 1)
-        self.gate.note_answer(_LIFE, _REFUSAL, 11)
-        self.assertEqual(self.gate.room_seconds(_LIFE), 3)
+        self.gate.record_response(_LIFE, brief, 11)
+        self.assertEqual(self.gate.seconds_until_accepted(_LIFE), 1)
+        self.gate.record_response(_LIFE, _REFUSAL, 11)
+        self.assertEqual(self.gate.seconds_until_accepted(_LIFE), 3)
 
     def test_another_life_rests_not(self) -> None:
         """What comes back under the same id has asked for nothing."""
-        self.assertTrue(self.gate.is_open_to(Incarnation('i1', 8)))
+        self.assertTrue(self.gate.accepts(Incarnation('i1', 8)))
 
     def test_the_share_of_a_limit_is_told(self) -> None:
         """What this node may send could not be seen in any line."""
         limited = AnswerFacts('r1', True, False, limit=2)
         with self.assertLogs('cranecart.decisions', 'INFO') as told:
-            self.gate.note_answer(_LIFE, limited, 9)
+            self.gate.record_response(_LIFE, limited, 9)
         fields = map(operator.attrgetter('fields'), told.records)
         shares = [one for one in fields if one['event'] == 'target_share']
         self.assertEqual(len(shares), 1)
@@ -76,14 +76,14 @@
     def test_a_rest_and_a_limit(self) -> None:
         """Both hold, and a limit goes on behind a rest."""
         limited = AnswerFacts('r1', True, False, limit=2)
-        self.gate.note_answer(_LIFE, limited, 9)
+        self.gate.record_response(_LIFE, limited, 9)
         self.now = 11
-        self.assertFalse(self.gate.is_open_to(_LIFE))
+        self.assertFalse(self.gate.accepts(_LIFE))
         self.now = 14
-        self.assertTrue(self.gate.is_open_to(_LIFE))
-        self.gate.take(_LIFE)
-        self.gate.take(_LIFE)
-        self.assertFalse(self.gate.is_open_to(_LIFE))
+        self.assertTrue(self.gate.accepts(_LIFE))
+        self.gate.record_sent(_LIFE)
+        self.gate.record_sent(_LIFE)
+        self.assertFalse(self.gate.accepts(_LIFE))
 
 
 class RankTest(unittest.TestCase):
@@ -94,7 +94,7 @@
         self.now = float(10)
         self.gate = TargetThrottle(clock=self.clock)
         limited = AnswerFacts('r1', True, False, limit=2)
-        self.gate.note_answer(_LIFE, limited, 9)
+        self.gate.record_response(_LIFE, limited, 9)
         self.taken: Counter[int] = Counter()
 
     def clock(self) -> float:
@@ -116,11 +116,11 @@
         for _turn in range(200):
             self.now += 0.1
             for rank in ranks:
-                if self.gate.is_open_to(_LIFE, rank):
-                    self.gate.take(_LIFE)
+                if self.gate.accepts(_LIFE, rank):
+                    self.gate.record_sent(_LIFE)
                     self.taken[rank] += 1
                 else:
-                    self.gate.note_turned_away((_LIFE,), rank)
+                    self.gate.record_rejection((_LIFE,), rank)
 
 
 class ChangedLimitTest(unittest.TestCase):
@@ -132,7 +132,7 @@
         gate = TargetThrottle(lambda _domain, _name, most: _note(asked, most))
         for limit in (50, 2):
             facts = AnswerFacts('r1', True, False, limit=limit)
-            gate.note_answer(_LIFE, facts, time.monotonic() + 60)
+            gate.record_response(_LIFE, facts, time.monotonic() + 60)
         self.assertEqual(asked, [12, 1])
 
 
@@ -156,15 +156,15 @@
         route = next(one for one in CONFIG.routes if one.name == 'stream')
         wanted = RoutingRequest(CONFIG, route, 'drafts', MODEL, 100, 2)
         ask = (CONFIG, 'drafts', MODEL, ['i0'])
-        self.assertTrue(world.router.has_untried(*ask))
-        world.router.gate.note_answer(Incarnation('i1'), _REFUSAL, 0)
-        self.assertFalse(world.router.has_untried(*ask))
+        self.assertTrue(world.router.has_untried_target(*ask))
+        world.router.throttle.record_response(Incarnation('i1'), _REFUSAL, 0)
+        self.assertFalse(world.router.has_untried_target(*ask))
         chosen = {world.router.choose(wanted).instance.id for _ in range(20)}
         self.assertEqual(chosen, {'i0'})
 
     async def _ask(self, world: GatewayWorld) -> None:
         sender = world.gateway._sender
-        sender.connections = SlowConnections(gate=world.router.gate)
+        sender.connections = SlowConnections(gate=world.router.throttle)
         for _number in range(6):
             answer = await world.ask('/stream/x')
             self.assertEqual(answer.status, 200)
@@ -184,7 +184,7 @@
         is_new: bool = False,
     ) -> HttpConnection:
         """Hear of the rest, then return a connection."""
-        self.gate.note_answer(Incarnation('i0'), _REFUSAL, 0)
+        self.gate.record_response(Incarnation('i0'), _REFUSAL, 0)
         return await super().take(instance, is_sure=is_sure, is_new=is_new)
 
 
--- a/tools/bench/_plain.py
+++ b/tools/bench/_plain.py
@@ -115,10 +115,12 @@
             if fault.hits(chosen, self.now, chance)
         ]
         if not hit:
-            ejection.succeeded(chosen)
+            ejection.record_success(chosen)
             return True
         broke = not hit[0].is_error
-        ejection.failed(chosen, reached=not (broke and self._way.at_once))
+        ejection.record_failure(
+            chosen, reached=not (broke and self._way.at_once)
+        )
         if broke and self._way.told:
             self._heard.append((self.now + _TELL_SECONDS, chosen))
         return False
@@ -128,7 +130,7 @@
         self._heard = [one for one in self._heard if one[0] > self.now]
         for name in due:
             for ejection in self._ejections:
-                ejection.pass_over(name)
+                ejection.eject_reported(name)
 
 
 def _draw(source: random.Random) -> Sequence[Fault]:
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -124,7 +124,7 @@
     Mutation(
         'a-node-stops-at-once',
         'node/_node.py',
-        'while self._admission.inside and',
+        'while self._admission.in_progress and',
         'while False and',
         'tests.functional.test_leaving.LeavingTest'
         '.test_rolling_restart_of_all_nodes',
@@ -268,7 +268,7 @@
     Mutation(
         'broken-targets-are-told-to-nobody',
         'routing/_router.py',
-        'self._tell_broken(incarnation)',
+        'self._report_broken(incarnation)',
         'return',
         'tests.unit.test_broken_plain_instances.BrokenPlainTest'
         '.test_it_is_passed_over_at_once',
@@ -283,7 +283,7 @@
     Mutation(
         'every-node-sends-to-limited-targets',
         'throttling/_throttle.py',
-        'most = self._rule.nodes_for(limit)',
+        'most = self._rule.max_nodes(limit)',
         'most = len(instance.id) * 100 if instance else 1000',
         _LIMIT_SHARES,
     ),
@@ -297,21 +297,21 @@
     Mutation(
         'late-answers-end-limits',
         'throttling/_limits.py',
-        'sent_at < known.named_at and not',
+        'sent_at < known.confirmed_at and not',
         'sent_at < 0 and not',
         'tests.unit.test_limit_registry',
     ),
     Mutation(
         'rests-are-not-kept',
         'throttling/_throttle.py',
-        'self._rests.seconds_left(incarnation)\n            or ',
+        'self._backoffs.remaining_seconds(incarnation)\n            or ',
         '',
         'tests.unit.test_target_throttle',
     ),
     Mutation(
         'words-are-not-looked-at-before-sending',
         'forwarding/_sender.py',
-        'if not self.router.gate.may_reach(target.instance.incarnation):',
+        'if not self.router.throttle.may_send(target.instance.incarnation):',
         'if not target:',
         'tests.unit.test_target_throttle',
     ),
