--- a/src/cranecart/forwarding/__init__.py
+++ b/src/cranecart/forwarding/__init__.py
@@ -1,18 +1,18 @@
 """Pass clients' requests on to targets by the routes in force."""
 
 from cranecart.forwarding._call import RoutedCall
-from cranecart.forwarding._connections import TargetConnections
-from cranecart.forwarding._events import EventCutter
+from cranecart.forwarding._connections import TargetConnectionPool
 from cranecart.forwarding._gateway import RoutedGateway
-from cranecart.forwarding._sender import Evidence, Sender
-from cranecart.forwarding._starting import StartGate
+from cranecart.forwarding._sender import Sender, SuspicionReporter
+from cranecart.forwarding._sse import EventSplitter
+from cranecart.forwarding._startup import StartupGate
 
 __all__ = (
-    'EventCutter',
-    'Evidence',
+    'EventSplitter',
+    'SuspicionReporter',
     'RoutedCall',
     'RoutedGateway',
     'Sender',
-    'StartGate',
-    'TargetConnections',
+    'StartupGate',
+    'TargetConnectionPool',
 )
--- a/src/cranecart/forwarding/_admit.py
+++ b/src/cranecart/forwarding/_admit.py
@@ -8,20 +8,20 @@
     NotFoundError,
     UnauthorizedError,
 )
-from cranecart.forwarding._call import RoutedCall, end_of
+from cranecart.forwarding._call import RoutedCall, expiry_of
 from cranecart.http import Request
 from cranecart.logs import RequestTrace
 from cranecart.models import KeyHolder, Route, RouteConfig
 from cranecart.ports import CallFacts
 
-_STARTING_SECONDS = 0.5
+_STARTUP_RETRY_AFTER_SECONDS = 0.5
 
 
 def admit(
     request: Request,
     facts: CallFacts,
     config: RouteConfig | None,
-    source: random.Random,
+    random_source: random.Random,
     trace: RequestTrace,
     now: float,
 ) -> RoutedCall:
@@ -32,7 +32,7 @@
     if config is None:
         raise NotConfiguredError(
             'this node has no configuration yet',
-            retry_after=_STARTING_SECONDS,
+            retry_after=_STARTUP_RETRY_AFTER_SECONDS,
         )
     route = config.route(facts.host, _path(request.target))
     if route is None:
@@ -46,11 +46,11 @@
         facts,
         config,
         route,
-        _draw_service(route, source),
+        _pick_service(route, random_source),
         '' if holder is None else holder.name,
         rank,
         now,
-        end_of(route, facts, now),
+        expiry_of(route, facts, now),
         trace,
     )
 
@@ -76,10 +76,10 @@
     return holder
 
 
-def _draw_service(route: Route, source: random.Random) -> str:
+def _pick_service(route: Route, random_source: random.Random) -> str:
     if len(route.shares) == 1:
         return route.shares[0].service
     weights = [share.weight for share in route.shares]
     if not any(weights):
         weights = [1 for _share in route.shares]
-    return source.choices(route.shares, weights)[0].service
+    return random_source.choices(route.shares, weights)[0].service
--- a/src/cranecart/forwarding/_attempts.py
+++ b/src/cranecart/forwarding/_attempts.py
@@ -19,22 +19,22 @@
     TargetWithdrawnError,
     TimeoutPassedError,
 )
-from cranecart.forwarding._call import RoutedCall, wanted
+from cranecart.forwarding._call import RoutedCall, routing_criteria
 from cranecart.quarantine import AttemptProgress, RequestGuard
 from cranecart.retries import SharedRetryBudget
 from cranecart.routing import RoutingRequest, Target, TargetRouter
 
 # When to come back with more time left, in seconds.
-_NO_TIME_SECONDS = 0.2
+_NO_TIME_RETRY_AFTER_SECONDS = 0.2
 # What has less time left than this part of its objective would be cut before
 # any target could answer it; objectives begin at 0.1 s on the users' sheets.
-_LEAST_PART = 0.1
-_LEAST_SECONDS = 0.02
+_MIN_OBJECTIVE_FRACTION = 0.1
+_MIN_SECONDS_LEFT = 0.02
 # Targets that could not be reached at all count in no limit of the route,
 # but are not tried for ever.
-_MOST_NOT_REACHED = 3
-_NOT_SENT = (TargetNotReachedError, TargetWithdrawnError)
-_NOWHERE = (HeldError, NoReplicaError, NotTakenError, OverloadedError)
+_MAX_UNREACHABLE_TARGETS = 3
+_NOT_SENT_ERRORS = (TargetNotReachedError, TargetWithdrawnError)
+_NO_TARGET_ERRORS = (HeldError, NoReplicaError, NotTakenError, OverloadedError)
 
 
 @attrs.define
@@ -47,16 +47,16 @@
     _guard: RequestGuard
     tried: list[str] = attrs.field(factory=list, init=False)
     has_begun: bool = attrs.field(default=False, init=False)
-    _sent: int = attrs.field(default=0, init=False)
-    _not_reached: int = attrs.field(default=0, init=False)
-    _last: TargetError | None = attrs.field(default=None, init=False)
+    _sent_count: int = attrs.field(default=0, init=False)
+    _unreachable_count: int = attrs.field(default=0, init=False)
+    _last_error: TargetError | None = attrs.field(default=None, init=False)
     _watch: AttemptProgress | None = attrs.field(default=None, init=False)
 
     async def run(self, attempt: Callable[[Target], Awaitable[None]]) -> None:
         """Attempt until one succeeds; raise ``RequestError`` for the last."""
         self._budget.record_request(self.call.service)
         while not await self._succeeds(attempt, self._choose()):
-            if not self._may_go_on():
+            if not self._may_retry():
                 raise self._final_error()
 
     def may_try_another(self) -> bool:
@@ -65,7 +65,7 @@
         The present one is counted only once its attempt has ended.
         """
         call = self.call
-        if not call.may_repeat or self._sent + 1 >= call.route.attempts:
+        if not call.may_repeat or self._sent_count + 1 >= call.route.attempts:
             return False
         return self._router.has_untried_target(
             call.config,
@@ -74,7 +74,7 @@
             self.tried,
         )
 
-    def begun(self, target: Target) -> None:
+    def record_progress(self, target: Target) -> None:
         """Take over that an event came, maybe the first after a move."""
         if self._watch is not None:
             self._watch.record_progress()
@@ -82,7 +82,7 @@
             self._router.record_first_event(target, self.call.facts.model)
         self.has_begun = True
 
-    def answering(self) -> None:
+    def record_answer_started(self) -> None:
         """Take over that the present target has begun to answer."""
         if self._watch is not None:
             self._watch.record_begun()
@@ -99,13 +99,13 @@
                 with self._router.track_in_flight(target):
                     await attempt(target)
         except TargetError as error:
-            self._note(target, error)
+            self._record_failure(target, error)
             return False
         self._router.record_success(target.instance.incarnation)
         return True
 
-    def _wanted(self) -> RoutingRequest:
-        return wanted(
+    def _routing_criteria(self) -> RoutingRequest:
+        return routing_criteria(
             self.call,
             self.tried,
             self._guard.instances_to_avoid(self._identity),
@@ -115,12 +115,12 @@
     def _choose(self) -> Target:
         call = self.call
         try:
-            self._check_time()
-            target = self._router.choose(self._wanted())
-        except _NOWHERE as error:
+            self._check_time_left()
+            target = self._router.choose(self._routing_criteria())
+        except _NO_TARGET_ERRORS as error:
             if isinstance(error, HeldError):
                 call.trace.add('held', identity=call.identity)
-            if self._last is None or not self._is_worse_than(error):
+            if self._last_error is None or not self._outweighs(error):
                 raise
             raise self._final_error() from error
         call.trace.add(
@@ -131,34 +131,34 @@
             why=target.reason,
             forecast=round(target.forecast_seconds, 3),
             learned=round(target.error_seconds, 3),
-            returned=round(call.returned_seconds, 3),
+            returned=round(call.retrying_for_seconds, 3),
             passed_over=target.throttled,
             tried=list(self.tried),
         )
         self.tried.append(target.instance.id)
         return target
 
-    def _check_time(self) -> None:
-        least = min(
-            _LEAST_PART * self.call.route.objective_seconds,
-            _LEAST_SECONDS,
+    def _check_time_left(self) -> None:
+        min_seconds = min(
+            _MIN_OBJECTIVE_FRACTION * self.call.route.objective_seconds,
+            _MIN_SECONDS_LEFT,
         )
-        if not self.has_begun and self.call.seconds_left <= least:
+        if not self.has_begun and self.call.seconds_left <= min_seconds:
             raise NotTakenError(
                 'no time is left for any target',
-                retry_after=_NO_TIME_SECONDS,
+                retry_after=_NO_TIME_RETRY_AFTER_SECONDS,
             )
 
-    def _note(self, target: Target, error: TargetError) -> None:
-        if isinstance(error, _NOT_SENT):
-            self._not_reached += 1
+    def _record_failure(self, target: Target, error: TargetError) -> None:
+        if isinstance(error, _NOT_SENT_ERRORS):
+            self._unreachable_count += 1
         else:
-            self._sent += 1
-        is_broken = isinstance(error, TargetDisconnectedError)
-        self._count_failure(target, error)
+            self._sent_count += 1
+        is_disconnected = isinstance(error, TargetDisconnectedError)
+        self._report_failure(target, error)
         # Once it may have run, a later refusal does not make it 'not run'.
-        if not self._has_run:
-            self._last = error
+        if not self._may_have_run:
+            self._last_error = error
         self.call.trace.is_notable = True
         self.call.trace.add(
             'attempt_failed',
@@ -167,10 +167,10 @@
             why=str(error),
             left=round(self.call.seconds_left, 3),
         )
-        if is_broken:
-            self._tell_disconnected(target)
+        if is_disconnected:
+            self._log_disconnect(target)
 
-    def _count_failure(self, target: Target, error: TargetError) -> None:
+    def _report_failure(self, target: Target, error: TargetError) -> None:
         incarnation = target.instance.incarnation
         if isinstance(error, TargetWithdrawnError):
             # That it said so in time is no failure.
@@ -184,7 +184,7 @@
         is_reached = not isinstance(error, TargetNotReachedError)
         self._router.record_failure(incarnation, reached=is_reached)
 
-    def _tell_disconnected(self, target: Target) -> None:
+    def _log_disconnect(self, target: Target) -> None:
         """Log what shows whether the request has ended its target."""
         watch = self._watch
         self.call.trace.add(
@@ -200,38 +200,44 @@
     def _identity(self) -> str:
         return self.call.identity
 
-    def _is_worse_than(self, error: RequestError) -> bool:
+    def _outweighs(self, error: RequestError) -> bool:
         """Tell whether what came of it before weighs more than an error.
 
         That it is held is told unless the request may have run.
         """
-        return self._has_run or not isinstance(error, HeldError)
+        return self._may_have_run or not isinstance(error, HeldError)
 
     @property
-    def _has_run(self) -> bool:
+    def _may_have_run(self) -> bool:
         """Tell whether a target may have run the request."""
-        last = self._last
-        return last is not None and last.execution is not Execution.NOT_RUN
+        last_error = self._last_error
+        return (
+            last_error is not None
+            and last_error.execution is not Execution.NOT_RUN
+        )
 
-    def _may_go_on(self) -> bool:
+    def _may_retry(self) -> bool:
         call = self.call
-        if call.seconds_left <= 0 or self._not_reached > _MOST_NOT_REACHED:
+        if (
+            call.seconds_left <= 0
+            or self._unreachable_count > _MAX_UNREACHABLE_TARGETS
+        ):
             return False
-        if self._sent >= call.route.attempts:
+        if self._sent_count >= call.route.attempts:
             return False
-        if not call.may_repeat and self._has_run:
+        if not call.may_repeat and self._may_have_run:
             return False
         # What has reached no target costs none of them anything yet.
-        return not self._sent or self._budget.withdraw(call.service)
+        return not self._sent_count or self._budget.withdraw(call.service)
 
     def _final_error(self) -> RequestError:
-        last = self._last
-        if last is not None and last.execution is Execution.NOT_RUN:
-            again = wanted(self.call, (), has_begun=self.has_begun)
+        last_error = self._last_error
+        if last_error is not None and last_error.execution is Execution.NOT_RUN:
+            criteria = routing_criteria(self.call, (), has_begun=self.has_begun)
             return NotTakenError(
-                str(last),
-                retry_after=self._router.retry_after_seconds(again),
+                str(last_error),
+                retry_after=self._router.retry_after_seconds(criteria),
             )
-        if isinstance(last, TargetTimeoutError):
-            return TimeoutPassedError(str(last))
-        return OutcomeUnknownError(str(last))
+        if isinstance(last_error, TargetTimeoutError):
+            return TimeoutPassedError(str(last_error))
+        return OutcomeUnknownError(str(last_error))
--- a/src/cranecart/forwarding/_whole.py
+++ b/src/cranecart/forwarding/_buffered.py
@@ -5,15 +5,15 @@
 from cranecart.clocks import since_boot
 from cranecart.exceptions import TargetBrokenError
 from cranecart.forwarding._attempts import RoutedAttempts
-from cranecart.forwarding._sender import Patience, Sender, TargetAnswer
+from cranecart.forwarding._sender import Sender, SilenceLimits, TargetAnswer
 from cranecart.http import Response
 from cranecart.routing import Target
 
-_SERVER_ERROR = 500
+_FIRST_SERVER_ERROR_STATUS = 500
 
 
 @attrs.define
-class WholeExchange:
+class BufferedExchange:
     """One request whose answer is passed on only once it is whole."""
 
     _sender: Sender
@@ -24,23 +24,23 @@
         """Fetch an answer; raise ``TargetError`` where another may do."""
         call = self._attempts.call
         started = since_boot()
-        patience = self._patience()
-        async with self._sender.answer(call, target, patience) as answer:
-            body = await self._sender.wait(
+        limits = self._silence_limits()
+        async with self._sender.start_attempt(call, target, limits) as answer:
+            body = await self._sender.read_with_limits(
                 call,
                 target,
-                patience,
+                limits,
                 answer.connection.read_body,
             )
-            self.response = self._response(answer, body)
-            took = since_boot() - started
-            self._sender.router.gaps.record(call.service, took)
-        if self._is_worth_another(answer):
+            self.response = self._build_response(answer, body)
+            elapsed = since_boot() - started
+            self._sender.router.gaps.record(call.service, elapsed)
+        if self._should_try_another(answer):
             raise TargetBrokenError(
                 f'{target.instance.id} failed with {answer.head.status}',
             )
 
-    def _patience(self) -> Patience:
+    def _silence_limits(self) -> SilenceLimits:
         """Leave half of the objective for another target.
 
         Some targets take requests and never answer while they look healthy;
@@ -49,17 +49,17 @@
         that is ever suspected is usual.
         """
         if not self._attempts.may_try_another():
-            return Patience(float('inf'), float('inf'))
+            return SilenceLimits(float('inf'), float('inf'))
         call = self._attempts.call
-        usual = self._sender.router.gaps.stall_seconds(call.service)
-        half = call.route.objective_seconds / 2
-        return Patience(float('inf'), max(half, usual))
+        usual_seconds = self._sender.router.gaps.stall_seconds(call.service)
+        half_objective = call.route.objective_seconds / 2
+        return SilenceLimits(float('inf'), max(half_objective, usual_seconds))
 
-    def _is_worth_another(self, answer: TargetAnswer) -> bool:
-        failed = answer.head.status >= _SERVER_ERROR
+    def _should_try_another(self, answer: TargetAnswer) -> bool:
+        failed = answer.head.status >= _FIRST_SERVER_ERROR_STATUS
         return failed and self._attempts.may_try_another()
 
-    def _response(self, answer: TargetAnswer, body: bytes) -> Response:
+    def _build_response(self, answer: TargetAnswer, body: bytes) -> Response:
         return Response(
             answer.head.status,
             body=body,
--- a/src/cranecart/forwarding/_call.py
+++ b/src/cranecart/forwarding/_call.py
@@ -35,7 +35,7 @@
     started_at: float
     ends_at: float
     trace: RequestTrace
-    returned_seconds: float = 0
+    retrying_for_seconds: float = 0
 
     @property
     def request_id(self) -> str:
@@ -65,7 +65,7 @@
         return self.route.is_idempotent
 
 
-def wanted(
+def routing_criteria(
     call: RoutedCall,
     tried: Collection[str],
     passed_over: Collection[str] = (),
@@ -73,7 +73,7 @@
     has_begun: bool,
 ) -> RoutingRequest:
     """Return what the router needs to know of a call now."""
-    here = since_boot() - call.started_at
+    elapsed = since_boot() - call.started_at
     return RoutingRequest(
         call.config,
         call.route,
@@ -81,8 +81,8 @@
         call.facts.model,
         call.facts.prompt_tokens,
         call.seconds_left,
-        call.returned_seconds + here,
-        bool(call.returned_seconds),
+        call.retrying_for_seconds + elapsed,
+        bool(call.retrying_for_seconds),
         has_begun,
         tried,
         passed_over,
@@ -90,8 +90,8 @@
     )
 
 
-def end_of(route: Route, facts: CallFacts, now: float) -> float:
+def expiry_of(route: Route, facts: CallFacts, now: float) -> float:
     """Return when a request is given up, as a time of ``since_boot``."""
     deadline = facts.deadline_seconds
-    waits = _NO_DEADLINE if deadline is None else deadline
-    return now + min(waits, route.timeout_seconds)
+    client_seconds = _NO_DEADLINE if deadline is None else deadline
+    return now + min(client_seconds, route.timeout_seconds)
--- a/src/cranecart/forwarding/_gateway.py
+++ b/src/cranecart/forwarding/_gateway.py
@@ -18,11 +18,11 @@
 )
 from cranecart.forwarding._admit import admit
 from cranecart.forwarding._attempts import RoutedAttempts
+from cranecart.forwarding._buffered import BufferedExchange
 from cranecart.forwarding._call import RoutedCall
 from cranecart.forwarding._sender import Sender
-from cranecart.forwarding._starting import StartGate
-from cranecart.forwarding._stream import StreamExchange
-from cranecart.forwarding._whole import WholeExchange
+from cranecart.forwarding._startup import StartupGate
+from cranecart.forwarding._stream import StreamingExchange
 from cranecart.http import Request, Responder
 from cranecart.logs import RequestTrace
 from cranecart.models import RouteConfig
@@ -47,41 +47,41 @@
     _guard: RequestGuard
     _random: random.Random
     _observe: Observer
-    _success_share: Callable[[], float]
-    _admitted: Callable[[RoutedCall], None]
+    _success_log_fraction: Callable[[], float]
+    _on_admitted: Callable[[RoutedCall], None]
     # Told of each stream that ended well, and how many events it had.
-    _streamed: Callable[[RoutedCall, int], None]
-    _starting: StartGate = attrs.field(factory=StartGate)
+    _on_streamed: Callable[[RoutedCall, int], None]
+    _startup_gate: StartupGate = attrs.field(factory=StartupGate)
     _returns: ClientRetryDetector = attrs.field(
         factory=ClientRetryDetector, init=False
     )
-    inside: int = attrs.field(default=0, init=False)
-    taken: int = attrs.field(default=0, init=False)
+    in_flight: int = attrs.field(default=0, init=False)
+    received_count: int = attrs.field(default=0, init=False)
 
     async def handle(self, request: Request, responder: Responder) -> None:
         """Answer one request; its work ends at once if its client leaves."""
-        self.inside += 1
-        self.taken += 1
-        serving = await curio.current_task()
+        self.in_flight += 1
+        self.received_count += 1
+        handling = await curio.current_task()
         watch = await curio.spawn(
-            self._cancel_when_left,
+            self._cancel_on_disconnect,
             responder,
-            serving,
+            handling,
             daemon=True,
         )
         try:
             await self._answer(request, responder)
         finally:
-            self.inside -= 1
+            self.in_flight -= 1
             await watch.cancel()
 
-    async def _cancel_when_left(
+    async def _cancel_on_disconnect(
         self,
         responder: Responder,
-        serving: curio.Task,
+        handling: curio.Task,
     ) -> None:
         await responder.wait_for_disconnect()
-        await serving.cancel(blocking=False)
+        await handling.cancel(blocking=False)
 
     async def _answer(self, request: Request, responder: Responder) -> None:
         started = since_boot()
@@ -90,8 +90,8 @@
         try:
             facts = self._sender.form.read_request(request)
             trace.request_id = facts.request_id
-            await self._starting.wait(facts.deadline_seconds)
-            call = self._with_return(
+            await self._startup_gate.wait(facts.deadline_seconds)
+            call = self._with_retry_time(
                 admit(
                     request,
                     facts,
@@ -101,39 +101,39 @@
                     started,
                 ),
             )
-            self._admitted(call)
-            _tell_admitted(call)
+            self._on_admitted(call)
+            _log_admitted(call)
             await self._forward(call, responder)
         except RequestError as error:
-            told = self._starting.explain(error)
-            outcome = told.code
-            await self._refuse(trace, told, responder, started)
+            client_error = self._startup_gate.error_for_client(error)
+            outcome = client_error.code
+            await self._refuse(trace, client_error, responder, started)
         except (curio.CancelledError, ConnectionBrokenError):
             outcome = 'client_left'
-            trace.add('client_left', after=_since(started))
+            trace.add('client_left', after=_elapsed_since(started))
             raise
         except Exception as error:
             _LOG.exception('a request met a fault of this node')
-            fault = InternalFaultError(repr(error))
-            outcome = fault.code
-            await self._refuse(trace, fault, responder, started)
+            client_error = InternalFaultError(repr(error))
+            outcome = client_error.code
+            await self._refuse(trace, client_error, responder, started)
         finally:
             self._observe(outcome, responder.seconds_to_first_byte(started))
-            self._write(trace, outcome)
+            self._write_trace(trace, outcome)
 
-    def _with_return(self, call: RoutedCall) -> RoutedCall:
+    def _with_retry_time(self, call: RoutedCall) -> RoutedCall:
         """Note since when a client that was refused has been asking."""
         returned = self._returns.elapsed_seconds(
             call.route.name,
             call.facts.deadline_seconds,
             call.started_at,
         )
-        return attrs.evolve(call, returned_seconds=returned)
+        return attrs.evolve(call, retrying_for_seconds=returned)
 
-    def _write(self, trace: RequestTrace, outcome: str) -> None:
+    def _write_trace(self, trace: RequestTrace, outcome: str) -> None:
         """Log a request, but only a share of the ordinary ones."""
-        share = zlib.crc32(trace.request_id.encode()) / _CRC_RANGE
-        is_drawn = share < self._success_share()
+        hash_fraction = zlib.crc32(trace.request_id.encode()) / _CRC_RANGE
+        is_drawn = hash_fraction < self._success_log_fraction()
         if is_drawn or trace.is_notable or outcome != 'answered':
             trace.write()
 
@@ -166,22 +166,22 @@
         responder: Responder,
     ) -> None:
         if call.route.streaming:
-            stream = StreamExchange(self._sender, attempts, responder)
+            stream = StreamingExchange(self._sender, attempts, responder)
             await attempts.run(stream.attempt)
             response = stream.response
             if response is None:
-                self._streamed(call, stream.cutter.events)
-                _tell_stream(call, attempts, stream)
+                self._on_streamed(call, stream.splitter.event_count)
+                _log_stream(call, attempts, stream)
         else:
-            whole = WholeExchange(self._sender, attempts)
-            await _run_whole(attempts, whole)
-            response = whole.response
+            buffered = BufferedExchange(self._sender, attempts)
+            await _run_buffered(attempts, buffered)
+            response = buffered.response
         if response is not None:
             await responder.send(response)
             call.trace.add(
                 'answered',
                 status=response.status,
-                after=_since(call.started_at),
+                after=_elapsed_since(call.started_at),
                 tried=attempts.tried,
             )
 
@@ -198,7 +198,7 @@
             status=error.status,
             execution=error.execution.value,
             why=str(error),
-            after=_since(started),
+            after=_elapsed_since(started),
             begun=responder.has_started,
             return_after=error.retry_after,
         )
@@ -215,19 +215,19 @@
         )
 
 
-async def _run_whole(
+async def _run_buffered(
     attempts: RoutedAttempts,
-    whole: WholeExchange,
+    buffered: BufferedExchange,
 ) -> None:
     """Run the attempts; a target's own failure stands if none does better."""
     try:
-        await attempts.run(whole.attempt)
+        await attempts.run(buffered.attempt)
     except RequestError:
-        if whole.response is None:
+        if buffered.response is None:
             raise
 
 
-def _tell_admitted(call: RoutedCall) -> None:
+def _log_admitted(call: RoutedCall) -> None:
     call.trace.add(
         'admitted',
         route=call.route.name,
@@ -241,22 +241,22 @@
     )
 
 
-def _tell_stream(
+def _log_stream(
     call: RoutedCall,
     attempts: RoutedAttempts,
-    stream: StreamExchange,
+    stream: StreamingExchange,
 ) -> None:
     timing = stream.timing
     call.trace.add(
         'streamed',
         model=call.facts.model,
         prompt=call.facts.prompt_tokens,
-        events=stream.cutter.events,
-        first_ms=round(timing.first * _MILLISECONDS),
-        gap_ms=round(timing.longest_gap * _MILLISECONDS),
+        events=stream.splitter.event_count,
+        first_ms=round(timing.first_event_seconds * _MILLISECONDS),
+        gap_ms=round(timing.longest_gap_seconds * _MILLISECONDS),
         tried=attempts.tried,
     )
 
 
-def _since(started: float) -> float:
+def _elapsed_since(started: float) -> float:
     return round(since_boot() - started, 3)
--- a/src/cranecart/forwarding/_own_head.py
+++ b/src/cranecart/forwarding/_own_response.py
@@ -8,7 +8,7 @@
 
 
 @attrs.define
-class OwnHead:
+class OwnResponseReader:
     """The head of a request's own answer, behind whatever comes before it.
 
     Targets may answer twice, and the second answer may name nothing: all that
@@ -18,28 +18,30 @@
     _form: CallForm
     _call: RoutedCall
     _connection: HttpConnection
-    _is_foreign: bool = attrs.field(default=False, init=False)
+    _has_foreign_response: bool = attrs.field(default=False, init=False)
 
     async def read(self) -> ResponseHead:
         """Return the head; an interrupted call may be repeated."""
         while True:
-            if self._is_foreign:
+            if self._has_foreign_response:
                 await self._connection.discard_response()
-                self._is_foreign = False
+                self._has_foreign_response = False
             head = await self._connection.read_head()
-            named = self._form.read_answer(head).request_id
-            if named == self._call.request_id:
+            answered_id = self._form.read_answer(head).request_id
+            if answered_id == self._call.request_id:
                 return head
-            self._is_foreign = True
-            self._tell(head, named)
+            self._has_foreign_response = True
+            self._log_foreign_response(head, answered_id)
 
-    def _tell(self, head: ResponseHead, named: str) -> None:
+    def _log_foreign_response(
+        self, head: ResponseHead, answered_id: str
+    ) -> None:
         self._call.trace.is_notable = True
         self._call.trace.add(
             'foreign_answer',
             target=str(self._connection.address),
             status=head.status,
-            named=named,
+            named=answered_id,
             carried=self._connection.earlier_requests,
             left_over=self._connection.surplus_bytes,
         )
--- a/src/cranecart/forwarding/_sender.py
+++ b/src/cranecart/forwarding/_sender.py
@@ -19,8 +19,8 @@
     TargetWithdrawnError,
 )
 from cranecart.forwarding._call import RoutedCall
-from cranecart.forwarding._connections import TargetConnections
-from cranecart.forwarding._own_head import OwnHead
+from cranecart.forwarding._connections import TargetConnectionPool
+from cranecart.forwarding._own_response import OwnResponseReader
 from cranecart.http import HttpConnection, ResponseHead
 from cranecart.ports import AnswerFacts, CallForm, Dispatch
 from cranecart.routing import Target, TargetRouter
@@ -28,18 +28,18 @@
 Answer = TypeVar('Answer')
 
 # Told that a replica may stand still, and what shows it.
-Evidence = Callable[[tuple[str, int], str], Awaitable[None]]
+SuspicionReporter = Callable[[tuple[str, int], str], Awaitable[None]]
 
 # Statuses that promise that a request has not run; without the target's own
 # word such an answer is taken for an unknown outcome.
-_PROMISES = frozenset((408, 421, 429, 503))
+_NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 # How often a wait looks whether its replica was found to have stopped, and
 # how often once it has been silent for so long that this may be any moment.
-_LOOK_SECONDS = 0.025
+_POLL_SECONDS = 0.025
 # By how many ranks those step back that cannot be in time any more: behind all
 # of the ranks that operators give on the users' sheets.
-_LATE_RANKS = 5
-_CLOSE_LOOK_SECONDS = 0.006
+_LATE_RANK_PENALTY = 5
+_SUSPECT_POLL_SECONDS = 0.006
 
 
 @attrs.frozen
@@ -52,7 +52,7 @@
 
 
 @attrs.frozen
-class Patience:
+class SilenceLimits:
     """How long a target may be silent, in seconds.
 
     After ``suspect`` the silence is told as evidence; after ``most`` the
@@ -61,10 +61,10 @@
     then nothing is gained by leaving it.
     """
 
-    suspect: float
-    most: float
-    still: float = float('inf')
-    is_last: bool = False
+    suspect_after: float
+    give_up_after: float
+    stalled_after: float = float('inf')
+    is_final_attempt: bool = False
 
 
 @attrs.define
@@ -73,16 +73,16 @@
 
     form: CallForm
     router: TargetRouter
-    connections: TargetConnections
-    _is_stopped: Callable[[tuple[str, int]], bool]
-    _evidence: Evidence
+    connections: TargetConnectionPool
+    _has_stopped: Callable[[tuple[str, int]], bool]
+    _report_suspicion: SuspicionReporter
 
     @contextlib.asynccontextmanager
-    async def answer(
+    async def start_attempt(
         self,
         call: RoutedCall,
         target: Target,
-        patience: Patience,
+        limits: SilenceLimits,
         resume_after: str = '',
     ) -> AsyncGenerator[TargetAnswer, None]:
         """Send an attempt; give the head of its own answer.
@@ -94,20 +94,22 @@
         try:
             sent_at = since_boot()
             await self._send(call, target, connection, resume_after)
-            reading = OwnHead(self.form, call, connection)
-            head = await self.wait(call, target, patience, reading.read)
-            yield await self._checked(target, connection, head, sent_at)
+            reading = OwnResponseReader(self.form, call, connection)
+            head = await self.read_with_limits(
+                call, target, limits, reading.read
+            )
+            yield await self._check_response(target, connection, head, sent_at)
         except (TargetBrokenError, TargetTimeoutError):
-            await self.connections.drop(target.instance)
+            await self.connections.close_idle(target.instance)
             raise
         finally:
-            await self.connections.give_back(target.instance, connection)
+            await self.connections.release(target.instance, connection)
 
-    async def wait(
+    async def read_with_limits(
         self,
         call: RoutedCall,
         target: Target,
-        patience: Patience,
+        limits: SilenceLimits,
         read: Callable[[], Awaitable[Answer]],
     ) -> Answer:
         """Read from a target, which may fall silent or break off.
@@ -117,9 +119,9 @@
         """
         started = since_boot()
         silence = float(0)
-        is_told = False
+        is_reported = False
         while True:
-            pause = _pause_before_look(patience, silence, is_told)
+            pause = _poll_interval(limits, silence, is_reported)
             try:
                 return await curio.timeout_after(
                     max(0, min(pause, call.seconds_left)),
@@ -127,38 +129,42 @@
                 )
             except TaskTimeout:
                 silence = since_boot() - started
-                self._check_silence(call, target, patience, silence)
+                self._check_silence(call, target, limits, silence)
             except HttpError as error:
-                self.connections.doubt(target.instance)
+                self.connections.mark_unreliable(target.instance)
                 raise TargetDisconnectedError(str(error)) from error
-            if silence >= patience.suspect and not is_told:
-                is_told = True
-                await self.tell(target, f'silent for {silence:.3f} s')
+            if silence >= limits.suspect_after and not is_reported:
+                is_reported = True
+                await self.report_suspicion(
+                    target, f'silent for {silence:.3f} s'
+                )
 
-    async def tell(self, target: Target, evidence: str) -> None:
+    async def report_suspicion(self, target: Target, evidence: str) -> None:
         """Tell that a target may stand still."""
         if target.replica_epoch is not None:
-            await self._evidence(target.replica_epoch, evidence)
+            await self._report_suspicion(target.replica_epoch, evidence)
 
     def _check_silence(
         self,
         call: RoutedCall,
         target: Target,
-        patience: Patience,
+        limits: SilenceLimits,
         silence: float,
     ) -> None:
         if call.seconds_left <= 0:
             raise TargetTimeoutError('the answer was not whole in time')
-        forming = target.replica_epoch
-        is_stopped = forming is not None and self._is_stopped(forming)
-        if is_stopped and not patience.is_last:
+        replica_key = target.replica_epoch
+        is_stopped = replica_key is not None and self._has_stopped(replica_key)
+        if is_stopped and not limits.is_final_attempt:
             raise TargetBrokenError(f'{target.instance.id} has stopped')
         model = call.facts.model
-        if silence > patience.still and self.router.is_stalled(target, model):
+        if silence > limits.stalled_after and self.router.is_stalled(
+            target, model
+        ):
             raise TargetBrokenError(
                 f'{target.instance.id} gives its streams nothing',
             )
-        if silence > patience.most:
+        if silence > limits.give_up_after:
             raise TargetBrokenError(
                 f'{target.instance.id} was silent for {silence:.3f} s',
             )
@@ -169,15 +175,15 @@
         target: Target,
     ) -> HttpConnection:
         try:
-            return await self.connections.take(
+            return await self.connections.acquire(
                 target.instance,
-                is_sure=not call.may_repeat,
+                require_recent=not call.may_repeat,
                 # No answer can name a request that has no name: what comes on
                 # a connection of its own is its own.
-                is_new=not call.request_id,
+                require_new=not call.request_id,
             )
         except TargetNotReachedError as error:
-            await self.tell(target, str(error))
+            await self.report_suspicion(target, str(error))
             raise
 
     async def _send(
@@ -192,12 +198,12 @@
             raise TargetWithdrawnError(
                 f'{target.instance.id} takes nothing any more',
             )
-        late_ranks = _LATE_RANKS if target.is_deferred else 0
+        rank_penalty = _LATE_RANK_PENALTY if target.is_deferred else 0
         dispatch = Dispatch(
             target.instance.id,
             call.seconds_left,
             call.organisation,
-            call.rank + late_ranks,
+            call.rank + rank_penalty,
             resume_after,
         )
         try:
@@ -205,10 +211,10 @@
                 self.form.request_for(call.request, dispatch)
             )
         except HttpError as error:
-            self.connections.doubt(target.instance)
+            self.connections.mark_unreliable(target.instance)
             raise TargetDisconnectedError(str(error)) from error
 
-    async def _checked(
+    async def _check_response(
         self,
         target: Target,
         connection: HttpConnection,
@@ -216,24 +222,26 @@
         sent_at: float,
     ) -> TargetAnswer:
         facts = self.form.read_answer(head)
-        self.connections.note_head(target.instance, head)
+        self.connections.record_keep_alive(target.instance, head)
         self.router.throttle.record_response(
             target.instance.incarnation, facts, sent_at
         )
         if facts.at_fault:
-            await self.tell(target, f'cannot work without {facts.at_fault}')
+            await self.report_suspicion(
+                target, f'cannot work without {facts.at_fault}'
+            )
         _check_answer(target, head, facts)
         return TargetAnswer(head, facts, connection)
 
 
-def _pause_before_look(
-    patience: Patience,
+def _poll_interval(
+    limits: SilenceLimits,
     silence: float,
-    is_told: bool,
+    is_reported: bool,
 ) -> float:
-    if is_told:
-        return _CLOSE_LOOK_SECONDS
-    return min(_LOOK_SECONDS, patience.suspect - silence)
+    if is_reported:
+        return _SUSPECT_POLL_SECONDS
+    return min(_POLL_SECONDS, limits.suspect_after - silence)
 
 
 def _check_answer(
@@ -244,7 +252,7 @@
     name = target.instance.id
     if facts.not_run:
         raise TargetRefusedError(f'{name} refused with {head.status}')
-    if head.status in _PROMISES:
+    if head.status in _NOT_RUN_STATUSES:
         raise TargetBrokenError(f'{name} answered {head.status} unexplained')
     if head.is_success and not facts.is_genuine:
         raise TargetBrokenError(f'{name} sent an answer that is not its own')
--- a/src/cranecart/forwarding/_starting.py
+++ b/src/cranecart/forwarding/_startup.py
@@ -20,15 +20,15 @@
 
 # On half a core a node has read what it must know within half a second of its
 # start; one that has not meets a store that is slow or away, for seconds.
-_LONGEST_SECONDS = 1.2
+_MAX_WAIT_SECONDS = 1.2
 # Of the time that its client has left, so that there is enough to be served.
-_CLIENT_PART = 0.5
-_LOOK_SECONDS = 0.01
-_RETURN_SECONDS = 0.5
+_MAX_DEADLINE_FRACTION = 0.5
+_POLL_SECONDS = 0.01
+_RETRY_AFTER_SECONDS = 0.5
 
 
 @attrs.define
-class StartGate:
+class StartupGate:
     """Lets requests through once the node knows where they may go."""
 
     _is_informed: Callable[[], bool] = attrs.field(default=lambda: True)
@@ -37,19 +37,22 @@
 
     async def wait(self, deadline_seconds: float | None) -> None:
         """Return once the node knows enough, or waiting does not pay."""
-        until = self._started_at + _LONGEST_SECONDS
+        wait_until = self._started_at + _MAX_WAIT_SECONDS
         if deadline_seconds is not None:
-            until = min(until, self._clock() + _CLIENT_PART * deadline_seconds)
-        while not self._is_informed() and self._clock() < until:
-            await curio.sleep(_LOOK_SECONDS)
-
-    def explain(self, error: RequestError) -> RequestError:
+            wait_until = min(
+                wait_until,
+                self._clock() + _MAX_DEADLINE_FRACTION * deadline_seconds,
+            )
+        while not self._is_informed() and self._clock() < wait_until:
+            await curio.sleep(_POLL_SECONDS)
+
+    def error_for_client(self, error: RequestError) -> RequestError:
         """Return what to tell: who has not read of replicas denies none."""
         if self._is_informed() or not isinstance(error, NoReplicaError):
             return error
         return NotInformedError(
             'this node has not read yet which replicas serve',
-            retry_after=_RETURN_SECONDS,
+            retry_after=_RETRY_AFTER_SECONDS,
         )
 
     @_started_at.default
--- a/src/cranecart/serving/_node.py
+++ b/src/cranecart/serving/_node.py
@@ -11,8 +11,8 @@
     RoutedCall,
     RoutedGateway,
     Sender,
-    StartGate,
-    TargetConnections,
+    StartupGate,
+    TargetConnectionPool,
 )
 from cranecart.http import (
     Address,
@@ -116,7 +116,7 @@
                 self._tell_stopped,
             ),
         )
-        self._connections = TargetConnections()
+        self._connections = TargetConnectionPool()
         self._budget = SharedRetryBudget(
             retry_rules(settings),
             self._mesh.live_node_count,
@@ -208,7 +208,7 @@
             lambda: self._live.current.log_successes,
             self._note_demand,
             self._note_work,
-            StartGate(self._knows_enough),
+            StartupGate(self._knows_enough),
         )
 
     async def _serve(self, request: Request, responder: Responder) -> None:
@@ -243,7 +243,7 @@
                 decision('figures', **self._counts())
             self._fleet.settle_lives()
             listed = self._fleet.listing.incarnations()
-            await self._connections.close_old(listed)
+            await self._connections.close_expired(listed)
             self._router.forecast_errors.prune(listed)
             self._router.throttle.refresh(listed)
             await self._holding.keep()
@@ -277,7 +277,7 @@
         started = since_boot()
         self._stopping = True
         self._mesh.local.stopping = True
-        decision('node_stopping', in_flight=self._gateway.inside)
+        decision('node_stopping', in_flight=self._gateway.in_flight)
         self._clients.disable_keep_alive()
         await self._placing.hand_over()
         self._mesh.broadcast(self._mesh.message_sender.build_beat())
@@ -294,18 +294,18 @@
             # and what came later could not be finished.
             await self._clients.stop_listening()
             await self._clients.close_idle()
-            if not self._gateway.inside:
+            if not self._gateway.in_flight:
                 return
-        decision('stopped_with_requests', in_flight=self._gateway.inside)
+        decision('stopped_with_requests', in_flight=self._gateway.in_flight)
 
     def _counts(self) -> dict[str, int]:
         return {
             **self._mesh.counts(),
             **self._surroundings.store_calls,
             **self._holding.guard.counts(),
-            'requests': self._gateway.taken,
+            'requests': self._gateway.received_count,
             'target_connections': self._connections.opened,
-            'uneven_connections': self._connections.uneven,
+            'uneven_connections': self._connections.desynchronized,
             'log_bytes': self._lines.written_bytes,
             'log_lines_dropped': self._lines.dropped,
             'liveness_checks': self._placing.checks,
--- a/tests/lib/fake_targets.py
+++ b/tests/lib/fake_targets.py
@@ -17,7 +17,7 @@
     ReplicaRecord,
     note_leaving,
 )
-from cranecart.forwarding import RoutedGateway, Sender, TargetConnections
+from cranecart.forwarding import RoutedGateway, Sender, TargetConnectionPool
 from cranecart.http import (
     Address,
     Headers,
@@ -317,7 +317,7 @@
             ),
             throttle=self._gate(),
         )
-        self.connections = TargetConnections()
+        self.connections = TargetConnectionPool()
         # Told of requests that end targets.
         self.tell: Callable[[Sequence[CaseUpdate]], None] = _tell_nobody
         self.guard = RequestGuard(
--- a/tests/unit/test_foreign_answers.py
+++ b/tests/unit/test_foreign_answers.py
@@ -23,7 +23,7 @@
 from hypothesis import strategies as st
 
 from cranecart.exceptions import TargetBrokenError
-from cranecart.forwarding import EventCutter
+from cranecart.forwarding import EventSplitter
 from cranecart.http import Address
 from cranecart.instances import Instance, InstanceKind
 from cranecart.standins import (
@@ -195,19 +195,19 @@
 
     def test_one_that_starts_over(self) -> None:
         """Events that were passed on already are not passed on again."""
-        cutter = EventCutter()
-        cutter.feed(b'id: 4\ndata: d\n\nid: 5')
-        cutter.restart()
+        splitter = EventSplitter()
+        splitter.feed(b'id: 4\ndata: d\n\nid: 5')
+        splitter.restart()
         with self.assertRaises(TargetBrokenError):
-            cutter.feed(b'id: 1\ndata: a\n\n')
+            splitter.feed(b'id: 1\ndata: a\n\n')
 
     def test_one_that_goes_on(self) -> None:
         """The event behind the last whole one is the next."""
-        cutter = EventCutter()
-        cutter.feed(b'id: 4\ndata: d\n\nid: 5')
-        cutter.restart()
+        splitter = EventSplitter()
+        splitter.feed(b'id: 4\ndata: d\n\nid: 5')
+        splitter.restart()
         event = b'id: 5\ndata: e\n\n'
-        self.assertEqual(cutter.feed(event), event)
+        self.assertEqual(splitter.feed(event), event)
 
 
 async def _call_natively(service: StutteringService) -> None:
--- a/tests/unit/test_forwarding.py
+++ b/tests/unit/test_forwarding.py
@@ -143,7 +143,7 @@
         """It sent its request and closed; the target is not kept at work."""
         world = GatewayWorld(_silent_but_reading)
         curio.run(world.run, self._send_and_close)
-        self.assertEqual(world.gateway.inside, 0)
+        self.assertEqual(world.gateway.in_flight, 0)
 
     async def _send_and_close(self, world: GatewayWorld) -> None:
         connection = await HttpConnection.open(world.server.address)
--- a/tests/unit/test_fuzz.py
+++ b/tests/unit/test_fuzz.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cranecart.forwarding._events import EventCutter
+from cranecart.forwarding._sse import EventSplitter
 from cranecart.http import (
     Address,
     HttpServer,
@@ -102,19 +102,19 @@
         places = sorted(
             {0, len(stream), *(min(one, len(stream)) for one in cuts)}
         )
-        cutter = EventCutter()
+        splitter = EventSplitter()
         passed = b''.join(
-            cutter.feed(stream[start:end])
+            splitter.feed(stream[start:end])
             for start, end in itertools.pairwise(places)
         )
         self.assertEqual(passed, stream)
-        self.assertEqual(cutter.last_id, str(ids[-1]))
-        self.assertEqual(cutter.events, len(ids))
+        self.assertEqual(splitter.last_id, str(ids[-1]))
+        self.assertEqual(splitter.event_count, len(ids))
 
     @given(st.binary(max_size=300), st.integers(0, 300))
     def test_only_whole_events(self, stream: bytes, cut: int) -> None:
         """Nothing is passed on that is not ended by a blank line."""
-        cutter = EventCutter()
-        passed = cutter.feed(stream[:cut]) + cutter.feed(stream[cut:])
+        splitter = EventSplitter()
+        passed = splitter.feed(stream[:cut]) + splitter.feed(stream[cut:])
         self.assertTrue(stream.startswith(passed))
         self.assertTrue(not passed or passed.endswith(b'\n\n'))
--- a/tests/unit/test_lives.py
+++ b/tests/unit/test_lives.py
@@ -16,7 +16,7 @@
 from cranecart.fleet import Fleet, RecordState, ReplicaRecord, ServingHead
 from cranecart.fleet._listing import Listing
 from cranecart.fleet._lives import LifeBook
-from cranecart.forwarding import TargetConnections
+from cranecart.forwarding import TargetConnectionPool
 from cranecart.grouping._failure_detector import FailureDetector
 from cranecart.http import Address
 from cranecart.ports import ListedInstance, MemberPhase, Membership
@@ -283,12 +283,12 @@
 
     def test_connections(self) -> None:
         """Nothing is sent on what was open to the old life."""
-        connections = TargetConnections()
+        connections = TargetConnectionPool()
         old = listed('i0', _ADDRESS)
-        connections.doubt(old)
+        connections.mark_unreliable(old)
         new = attrs.evolve(old, born=_SECOND)
-        self.assertTrue(connections._is_doubted(old))
-        self.assertFalse(connections._is_doubted(new))
+        self.assertTrue(connections._is_unreliable(old))
+        self.assertFalse(connections._is_unreliable(new))
 
 
 def _chosen(world: GatewayWorld) -> set[str]:
--- a/tests/unit/test_starting.py
+++ b/tests/unit/test_starting.py
@@ -15,7 +15,7 @@
     NotInformedError,
     OverloadedError,
 )
-from cranecart.forwarding import StartGate
+from cranecart.forwarding import StartupGate
 
 
 class _Node:
@@ -34,8 +34,8 @@
         return self.now
 
 
-def _gate(node: _Node) -> StartGate:
-    return StartGate(node.is_informed, node.clock)
+def _gate(node: _Node) -> StartupGate:
+    return StartupGate(node.is_informed, node.clock)
 
 
 class StartGateTest(unittest.TestCase):
@@ -74,10 +74,10 @@
         """That it does not know yet is another answer."""
         error = NoReplicaError('none serves')
         ignorant = _gate(_Node(informed_at=float('inf')))
-        told = ignorant.explain(error)
+        told = ignorant.error_for_client(error)
         self.assertIsInstance(told, NotInformedError)
         self.assertIsNotNone(told.retry_after)
         informed = _gate(_Node(informed_at=0))
-        self.assertIs(informed.explain(error), error)
+        self.assertIs(informed.error_for_client(error), error)
         overloaded = OverloadedError('full')
-        self.assertIs(ignorant.explain(overloaded), overloaded)
+        self.assertIs(ignorant.error_for_client(overloaded), overloaded)
--- a/tests/unit/test_suspension.py
+++ b/tests/unit/test_suspension.py
@@ -17,7 +17,7 @@
 from cranecart.clocks import SuspensionWatch
 from cranecart.duties import Lease, LeaseTimes
 from cranecart.exceptions import LeaseLostError
-from cranecart.forwarding import TargetConnections
+from cranecart.forwarding import TargetConnectionPool
 from cranecart.mesh import Beat
 from cranecart.mesh._peer_state import PeerState
 from cranecart.retries import RetryLimits, SharedRetryBudget
@@ -91,7 +91,7 @@
         others.take_beat(Beat('n1', 'a', 'east', 1, 0, {}))
         self.assertTrue(others.is_fresh('n1'))
         clocks = (
-            TargetConnections()._clock,
+            TargetConnectionPool()._clock,
             SharedRetryBudget(RetryLimits(1, 1, 10), lambda: 1)._clock,
             OutlierEjection()._clock,
         )
--- a/tests/unit/test_target_throttle.py
+++ b/tests/unit/test_target_throttle.py
@@ -9,7 +9,7 @@
 import attrs
 import curio
 
-from cranecart.forwarding import TargetConnections
+from cranecart.forwarding import TargetConnectionPool
 from cranecart.http import HttpConnection
 from cranecart.ports import AnswerFacts, Incarnation, ListedInstance
 from cranecart.routing import RoutingRequest
@@ -171,21 +171,23 @@
 
 
 @attrs.define(kw_only=True)
-class SlowConnections(TargetConnections):
+class SlowConnections(TargetConnectionPool):
     """While the first target is connected to, another answer asks for rest."""
 
     gate: TargetThrottle
 
-    async def take(
+    async def acquire(
         self,
         instance: ListedInstance,
         *,
-        is_sure: bool,
-        is_new: bool = False,
+        require_recent: bool,
+        require_new: bool = False,
     ) -> HttpConnection:
         """Hear of the rest, then return a connection."""
         self.gate.record_response(Incarnation('i0'), _REFUSAL, 0)
-        return await super().take(instance, is_sure=is_sure, is_new=is_new)
+        return await super().acquire(
+            instance, require_recent=require_recent, require_new=require_new
+        )
 
 
 async def _serve(exchange: Exchange) -> None:
--- a/tests/unit/test_uneven_connections.py
+++ b/tests/unit/test_uneven_connections.py
@@ -18,7 +18,7 @@
 import curio
 
 from cranecart.exceptions import TargetBrokenError
-from cranecart.forwarding import EventCutter, TargetConnections
+from cranecart.forwarding import EventSplitter, TargetConnectionPool
 from cranecart.http import Address, HttpConnection, HttpConnectionPool, Request
 from cranecart.ports import ListedInstance
 from cranecart.standins import (
@@ -55,19 +55,21 @@
 class _Asking:
     """Asks a target on connections of a pool, one request after another."""
 
-    pool: TargetConnections
+    pool: TargetConnectionPool
     target: StutteringService
     _numbers: 'itertools.count[int]' = attrs.field(factory=itertools.count)
 
-    async def ask(self, *, is_sure: bool, is_read: bool = True) -> None:
+    async def ask(self, *, require_recent: bool, is_read: bool = True) -> None:
         """Ask once; leave before the end unless it is to be read."""
         instance = ListedInstance('i', PLAIN, self.target.address, 'east', 13)
-        connection = await self.pool.take(instance, is_sure=is_sure)
+        connection = await self.pool.acquire(
+            instance, require_recent=require_recent
+        )
         number = next(self._numbers)
         request = client_request('/safe/x', request_id=f'r{number}')
         await connection.send_and_read_head(request)
         await (connection.read_body() if is_read else connection.read_chunk())
-        await self.pool.give_back(instance, connection)
+        await self.pool.release(instance, connection)
 
 
 def _with_target(
@@ -183,11 +185,11 @@
             b'id: 4\ndata: d\n\n',
         ):
             with self.subTest(behind):
-                cutter = EventCutter()
-                cutter.feed(b'id: 4\ndata: d\n\n')
-                cutter.restart()
+                splitter = EventSplitter()
+                splitter.feed(b'id: 4\ndata: d\n\n')
+                splitter.restart()
                 with self.assertRaises(TargetBrokenError):
-                    cutter.feed(behind)
+                    splitter.feed(behind)
 
 
 class UnnamedRequestTest(unittest.TestCase):
@@ -202,9 +204,9 @@
 
 
 async def _leave_early(target: StutteringService) -> None:
-    asking = _Asking(TargetConnections(), target)
-    await asking.ask(is_sure=False, is_read=False)
-    await asking.ask(is_sure=False)
+    asking = _Asking(TargetConnectionPool(), target)
+    await asking.ask(require_recent=False, is_read=False)
+    await asking.ask(require_recent=False)
 
 
 async def _three_calls(world: GatewayWorld) -> None:
@@ -214,26 +216,26 @@
 
 
 async def _doubted(target: StutteringService) -> None:
-    asking = _Asking(TargetConnections(), target)
-    await asking.ask(is_sure=False)
+    asking = _Asking(TargetConnectionPool(), target)
+    await asking.ask(require_recent=False)
     for _number in range(5):
-        await asking.ask(is_sure=True)
+        await asking.ask(require_recent=True)
     assert asking.pool.idle_count('i') <= 2
 
 
 async def _doubted_then_not(target: StutteringService) -> None:
     clock = _Clock()
-    asking = _Asking(TargetConnections(clock), target)
-    await asking.ask(is_sure=False)
+    asking = _Asking(TargetConnectionPool(clock), target)
+    await asking.ask(require_recent=False)
     clock.now += 11
-    await asking.ask(is_sure=True)
-    await asking.ask(is_sure=True)
+    await asking.ask(require_recent=True)
+    await asking.ask(require_recent=True)
 
 
 async def _twice_on_one(target: StutteringService) -> None:
-    asking = _Asking(TargetConnections(), target)
-    await asking.ask(is_sure=True)
-    await asking.ask(is_sure=True)
+    asking = _Asking(TargetConnectionPool(), target)
+    await asking.ask(require_recent=True)
+    await asking.ask(require_recent=True)
 
 
 async def _pooled(target: StutteringService) -> None:
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -71,7 +71,9 @@
     Mechanism(
         'checks at the first silence',
         'forwarding/_sender.py',
-        "await self.tell(target, f'silent for {silence:.3f} s')",
+        '''await self.report_suspicion(
+                    target, f'silent for {silence:.3f} s'
+                )''',
         'continue',
     ),
     Mechanism(
@@ -83,8 +85,8 @@
     Mechanism(
         'short waits for connections',
         'forwarding/_connections.py',
-        '_CONNECT_SECONDS = 0.08',
-        '_CONNECT_SECONDS = 0.25',
+        '_CONNECT_TIMEOUT_SECONDS = 0.08',
+        '_CONNECT_TIMEOUT_SECONDS = 0.25',
     ),
     Mechanism(
         'targets out of reach are passed over',
@@ -130,9 +132,9 @@
     ),
     Mechanism(
         'repeatable calls leave a silent target',
-        'forwarding/_whole.py',
-        'half = call.route.objective_seconds / 2',
-        'half = call.route.timeout_seconds',
+        'forwarding/_buffered.py',
+        'half_objective = call.route.objective_seconds / 2',
+        'half_objective = call.route.timeout_seconds',
     ),
 )
 
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -157,22 +157,22 @@
     Mutation(
         'unknown-outcomes-are-sent-again',
         'forwarding/_attempts.py',
-        'if not call.may_repeat and self._has_run:',
+        'if not call.may_repeat and self._may_have_run:',
         'if call is None:',
         f'{_WHOLE_ANSWERS}.test_unknown_outcome_is_not_repeated',
     ),
     Mutation(
         'foreign-answers-are-taken',
-        'forwarding/_own_head.py',
-        'if named == self._call.request_id:',
+        'forwarding/_own_response.py',
+        'if answered_id == self._call.request_id:',
         'if head:',
         f'{_WHOLE_ANSWERS}.test_a_foreign_answer_is_dropped',
     ),
     Mutation(
         'unnamed-answers-are-taken',
-        'forwarding/_own_head.py',
-        'if named == self._call.request_id:',
-        'if not named or named == self._call.request_id:',
+        'forwarding/_own_response.py',
+        'if answered_id == self._call.request_id:',
+        'if not answered_id or answered_id == self._call.request_id:',
         f'{_FOREIGN_ANSWERS}.test_answers_too_many_are_nobodys',
     ),
     Mutation(
@@ -192,8 +192,10 @@
     Mutation(
         'doubted-targets-get-calls-on-kept-connections',
         'forwarding/_connections.py',
-        'must_open = is_new or (is_sure and self._is_doubted(instance))',
-        'must_open = is_new',
+        """must_open = require_new or (
+            require_recent and self._is_unreliable(instance)
+        )""",
+        'must_open = require_new',
         f'{_FOREIGN_ANSWERS}.test_broken_off_behind_answers',
     ),
     Mutation(
@@ -205,9 +207,10 @@
     ),
     Mutation(
         'half-events-are-passed-on',
-        'forwarding/_events.py',
-        'self._rest = held[end:]\n        whole = held[:end]',
-        "self._rest = b''\n        whole = held",
+        'forwarding/_sse.py',
+        'self._partial = buffered[complete_end:]\n'
+        '        complete = buffered[:complete_end]',
+        "self._partial = b''\n        complete = buffered",
         'tests.unit.test_forwarding.StreamTest.test_moves_between_events',
     ),
     Mutation(
@@ -245,8 +248,8 @@
     ),
     Mutation(
         'requests-do-not-wait-for-a-start',
-        'forwarding/_starting.py',
-        'while not self._is_informed() and self._clock() < until:',
+        'forwarding/_startup.py',
+        'while not self._is_informed() and self._clock() < wait_until:',
         'while False:',
         'tests.unit.test_starting.StartGateTest.test_waits_until_informed',
     ),
