--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -71,9 +71,9 @@
     Mechanism(
         'checks at the first silence',
         'forwarding/_sender.py',
-        '''await self.report_suspicion(
+        """await self.report_suspicion(
                     target, f'silent for {silence:.3f} s'
-                )''',
+                )""",
         'continue',
     ),
     Mechanism(
