--- a/src/cranecart/forwarding/_connections.py
+++ b/src/cranecart/forwarding/_connections.py
@@ -154,7 +154,6 @@
         self._unreliable_until[instance.incarnation] = (
             self._clock() + _UNRELIABLE_SECONDS
         )
-        )
 
     def idle_count(self, instance_id: str) -> int:
         """Return how many connections to an instance are kept."""
@@ -187,4 +186,6 @@
         }
 
     def _is_unreliable(self, instance: ListedInstance) -> bool:
-        return self._clock() < self._unreliable_until.get(instance.incarnation, 0)
+        return self._clock() < self._unreliable_until.get(
+            instance.incarnation, 0
+        )
