--- a/src/cranecart/gossip/__init__.py
+++ b/src/cranecart/gossip/__init__.py
@@ -1,6 +1,6 @@
-"""Other nodes as peers: membership and the state that nodes share."""
+"""Gossip between nodes: SWIM-style membership and replicated entries."""
 
-from cranecart.gossip._config_exchange import ConfigExchange, HeldConfig
+from cranecart.gossip._config_exchange import ConfigExchange, EncodedConfig
 from cranecart.gossip._entries import (
     Entry,
     EntryKey,
@@ -30,7 +30,7 @@
     'EntryKey',
     'EntryStore',
     'PayloadExchanges',
-    'HeldConfig',
+    'EncodedConfig',
     'ListExchange',
     'MemberInfo',
     'MemberStatus',
--- a/src/cranecart/gossip/_config_exchange.py
+++ b/src/cranecart/gossip/_config_exchange.py
@@ -1,4 +1,4 @@
-"""Bring newer configuration from peer to peer, also without the platform."""
+"""Fetch newer configuration from peers, even if the platform is down."""
 
 from collections.abc import Callable
 
@@ -16,12 +16,12 @@
 from cranecart.gossip._sender import GossipSender
 from cranecart.logs import decision
 
-_ASK_SECONDS = 0.3
+_REQUEST_INTERVAL_SECONDS = 0.3
 
 
 @attrs.frozen
-class HeldConfig:
-    """The configuration in force on a node, as it was stored."""
+class EncodedConfig:
+    """The configuration in force on a node, in its stored encoding."""
 
     version: int
     sha256: str
@@ -30,57 +30,57 @@
 
 @attrs.define
 class ConfigExchange:
-    """Asks whoever announces a newer version, and gives to whoever asks."""
+    """Requests newer versions that peers announce and answers requests."""
 
-    _speaker: GossipSender
-    _read: Callable[[], HeldConfig]
-    _take: Callable[[HeldConfig], object]
-    _asked_at: float = attrs.field(default=float('-inf'), init=False)
+    _sender: GossipSender
+    _read_local: Callable[[], EncodedConfig]
+    _accept: Callable[[EncodedConfig], object]
+    _requested_at: float = attrs.field(default=float('-inf'), init=False)
 
-    def look_at(self, entry: Entry) -> None:
-        """Ask for a newer version that a member entry announces."""
+    def check_member_entry(self, entry: Entry) -> None:
+        """Request the configuration if a member entry announces a newer one."""
         info = msgspec.convert(entry.body, MemberInfo)
-        self._ask_if_newer(info)
+        self._request_if_newer(info)
 
-    def look_around(self) -> None:
-        """Ask again if another node is still ahead, as asking may be lost."""
-        others = self._speaker.members.others().values()
+    def check_peers(self) -> None:
+        """Repeat the request while a peer is ahead; requests may be lost."""
+        others = self._sender.members.others().values()
         newest = max(
             others,
             key=lambda info: info.config_version,
             default=None,
         )
         if newest is not None:
-            self._ask_if_newer(newest)
+            self._request_if_newer(newest)
 
-    def give(self, message: Message) -> None:
-        """Answer a node that asked."""
-        held = self._read()
-        if held.version:
-            self._speaker.send(
+    def respond(self, message: Message) -> None:
+        """Send the local configuration to the node that requested it."""
+        config = self._read_local()
+        if config.version:
+            self._sender.send(
                 message.address,
-                MessageKind.CONFIG_GIVE,
-                number=held.version,
-                about=held.sha256,
-                payload=held.encoded,
+                MessageKind.CONFIG_RESPONSE,
+                number=config.version,
+                about=config.sha256,
+                payload=config.encoded,
             )
 
     def receive(self, message: Message) -> None:
-        """Take what a node gave, unless it is damaged or not newer."""
-        held = HeldConfig(message.number, message.about, message.payload)
+        """Accept a received configuration unless it is damaged or not newer."""
+        config = EncodedConfig(message.number, message.about, message.payload)
         try:
-            self._take(held)
+            self._accept(config)
         except DamagedObjectError as error:
             decision(
                 'config_refused',
                 sender=message.sender,
-                version=held.version,
+                version=config.version,
                 why=str(error),
             )
 
-    def _ask_if_newer(self, info: MemberInfo) -> None:
+    def _request_if_newer(self, info: MemberInfo) -> None:
         now = since_boot()
-        is_newer = info.config_version > self._read().version
-        if is_newer and now - self._asked_at > _ASK_SECONDS:
-            self._asked_at = now
-            self._speaker.send(info.address, MessageKind.CONFIG_ASK)
+        is_newer = info.config_version > self._read_local().version
+        if is_newer and now - self._requested_at > _REQUEST_INTERVAL_SECONDS:
+            self._requested_at = now
+            self._sender.send(info.address, MessageKind.CONFIG_REQUEST)
--- a/src/cranecart/gossip/_entries.py
+++ b/src/cranecart/gossip/_entries.py
@@ -1,4 +1,4 @@
-"""Entries that nodes spread among each other, and the messages for it."""
+"""Gossip entries and the messages that carry them between nodes."""
 
 import enum
 from typing import Any
@@ -18,7 +18,7 @@
 
 
 class MemberStatus(enum.IntEnum):
-    """What is held of a node; for one incarnation, the higher one wins."""
+    """Status of a node; within one incarnation the higher value wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class MemberInfo:
-    """What a node says of itself."""
+    """What a node announces about itself."""
 
     address: str
     failure_domain: str
@@ -38,7 +38,7 @@
 
 @attrs.frozen
 class EntryKey:
-    """An entry's place: a topic, a subject, and who speaks about it."""
+    """Key of an entry: its topic, its subject, and the node it comes from."""
 
     topic: Topic
     subject: str
@@ -47,10 +47,10 @@
 
 @attrs.frozen
 class Entry:
-    """One entry; the higher ``version`` of a key wins.
+    """One entry; for each key the highest ``version`` wins.
 
-    A version is (incarnation of the origin, status, sequence). The status is
-    that of a member entry, which others may raise, and 0 for all else.
+    A version is (incarnation of the origin, status, sequence number). The
+    status is 0 except in member entries, where other nodes may raise it.
     """
 
     key: EntryKey
@@ -64,24 +64,28 @@
 
 
 class MessageKind(enum.Enum):
-    """What a message between nodes asks or answers."""
+    """Type of a gossip message.
+
+    An INDIRECT_PING asks the receiver to ping a third node.
+    """
 
     PING = 'ping'
     ACK = 'ack'
-    PING_FOR_ME = 'ping for me'
+    INDIRECT_PING = 'ping for me'
     SYNC = 'sync'
-    CONFIG_ASK = 'config ask'
-    CONFIG_GIVE = 'config give'
-    LIST_ASK = 'list ask'
-    LIST_GIVE = 'list give'
+    CONFIG_REQUEST = 'config ask'
+    CONFIG_RESPONSE = 'config give'
+    LIST_REQUEST = 'list ask'
+    LIST_RESPONSE = 'list give'
 
 
 @attrs.frozen(kw_only=True)
 class Message:
     """One message between nodes.
 
-    ``number`` ties an acknowledgement to its ping; ``about`` names the node
-    that is pinged on somebody's behalf, or the node it is done for.
+    ``number`` matches an acknowledgement with its ping, or is the version of a
+    configuration; ``about`` names the node to ping in an indirect ping, or is
+    the SHA-256 of a configuration. ``digest`` is that of the sender's store.
     """
 
     kind: MessageKind
--- a/src/cranecart/gossip/_list_exchange.py
+++ b/src/cranecart/gossip/_list_exchange.py
@@ -1,4 +1,4 @@
-"""Get the list of instances from a peer while the platform is away."""
+"""Fetch the list of instances from a peer while the platform is down."""
 
 from collections.abc import Callable, Sequence
 
@@ -14,30 +14,30 @@
 
 @attrs.define
 class ListExchange:
-    """Asks a peer while this node has no list; gives to whoever asks."""
-
-    _speaker: GossipSender
-    _read: Callable[[], Instances]
-    _take: Callable[[Instances], object]
-
-    def ask(self, address: str) -> None:
-        """Ask a node for its list, if there is none here."""
-        if not self._read():
-            self._speaker.send(address, MessageKind.LIST_ASK)
-
-    def give(self, message: Message) -> None:
-        """Answer a node that asked."""
-        held = self._read()
-        if held:
-            self._speaker.send(
+    """Requests the list while this node has none; answers requests."""
+
+    _sender: GossipSender
+    _read_local: Callable[[], Instances]
+    _accept: Callable[[Instances], object]
+
+    def request_if_missing(self, address: str) -> None:
+        """Request the list from a node if this node has none."""
+        if not self._read_local():
+            self._sender.send(address, MessageKind.LIST_REQUEST)
+
+    def respond(self, message: Message) -> None:
+        """Send the local list, if any, to the node that requested it."""
+        instances = self._read_local()
+        if instances:
+            self._sender.send(
                 message.address,
-                MessageKind.LIST_GIVE,
-                payload=msgspec.msgpack.encode(held),
+                MessageKind.LIST_RESPONSE,
+                payload=msgspec.msgpack.encode(instances),
             )
 
     def receive(self, message: Message) -> None:
-        """Take a list, as long as there is none here."""
-        if not self._read():
-            self._take(
+        """Accept a received list if this node still has none."""
+        if not self._read_local():
+            self._accept(
                 msgspec.msgpack.decode(message.payload, type=list[Instance]),
             )
--- a/src/cranecart/gossip/_members.py
+++ b/src/cranecart/gossip/_members.py
@@ -1,4 +1,4 @@
-"""Who is a member: alive, suspected, dead, by incarnations."""
+"""SWIM membership: alive, suspect and dead nodes, with incarnations."""
 
 from collections.abc import Callable, Iterator, Mapping
 
@@ -16,8 +16,8 @@
 from cranecart.gossip._store import EntryStore
 from cranecart.logs import decision
 
-SUSPECT_SECONDS = 2.5
-_FORGET_SECONDS = 60.0
+_SUSPICION_TIMEOUT_SECONDS = 2.5
+_DEAD_ENTRY_SECONDS = 60.0
 
 
 def member_key(node_id: str) -> EntryKey:
@@ -27,10 +27,10 @@
 
 @attrs.define
 class Members:
-    """The member entries in a store, with suspicion's timing.
+    """The member entries of a store, with suspicion time-outs.
 
-    A node that hears itself called suspect or dead raises its incarnation,
-    which outranks whatever was said of the earlier one.
+    A node that is reported suspect or dead raises its own incarnation, which
+    overrides all statements about the previous one.
     """
 
     node_id: str
@@ -38,23 +38,26 @@
     _store: EntryStore
     _incarnation: int
     _clock: Callable[[], float] = since_boot
-    _seen: int = attrs.field(default=-1, init=False)
+    _seen_changes: int = attrs.field(default=-1, init=False)
     _others: dict[str, MemberInfo] = attrs.field(factory=dict, init=False)
     _alive: list[str] = attrs.field(factory=list, init=False)
     _sequence: int = attrs.field(default=0, init=False)
     _changed_at: dict[str, float] = attrs.field(factory=dict, init=False)
-    _known_status: dict[str, MemberStatus] = attrs.field(
+    _last_status: dict[str, MemberStatus] = attrs.field(
         factory=dict,
         init=False,
     )
 
     @property
     def incarnation(self) -> int:
-        """Return which life of this node it is."""
+        """Return the current incarnation of this node."""
         return self._incarnation
 
     def announce(self, info: MemberInfo | None = None) -> None:
-        """Publish what this node says of itself, if it changed."""
+        """Publish this node's member entry, if ``info`` differs.
+
+        Without ``info`` the entry is published again with a new version.
+        """
         if info is not None:
             if info == self.info:
                 return
@@ -69,22 +72,22 @@
             ),
         )
 
-    def rise(self, above: int = 0) -> None:
-        """Start a new incarnation, so that what was said before is void."""
+    def start_incarnation(self, above: int = 0) -> None:
+        """Start a new incarnation, which overrides the earlier ones."""
         self._incarnation = max(self._incarnation, above) + 1
         self.announce()
 
-    def note(self, entry: Entry) -> None:
-        """Look at a member entry that the store has just accepted."""
+    def handle_update(self, entry: Entry) -> None:
+        """Process a member entry that the store has just accepted."""
         name = entry.key.subject
         if name == self.node_id:
-            is_slander = entry.status is not MemberStatus.ALIVE
-            if is_slander or entry.version[0] > self._incarnation:
-                self.rise(entry.version[0])
+            must_refute = entry.status is not MemberStatus.ALIVE
+            if must_refute or entry.version[0] > self._incarnation:
+                self.start_incarnation(entry.version[0])
             return
         self._changed_at[name] = self._clock()
-        if self._known_status.get(name) is not entry.status:
-            self._known_status[name] = entry.status
+        if self._last_status.get(name) is not entry.status:
+            self._last_status[name] = entry.status
             decision(
                 'member_changed',
                 member=name,
@@ -93,49 +96,49 @@
             )
 
     def suspect(self, node_id: str) -> None:
-        """Doubt a node that did not answer, nor through others."""
+        """Mark a node suspect after direct and indirect pings failed."""
         self._raise_status(node_id, MemberStatus.SUSPECT)
 
     def expire(self) -> None:
-        """Give up those suspected for long enough; forget the long dead."""
+        """Mark long-suspected nodes dead and remove long-dead ones."""
         now = self._clock()
         for entry in list(self._store.of_topic(Topic.MEMBER)):
             name = entry.key.subject
             self._expire(entry, now - self._changed_at.get(name, now))
 
-    def restart_clocks(self) -> None:
-        """Give all suspects their time anew, after a pause of this node."""
+    def restart_suspicion_timers(self) -> None:
+        """Restart all suspicion time-outs, after a pause of this node."""
         self._changed_at = dict.fromkeys(self._changed_at, self._clock())
 
     def addresses(self) -> set[str]:
-        """Return the addresses of the others."""
+        """Return the addresses of the other members."""
         return {info.address for info in self.others().values()}
 
     def others(self) -> Mapping[str, MemberInfo]:
-        """Return the other nodes of this failure domain, dead ones not."""
+        """Return the other nodes of this failure domain that are not dead."""
         self._refresh()
         return self._others
 
     def alive(self) -> list[str]:
-        """Return the ids of this domain's nodes that nobody doubts."""
+        """Return the ids of this domain's alive nodes, without suspects."""
         self._refresh()
         return self._alive
 
-    def everybody(self) -> Iterator[tuple[str, MemberInfo]]:
-        """Yield all nodes that are not dead, with what they said."""
+    def live_members(self) -> Iterator[tuple[str, MemberInfo]]:
+        """Yield all nodes that are not dead, including this one."""
         yield self.node_id, self.info
         yield from self.others().items()
 
     def status(self, node_id: str) -> MemberStatus | None:
-        """Return what is held of a node, if anything is."""
+        """Return the status of a node, if it is known."""
         entry = self._store.get(member_key(node_id))
         return entry.status if entry else None
 
     def _refresh(self) -> None:
-        """Read the entries anew, if a member entry has changed."""
-        if self._seen == self._store.member_changes:
+        """Rebuild the cached views if a member entry has changed."""
+        if self._seen_changes == self._store.member_changes:
             return
-        self._seen = self._store.member_changes
+        self._seen_changes = self._store.member_changes
         entries = [
             entry
             for entry in self._store.of_topic(Topic.MEMBER)
@@ -146,20 +149,20 @@
             entry.key.subject: msgspec.convert(entry.body, MemberInfo)
             for entry in entries
         }
-        sure = [
+        unsuspected = [
             entry.key.subject
             for entry in entries
             if entry.status is MemberStatus.ALIVE
         ]
-        self._alive = sorted([self.node_id, *sure])
+        self._alive = sorted([self.node_id, *unsuspected])
 
     def _expire(self, entry: Entry, age: float) -> None:
         name = entry.key.subject
         match entry.status:
-            case MemberStatus.SUSPECT if age > SUSPECT_SECONDS:
+            case MemberStatus.SUSPECT if age > _SUSPICION_TIMEOUT_SECONDS:
                 self._raise_status(name, MemberStatus.DEAD)
-            case MemberStatus.DEAD if age > _FORGET_SECONDS:
-                self._store.forget([entry.key])
+            case MemberStatus.DEAD if age > _DEAD_ENTRY_SECONDS:
+                self._store.remove([entry.key])
                 self._changed_at.pop(name, None)
 
     def _raise_status(self, node_id: str, status: MemberStatus) -> None:
@@ -173,4 +176,4 @@
             known.body,
         )
         if self._store.accept(entry):
-            self.note(entry)
+            self.handle_update(entry)
--- a/src/cranecart/gossip/_prober.py
+++ b/src/cranecart/gossip/_prober.py
@@ -1,4 +1,4 @@
-"""Ping the nodes of the own failure domain in turn."""
+"""Failure detection: ping the nodes of the own failure domain in turn."""
 
 import itertools
 import random
@@ -10,93 +10,104 @@
 from cranecart.gossip._entries import Message, MessageKind
 from cranecart.gossip._sender import GossipSender
 
-_HELPERS = 2
-_MAX_HELPED = 16
+_INDIRECT_PROBERS = 2
+_MAX_INDIRECT_PINGS = 16
 
 
 @attrs.define
 class Prober:
-    """Pings one node a turn; asks others to try before it is suspected."""
+    """Pings one node per period, directly and then through other nodes.
 
-    _speaker: GossipSender
+    The nodes are visited in random order, each once per round.
+    """
+
+    _sender: GossipSender
     _random: random.Random
-    _answer_seconds: float
+    _ack_timeout_seconds: float
     _numbers: Iterator[int] = attrs.field(
         factory=lambda: itertools.count(1),
         init=False,
     )
-    _waiting: dict[int, curio.Event] = attrs.field(factory=dict, init=False)
-    _helped: dict[int, tuple[str, int]] = attrs.field(factory=dict, init=False)
-    _round: list[str] = attrs.field(factory=list, init=False)
+    _pending_acks: dict[int, curio.Event] = attrs.field(
+        factory=dict, init=False
+    )
+    _indirect_pings: dict[int, tuple[str, int]] = attrs.field(
+        factory=dict, init=False
+    )
+    _probe_queue: list[str] = attrs.field(factory=list, init=False)
 
     async def probe_next(self) -> None:
-        """Start to ping the next in turn, if there is anybody."""
-        name = self._next_in_turn()
+        """Start probing the next node, if there is any."""
+        name = self._next_node()
         if name is not None:
             await curio.spawn(self._probe, name, daemon=True)
 
-    async def note_ack(self, number: int) -> None:
-        """Take an answer to a ping, an own one or one made for another."""
-        waiting = self._waiting.get(number)
-        if waiting is not None:
-            await waiting.set()
-        helped = self._helped.pop(number, None)
-        if helped is not None:
-            address, original = helped
-            self._speaker.send(address, MessageKind.ACK, number=original)
+    async def handle_ack(self, number: int) -> None:
+        """Process an acknowledgement, and forward that of an indirect ping."""
+        pending_ack = self._pending_acks.get(number)
+        if pending_ack is not None:
+            await pending_ack.set()
+        indirect_ping = self._indirect_pings.pop(number, None)
+        if indirect_ping is not None:
+            address, original_number = indirect_ping
+            self._sender.send(address, MessageKind.ACK, number=original_number)
 
-    def help(self, message: Message) -> None:
-        """Ping a node because another one got no answer from it."""
-        wanted = self._speaker.members.others().get(message.about)
-        if wanted is None:
+    def ping_for_peer(self, message: Message) -> None:
+        """Ping a node on behalf of a peer that got no answer from it."""
+        probed_member = self._sender.members.others().get(message.about)
+        if probed_member is None:
             return
         number = next(self._numbers)
-        self._helped[number] = (message.address, message.number)
-        while len(self._helped) > _MAX_HELPED:
-            self._helped.pop(next(iter(self._helped)))
-        self._speaker.send(wanted.address, MessageKind.PING, number=number)
+        self._indirect_pings[number] = (message.address, message.number)
+        while len(self._indirect_pings) > _MAX_INDIRECT_PINGS:
+            self._indirect_pings.pop(next(iter(self._indirect_pings)))
+        self._sender.send(
+            probed_member.address, MessageKind.PING, number=number
+        )
 
-    def _next_in_turn(self) -> str | None:
-        others = self._speaker.members.others()
-        self._round = [name for name in self._round if name in others]
-        if not self._round:
-            self._round = sorted(others)
-            self._random.shuffle(self._round)
-        return self._round.pop() if self._round else None
+    def _next_node(self) -> str | None:
+        others = self._sender.members.others()
+        self._probe_queue = [
+            name for name in self._probe_queue if name in others
+        ]
+        if not self._probe_queue:
+            self._probe_queue = sorted(others)
+            self._random.shuffle(self._probe_queue)
+        return self._probe_queue.pop() if self._probe_queue else None
 
     async def _probe(self, name: str) -> None:
-        others = self._speaker.members.others()
+        others = self._sender.members.others()
         number = next(self._numbers)
-        answered = curio.Event()
-        self._waiting[number] = answered
+        acked = curio.Event()
+        self._pending_acks[number] = acked
         try:
-            if name in others and not await self._is_answered(name, number):
-                self._speaker.members.suspect(name)
+            if name in others and not await self._is_reachable(name, number):
+                self._sender.members.suspect(name)
         finally:
-            self._waiting.pop(number, None)
+            self._pending_acks.pop(number, None)
 
-    async def _is_answered(self, name: str, number: int) -> bool:
-        others = self._speaker.members.others()
-        self._speaker.send(
+    async def _is_reachable(self, name: str, number: int) -> bool:
+        others = self._sender.members.others()
+        self._sender.send(
             others[name].address,
             MessageKind.PING,
             number=number,
         )
-        if await self._wait(number):
+        if await self._wait_for_ack(number):
             return True
-        helpers = [other for other in sorted(others) if other != name]
-        self._random.shuffle(helpers)
-        for helper in helpers[:_HELPERS]:
-            self._speaker.send(
-                others[helper].address,
-                MessageKind.PING_FOR_ME,
+        probers = [other for other in sorted(others) if other != name]
+        self._random.shuffle(probers)
+        for prober in probers[:_INDIRECT_PROBERS]:
+            self._sender.send(
+                others[prober].address,
+                MessageKind.INDIRECT_PING,
                 number=number,
                 about=name,
             )
-        return await self._wait(number)
+        return await self._wait_for_ack(number)
 
-    async def _wait(self, number: int) -> bool:
-        answered = self._waiting[number]
-        async with curio.ignore_after(self._answer_seconds):
-            await answered.wait()
-        return answered.is_set()
+    async def _wait_for_ack(self, number: int) -> bool:
+        acked = self._pending_acks[number]
+        async with curio.ignore_after(self._ack_timeout_seconds):
+            await acked.wait()
+        return acked.is_set()
--- a/src/cranecart/gossip/_protocol.py
+++ b/src/cranecart/gossip/_protocol.py
@@ -1,8 +1,9 @@
-"""Probe other nodes in turn, and let every message carry news.
+"""SWIM protocol loop: failure detection with entries piggybacked on pings.
 
-Each period a node pings one other of its failure domain; a ping that is not
-answered is tried through two others before the node is suspected. Pings and
-their answers carry entries, so the cost a node does not grow with the domain.
+Each period a node pings one other node of its failure domain. If the ping is
+not acknowledged, two other nodes are asked to ping it before it is suspected.
+Pings and acknowledgements carry entries, so the traffic of a node does not
+grow with the number of nodes in the domain.
 """
 
 import itertools
@@ -29,25 +30,25 @@
 from cranecart.logs import decision
 from cranecart.transport import PeerTransport
 
-_SYNC_AFTER = 4
-_SYNC_SECONDS = 3.0
-_PAUSE_SECONDS = 1.5
-_FAR_PERIODS = 4
-_ISOLATED_SECONDS = 2.5
+_SYNC_AFTER_MISMATCHES = 4
+_SYNC_INTERVAL_SECONDS = 3.0
+_PAUSE_THRESHOLD_SECONDS = 1.5
+_NON_MEMBER_PING_PERIODS = 4
+_ISOLATION_SILENCE_SECONDS = 2.5
 
 
 @attrs.frozen
 class GossipSettings:
-    """Timing of the probing, in seconds, and where to find the first peers."""
+    """Addresses of the first peers to contact, and the timing of probes."""
 
     seeds: Sequence[str] = ()
     period_seconds: float = 0.5
-    answer_seconds: float = 0.3
+    ack_timeout_seconds: float = 0.3
 
 
 @attrs.frozen
 class PayloadExchanges:
-    """What nodes get from each other besides entries."""
+    """What nodes fetch from each other beside entries."""
 
     config: ConfigExchange
     instances: ListExchange
@@ -55,60 +56,64 @@
 
 @attrs.frozen
 class GossipCallbacks:
-    """Whom to tell: of each new entry, and of a pause of this node."""
+    """Called for each accepted entry, and after a pause of this process."""
 
-    entry_accepted: Callable[[Entry], None]
-    was_paused: Callable[[], None]
+    on_entry_accepted: Callable[[Entry], None]
+    on_paused: Callable[[], None]
 
 
-_OF_ALL_DOMAINS = frozenset((Topic.SUMMARY, Topic.CASE))
+_CROSS_DOMAIN_TOPICS = frozenset((Topic.SUMMARY, Topic.CASE))
 
 
 class GossipProtocol:
-    """The part of a node that talks to other nodes."""
+    """Runs failure detection and the exchange of entries with other nodes."""
 
     def __init__(
         self,
-        speaker: GossipSender,
-        link: PeerTransport[Message],
+        sender: GossipSender,
+        transport: PeerTransport[Message],
         settings: GossipSettings,
         exchanges: PayloadExchanges,
-        events: GossipCallbacks,
-        source: random.Random,
+        callbacks: GossipCallbacks,
+        random_source: random.Random,
     ) -> None:
-        """Keep the parts; nothing is sent until ``run``."""
-        self._speaker = speaker
-        self._store = speaker.store
-        self._members = speaker.members
-        self._link = link
+        """Set up the protocol; nothing is sent until ``run``."""
+        self._sender = sender
+        self._store = sender.store
+        self._members = sender.members
+        self._transport = transport
         self._settings = settings
-        self._config = exchanges.config
-        self._instances = exchanges.instances
-        self._events = events
-        self._random = source
-        self._turns = Prober(speaker, source, settings.answer_seconds)
-        self._listed: tuple[str, ...] = ()
+        self._config_exchange = exchanges.config
+        self._list_exchange = exchanges.instances
+        self._callbacks = callbacks
+        self._random = random_source
+        self._prober = Prober(
+            sender, random_source, settings.ack_timeout_seconds
+        )
+        self._listed_addresses: tuple[str, ...] = ()
         self._sequence = 0
-        self._dropped_at_change = -1
-        self._mismatches = 0
-        self._synced_at = float('-inf')
-        self._heard_at = since_boot()
+        self._member_changes_at_drop = -1
+        self._digest_mismatches = 0
+        self._sync_requested_at = float('-inf')
+        self._last_received_at = since_boot()
 
     @property
     def is_isolated(self) -> bool:
-        """Tell whether there are other nodes but none has been heard."""
-        silence = since_boot() - self._heard_at
-        return silence > _ISOLATED_SECONDS and bool(self._members.others())
+        """Return whether there are members but none was heard recently."""
+        silence = since_boot() - self._last_received_at
+        return silence > _ISOLATION_SILENCE_SECONDS and bool(
+            self._members.others()
+        )
 
     async def run(self) -> None:
-        """Hear and probe until cancelled."""
+        """Receive messages and probe other nodes until cancelled."""
         self._members.announce()
         async with curio.TaskGroup(wait=any) as tasks:
-            await tasks.spawn(self._hear)
-            await tasks.spawn(self._probe_in_turn)
+            await tasks.spawn(self._receive)
+            await tasks.spawn(self._probe_periodically)
 
     def publish(self, topic: Topic, subject: str, body: Any) -> None:
-        """Spread an entry of this node's to the others of its domain."""
+        """Publish an entry of this node to the other nodes."""
         self._sequence += 1
         entry = Entry(
             EntryKey(topic, subject, self._members.node_id),
@@ -117,29 +122,29 @@
         )
         self._store.accept(entry)
 
-    def find_by_list(self, addresses: Sequence[str]) -> None:
-        """Take over the addresses of nodes that the platform lists."""
-        self._listed = tuple(addresses)
+    def replace_listed_addresses(self, addresses: Sequence[str]) -> None:
+        """Replace the addresses of nodes that the platform lists."""
+        self._listed_addresses = tuple(addresses)
 
-    async def _probe_in_turn(self) -> None:
-        for number in itertools.count():
+    async def _probe_periodically(self) -> None:
+        for period in itertools.count():
             before = since_boot()
             await curio.sleep(self._settings.period_seconds)
-            if since_boot() - before > _PAUSE_SECONDS:
-                self._wake_up()
+            if since_boot() - before > _PAUSE_THRESHOLD_SECONDS:
+                self._recover_from_pause()
             self._members.expire()
             self._drop_entries_of_dead()
-            self._greet(number)
-            self._config.look_around()
-            await self._turns.probe_next()
+            self._ping_non_member(period)
+            self._config_exchange.check_peers()
+            await self._prober.probe_next()
 
-    def _wake_up(self) -> None:
+    def _recover_from_pause(self) -> None:
         decision('own_pause_noticed', node=self._members.node_id)
-        self._members.rise()
-        self._members.restart_clocks()
-        self._events.was_paused()
-        # What others found is taken in anew when they tell it again.
-        self._store.forget(
+        self._members.start_incarnation()
+        self._members.restart_suspicion_timers()
+        self._callbacks.on_paused()
+        # Reports of other nodes are accepted again when they are resent.
+        self._store.remove(
             entry.key
             for entry in self._store.of_topic(Topic.REPORT)
             if entry.key.origin != self._members.node_id
@@ -147,98 +152,105 @@
         addresses = sorted(self._members.addresses())
         if addresses:
             chosen = self._random.choice(addresses)
-            self._speaker.send(chosen, MessageKind.SYNC)
+            self._sender.send(chosen, MessageKind.SYNC)
 
     def _drop_entries_of_dead(self) -> None:
-        if self._dropped_at_change == self._store.member_changes:
+        if self._member_changes_at_drop == self._store.member_changes:
             return
-        self._dropped_at_change = self._store.member_changes
-        # Entries may arrive before their origin's own; those are kept.
-        self._store.forget(
+        self._member_changes_at_drop = self._store.member_changes
+        # An entry may arrive before its origin's member entry; it is kept.
+        self._store.remove(
             entry.key
-            for entry in self._store.every()
+            for entry in self._store.all_entries()
             if entry.key.topic in {Topic.REPORT, Topic.DEMAND}
             and self._members.status(entry.key.origin) is MemberStatus.DEAD
         )
 
-    def _greet(self, number: int) -> None:
-        """Greet one node of another domain, or one not met yet, at times.
+    def _ping_non_member(self, period: int) -> None:
+        """Ping a random address that is no member here, every few periods.
 
-        The dead are greeted too, as they may only have been cut off.
+        Such are the nodes of other domains, nodes not known yet, and dead ones,
+        which may only have been partitioned.
         """
-        near = self._members.addresses()
-        strangers = sorted(
-            {*self._settings.seeds, *self._listed}
-            - near
+        domain_addresses = self._members.addresses()
+        non_members = sorted(
+            {*self._settings.seeds, *self._listed_addresses}
+            - domain_addresses
             - {self._members.info.address},
         )
-        if strangers and (not near or number % _FAR_PERIODS == 0):
-            address = self._random.choice(strangers)
-            self._speaker.send(address, MessageKind.PING)
+        if non_members and (
+            not domain_addresses or period % _NON_MEMBER_PING_PERIODS == 0
+        ):
+            address = self._random.choice(non_members)
+            self._sender.send(address, MessageKind.PING)
 
-    async def _hear(self) -> None:
+    async def _receive(self) -> None:
         while True:
-            message = await self._link.receive()
-            self._heard_at = since_boot()
+            message = await self._transport.receive()
+            self._last_received_at = since_boot()
             self._take_entries(message)
-            await self._answer(message)
+            await self._handle_message(message)
 
     def _take_entries(self, message: Message) -> None:
-        is_near = message.failure_domain == self._members.info.failure_domain
+        is_same_domain = (
+            message.failure_domain == self._members.info.failure_domain
+        )
         for entry in message.entries:
             if entry.key.topic is Topic.MEMBER:
-                self._config.look_at(entry)
-            # Of other domains nothing else is kept.
-            is_wanted = is_near or entry.key.topic in _OF_ALL_DOMAINS
+                self._config_exchange.check_member_entry(entry)
+            # No other topics are kept of other failure domains.
+            is_wanted = (
+                is_same_domain or entry.key.topic in _CROSS_DOMAIN_TOPICS
+            )
             if is_wanted and self._store.accept(entry):
-                self._accepted(entry)
+                self._handle_accepted(entry)
 
-    def _accepted(self, entry: Entry) -> None:
+    def _handle_accepted(self, entry: Entry) -> None:
         if entry.key.topic is Topic.MEMBER:
-            self._members.note(entry)
-        self._events.entry_accepted(entry)
+            self._members.handle_update(entry)
+        self._callbacks.on_entry_accepted(entry)
 
-    async def _answer(self, message: Message) -> None:
+    async def _handle_message(self, message: Message) -> None:
         match message.kind:
             case MessageKind.PING:
-                self._speaker.send(
+                self._sender.send(
                     message.address,
                     MessageKind.ACK,
                     number=message.number,
                 )
-                self._compare(message)
+                self._compare_digests(message)
             case MessageKind.ACK:
-                self._compare(message)
-                self._instances.ask(message.address)
-                await self._turns.note_ack(message.number)
-            case MessageKind.PING_FOR_ME:
-                self._turns.help(message)
+                self._compare_digests(message)
+                self._list_exchange.request_if_missing(message.address)
+                await self._prober.handle_ack(message.number)
+            case MessageKind.INDIRECT_PING:
+                self._prober.ping_for_peer(message)
             case MessageKind.SYNC:
-                self._speaker.send_everything(message.address)
-            case MessageKind.CONFIG_ASK:
-                self._config.give(message)
-            case MessageKind.CONFIG_GIVE:
-                self._config.receive(message)
-            case MessageKind.LIST_ASK:
-                self._instances.give(message)
-            case MessageKind.LIST_GIVE:
-                self._instances.receive(message)
-
-    def _compare(self, message: Message) -> None:
-        """Ask for everything where two nodes of a domain keep differing."""
+                self._sender.send_full_state(message.address)
+            case MessageKind.CONFIG_REQUEST:
+                self._config_exchange.respond(message)
+            case MessageKind.CONFIG_RESPONSE:
+                self._config_exchange.receive(message)
+            case MessageKind.LIST_REQUEST:
+                self._list_exchange.respond(message)
+            case MessageKind.LIST_RESPONSE:
+                self._list_exchange.receive(message)
+
+    def _compare_digests(self, message: Message) -> None:
+        """Request a full sync if digests keep differing within a domain."""
         if message.failure_domain != self._members.info.failure_domain:
             return
         if message.digest == self._store.digest:
-            self._mismatches = 0
+            self._digest_mismatches = 0
             return
-        self._mismatches += 1
-        is_stranger = message.sender not in self._members.others()
-        if is_stranger or self._mismatches >= _SYNC_AFTER:
-            self._ask_for_everything(message.address)
+        self._digest_mismatches += 1
+        is_new_sender = message.sender not in self._members.others()
+        if is_new_sender or self._digest_mismatches >= _SYNC_AFTER_MISMATCHES:
+            self._request_full_sync(message.address)
 
-    def _ask_for_everything(self, address: str) -> None:
+    def _request_full_sync(self, address: str) -> None:
         now = since_boot()
-        if now - self._synced_at > _SYNC_SECONDS:
-            self._mismatches = 0
-            self._synced_at = now
-            self._speaker.send(address, MessageKind.SYNC)
+        if now - self._sync_requested_at > _SYNC_INTERVAL_SECONDS:
+            self._digest_mismatches = 0
+            self._sync_requested_at = now
+            self._sender.send(address, MessageKind.SYNC)
--- a/src/cranecart/gossip/_rendezvous.py
+++ b/src/cranecart/gossip/_rendezvous.py
@@ -1,4 +1,4 @@
-"""Share work among live nodes so that all agree without a message."""
+"""Assign subjects to nodes by rendezvous hashing, without coordination."""
 
 import hashlib
 from collections.abc import Iterable
@@ -7,9 +7,9 @@
 
 
 def choose_nodes(subject: str, nodes: Iterable[str], count: int) -> list[str]:
-    """Return the nodes that answer for a subject, by rendezvous hashing.
+    """Return the nodes responsible for a subject, by rendezvous hashing.
 
-    When a node comes or goes, only the subjects that it answers for move.
+    When a node joins or leaves, only the subjects assigned to it move.
     """
     return sorted(nodes, key=lambda node: _score(subject, node))[:count]
 
--- a/src/cranecart/gossip/_sender.py
+++ b/src/cranecart/gossip/_sender.py
@@ -1,4 +1,4 @@
-"""Send messages that carry news."""
+"""Send messages with entries piggybacked."""
 
 from typing import Any
 
@@ -12,19 +12,19 @@
 
 @attrs.define
 class GossipSender:
-    """Sends in this node's name; what it sends fits who it is sent to."""
+    """Sends messages of this node, with entries chosen for the receiver."""
 
     members: Members
     store: EntryStore
-    _link: PeerTransport[Message]
+    _transport: PeerTransport[Message]
 
     def send(self, address: str, kind: MessageKind, **fields: Any) -> None:
-        """Send a message with the news that its receiver should hear."""
-        self._send(address, kind, self._news_for(address), fields)
+        """Send a message with pending entries; ``fields`` are those of it."""
+        self._send(address, kind, self._entries_for(address), fields)
 
-    def send_everything(self, address: str) -> None:
-        """Send all that this node holds."""
-        self._send(address, MessageKind.ACK, self.store.every(), {})
+    def send_full_state(self, address: str) -> None:
+        """Send all entries of this node."""
+        self._send(address, MessageKind.ACK, self.store.all_entries(), {})
 
     def _send(
         self,
@@ -43,13 +43,14 @@
             entries=entries,
             **fields,
         )
-        self._link.send(address, message)
-
-    def _news_for(self, address: str) -> tuple[Entry, ...]:
-        near = self.members.addresses()
-        if address in near:
-            return self.store.next_news(len(near) + 1)
-        # Strangers and other failure domains hear who speaks, and little else.
+        self._transport.send(address, message)
+
+    def _entries_for(self, address: str) -> tuple[Entry, ...]:
+        domain_addresses = self.members.addresses()
+        if address in domain_addresses:
+            return self.store.next_pending(len(domain_addresses) + 1)
+        # Unknown nodes and those of other failure domains get only this node's
+        # member entry and the topics that cross failure domains.
         own = self.store.get(member_key(self.members.node_id))
         return (
             *([own] if own else []),
--- a/src/cranecart/gossip/_store.py
+++ b/src/cranecart/gossip/_store.py
@@ -1,4 +1,4 @@
-"""The entries that a node holds, and what is left to be passed on."""
+"""The entries that a node holds, and which of them are still to be sent."""
 
 import heapq
 import math
@@ -10,21 +10,23 @@
 
 from cranecart.gossip._entries import Entry, EntryKey, Topic
 
-_SPREAD_FACTOR = 2
-_MAX_PER_MESSAGE = 48
-# Told again at times, or bounded in number: not asked for where it is missing.
-_PASSING = frozenset((Topic.SUMMARY, Topic.DEMAND, Topic.CASE))
+_RETRANSMIT_FACTOR = 2
+_MAX_ENTRIES_PER_MESSAGE = 48
+# These are published again periodically or bounded in number, so a missing
+# entry of them does not call for a full sync.
+_UNDIGESTED_TOPICS = frozenset((Topic.SUMMARY, Topic.DEMAND, Topic.CASE))
 
 
 @attrs.define
 class EntryStore:
-    """Last-writer-wins entries with a queue of news for the next messages.
+    """Last-writer-wins entries, with those pending for the next messages.
 
-    ``digest`` is equal on two nodes that hold the same lasting entries.
+    ``digest`` is equal on two nodes that hold the same entries, apart from
+    the topics that it leaves out.
     """
 
     _entries: dict[EntryKey, Entry] = attrs.field(factory=dict, init=False)
-    _news: dict[EntryKey, int] = attrs.field(factory=dict, init=False)
+    _send_counts: dict[EntryKey, int] = attrs.field(factory=dict, init=False)
     digest: int = attrs.field(default=0, init=False)
     member_changes: int = attrs.field(default=0, init=False)
 
@@ -40,65 +42,65 @@
             if entry.key.topic is topic
         )
 
-    def every(self) -> tuple[Entry, ...]:
+    def all_entries(self) -> tuple[Entry, ...]:
         """Return all entries."""
         return tuple(self._entries.values())
 
     def accept(self, entry: Entry) -> bool:
-        """Take an entry if it is newer; return whether it was."""
+        """Store an entry if it is newer; return whether it was."""
         known = self._entries.get(entry.key)
         if known is not None and known.version >= entry.version:
             return False
-        self._count(known)
-        self._count(entry)
+        self._toggle_in_digest(known)
+        self._toggle_in_digest(entry)
         self.member_changes += entry.key.topic is Topic.MEMBER
         self._entries[entry.key] = entry
-        self._news[entry.key] = 0
+        self._send_counts[entry.key] = 0
         return True
 
-    def forget(self, keys: Iterable[EntryKey]) -> None:
-        """Drop entries, without telling anybody."""
+    def remove(self, keys: Iterable[EntryKey]) -> None:
+        """Remove entries locally, without notifying other nodes."""
         for key in list(keys):
             known = self._entries.pop(key, None)
-            self._news.pop(key, None)
+            self._send_counts.pop(key, None)
             self.member_changes += key.topic is Topic.MEMBER
-            self._count(known)
+            self._toggle_in_digest(known)
 
-    def next_news(self, nodes: int) -> tuple[Entry, ...]:
-        """Return the news for one message, the least often sent first.
+    def next_pending(self, node_count: int) -> tuple[Entry, ...]:
+        """Return the pending entries for one message, least often sent first.
 
-        News is dropped after being sent a multiple of the logarithm of the
-        number of nodes, by when all have it with high probability; digests
-        find the few that have not.
+        An entry stops being pending when it was sent a multiple of the
+        logarithm of the number of nodes; by then all nodes have it with high
+        probability, and digests reveal the few that do not.
         """
-        limit = _SPREAD_FACTOR * math.ceil(math.log2(nodes + 1))
+        limit = _RETRANSMIT_FACTOR * math.ceil(math.log2(node_count + 1))
         chosen = heapq.nsmallest(
-            _MAX_PER_MESSAGE,
-            self._news,
-            key=self._news.__getitem__,
+            _MAX_ENTRIES_PER_MESSAGE,
+            self._send_counts,
+            key=self._send_counts.__getitem__,
         )
         for key in chosen:
-            self._news[key] += 1
-            if self._news[key] >= limit:
-                self._news.pop(key)
+            self._send_counts[key] += 1
+            if self._send_counts[key] >= limit:
+                self._send_counts.pop(key)
         return tuple(self._entries[key] for key in chosen)
 
-    def _count(self, entry: Entry | None) -> None:
-        """Take an entry into the digest, or out of it again.
+    def _toggle_in_digest(self, entry: Entry | None) -> None:
+        """Add an entry to the digest, or remove it from the digest.
 
-        What is published again and again anyway is left out: it differs
-        between any two nodes at most times, and need not be asked for.
+        Topics that are published periodically are left out: they differ
+        between any two nodes most of the time and need no full sync.
         """
-        if entry is not None and entry.key.topic not in _PASSING:
-            self.digest ^= _mark(entry)
+        if entry is not None and entry.key.topic not in _UNDIGESTED_TOPICS:
+            self.digest ^= _checksum(entry)
 
 
-def _mark(entry: Entry) -> int:
+def _checksum(entry: Entry) -> int:
     key = entry.key
-    name: tuple[Any, ...] = (
+    identity: tuple[Any, ...] = (
         key.topic.value,
         key.subject,
         key.origin,
         *map(int, entry.version),
     )
-    return zlib.crc32(repr(name).encode())
+    return zlib.crc32(repr(identity).encode())
--- a/src/cranecart/mesh/_handler.py
+++ b/src/cranecart/mesh/_handler.py
@@ -33,7 +33,7 @@
     """Sorts messages into what is kept and what somebody has to be told."""
 
     _state: MeshState
-    _link: PeerTransport[MeshMessage]
+    _transport: PeerTransport[MeshMessage]
     _callbacks: MeshCallbacks
     # The last version of each kind of news that was passed on.
     _passed_on: dict[tuple[type, Extent], int] = attrs.field(
@@ -115,7 +115,7 @@
             return False
         if teller.failure_domain == self._state.local.failure_domain:
             return False
-        self._link.send_all(
+        self._transport.send_all(
             roster.beside(include_silent=include_silent), message
         )
         return True
@@ -176,4 +176,4 @@
         config = self._callbacks.read_config()
         if config is not None and config.version > ask.version:
             give = ConfigGive(self._state.local.node_id, config)
-            self._link.send(ask.address, give)
+            self._transport.send(ask.address, give)
--- a/src/cranecart/mesh/_mesh.py
+++ b/src/cranecart/mesh/_mesh.py
@@ -44,16 +44,16 @@
     def __init__(
         self,
         local: LocalState,
-        link: PeerTransport[MeshMessage],
+        transport: PeerTransport[MeshMessage],
         callbacks: MeshCallbacks,
         clock: Callable[[], float] = since_boot,
     ) -> None:
         """Know nobody yet; nothing is told until ``run``."""
         self.local = local
         self.state = MeshState(local, clock)
-        self.message_sender = MessageSender(self.state, link, callbacks)
-        self.message_handler = MessageHandler(self.state, link, callbacks)
-        self._link = link
+        self.message_sender = MessageSender(self.state, transport, callbacks)
+        self.message_handler = MessageHandler(self.state, transport, callbacks)
+        self._transport = transport
         self._others = self.state.others
         self._roster = self.state.roster
 
@@ -67,7 +67,7 @@
 
     def close(self) -> None:
         """Close the sockets."""
-        self._link.close()
+        self._transport.close()
 
     def take_peers(
         self,
@@ -86,7 +86,9 @@
 
     def broadcast(self, message: MeshMessage) -> None:
         """Tell all nodes at once."""
-        self._link.send_all(self._roster.everyone(include_silent=True), message)
+        self._transport.send_all(
+            self._roster.everyone(include_silent=True), message
+        )
 
     def publish_stopped(self, message: Stopped) -> None:
         """Tell all nodes of a replica that has stopped.
@@ -126,7 +128,7 @@
         if address is None or not self._roster.uses_relays:
             self.broadcast(message)
         else:
-            self._link.send(address, message)
+            self._transport.send(address, message)
 
     def send_beat_now(self) -> None:
         """Tell of a change of this node before the next beat is due."""
@@ -181,7 +183,7 @@
 
     def counts(self) -> dict[str, int]:
         """Return the messages and bytes so far, by name."""
-        return self._link.counts()
+        return self._transport.counts()
 
     async def _tell(self) -> None:
         turn = 0
@@ -190,7 +192,7 @@
             self.message_sender.send_beat(include_silent=include_silent)
             self.message_sender.ask_for_config()
             if include_silent:
-                self._link.close_idle(_IDLE_SECONDS)
+                self._transport.close_idle(_IDLE_SECONDS)
             turn += 1
             await curio.sleep(self._pause())
 
@@ -205,10 +207,10 @@
 
     async def _receive(self) -> None:
         while True:
-            await self.message_handler.take(await self._link.receive())
+            await self.message_handler.take(await self._transport.receive())
 
     def _forget(self, name: str) -> None:
         peer = self._roster.remove(name)
         self._others.drop(name)
         if peer is not None:
-            self._link.forget(peer.address)
+            self._transport.disconnect(peer.address)
--- a/src/cranecart/mesh/_sender.py
+++ b/src/cranecart/mesh/_sender.py
@@ -25,7 +25,7 @@
     """Sends beats to all in a small deployment, by relays in a larger one."""
 
     _state: MeshState
-    _link: PeerTransport[MeshMessage]
+    _transport: PeerTransport[MeshMessage]
     _callbacks: MeshCallbacks
     _behind_since: float | None = attrs.field(default=None, init=False)
 
@@ -62,7 +62,7 @@
             self._tell_relays(beat, include_silent=include_silent)
         else:
             everyone = roster.everyone(include_silent=include_silent)
-            self._link.send_all(everyone, beat)
+            self._transport.send_all(everyone, beat)
 
     def publish(self, message: MeshMessage, *, include_silent: bool) -> None:
         """Tell all, in a larger deployment by the relays of other domains."""
@@ -70,10 +70,10 @@
         if roster.uses_relays:
             beside = roster.beside(include_silent=include_silent)
             far = roster.far_relays(include_silent=include_silent)
-            self._link.send_all((*beside, *far), message)
+            self._transport.send_all((*beside, *far), message)
         else:
             everyone = roster.everyone(include_silent=True)
-            self._link.send_all(everyone, message)
+            self._transport.send_all(everyone, message)
 
     def ask_for_config(self) -> None:
         """Ask another node for a configuration that the store withholds."""
@@ -89,7 +89,7 @@
         elif now - self._behind_since >= _CONFIG_LAG_SECONDS:
             local = self._state.local
             ask = ConfigAsk(local.node_id, local.address, version)
-            self._link.send(address, ask)
+            self._transport.send(address, ask)
             self._behind_since = now + _ASK_AGAIN_SECONDS - _CONFIG_LAG_SECONDS
 
     def _tell_relays(self, beat: Beat, *, include_silent: bool) -> None:
@@ -99,9 +99,9 @@
         elif beat.placer_domain:
             # Who waits for this duty hears its holder itself.
             beside = roster.beside(include_silent=include_silent)
-            self._link.send_all(beside, beat)
+            self._transport.send_all(beside, beat)
         else:
-            self._link.send_all(roster.next_relays(), beat)
+            self._transport.send_all(roster.next_relays(), beat)
 
     def _relay(self, own_beat: Beat, *, include_silent: bool) -> None:
         """Tell the own failure domain all, and the others a summary."""
@@ -109,9 +109,9 @@
         beats = [own_beat, *self._state.others.beside()]
         summary = self._summary(beats)
         beside = roster.beside(include_silent=include_silent)
-        self._link.send_all(beside, self._digest(beats, summary))
+        self._transport.send_all(beside, self._digest(beats, summary))
         far = roster.far_relays(include_silent=include_silent)
-        self._link.send_all(far, summary)
+        self._transport.send_all(far, summary)
 
     def _digest(self, beats: list[Beat], summary: Summary) -> Digest:
         now = self._state.clock()
--- a/src/cranecart/node/_node.py
+++ b/src/cranecart/node/_node.py
@@ -159,7 +159,7 @@
             for instance in instances
             if instance.kind is not InstanceKind.NODE
         )
-        self._peering.peers.find_by_list(
+        self._peering.peers.replace_listed_addresses(
             [
                 str(instance.address)
                 for instance in instances
@@ -204,7 +204,7 @@
             self._control.duties(),
             tuple(self._directory.replicas()),
             tuple(self._directory.service_ids()),
-            dict(self._peering.members.everybody()),
+            dict(self._peering.members.live_members()),
             {
                 **self._directory.versions(),
                 self._settings.failure_domain: self._peering.state.versions(),
--- a/src/cranecart/node/_shared_state.py
+++ b/src/cranecart/node/_shared_state.py
@@ -9,10 +9,10 @@
 from cranecart.clocks import since_boot
 from cranecart.declarations import DomainVersions
 from cranecart.gossip import (
+    EncodedConfig,
     Entry,
     EntryStore,
     GossipProtocol,
-    HeldConfig,
     Members,
     Topic,
     choose_nodes,
@@ -107,16 +107,16 @@
             peers.publish(Topic.CASE, news.identity, body)
         self._forget_cases()
 
-    def read_config(self) -> HeldConfig:
+    def read_config(self) -> EncodedConfig:
         """Return the configuration in force."""
         release = self._config.release
-        return HeldConfig(
+        return EncodedConfig(
             release.version,
             release.sha256,
             self._config.encoded,
         )
 
-    def take_config(self, held: HeldConfig) -> None:
+    def take_config(self, held: EncodedConfig) -> None:
         """Put a configuration in force that a peer gave."""
         release = Release(held.version, held.sha256)
         self._config.put_in_force(release, held.encoded)
@@ -125,7 +125,7 @@
         """Return how far the nodes of this failure domain have come."""
         held = {
             name: info.config_version
-            for name, info in self._members.everybody()
+            for name, info in self._members.live_members()
         }
         newest = max(held.values(), default=0)
         behind = sorted(name for name, one in held.items() if one < newest)
@@ -142,7 +142,7 @@
 
     def _forget_cases(self) -> None:
         cases = [entry.key for entry in self._store.of_topic(Topic.CASE)]
-        self._store.forget(cases[:-_MOST_CASES])
+        self._store.remove(cases[:-_MOST_CASES])
 
     def _choose_probed(self) -> None:
         # Worth doing on change only: it is a hash for each instance and node.
--- a/src/cranecart/transport/__init__.py
+++ b/src/cranecart/transport/__init__.py
@@ -1,4 +1,4 @@
-"""Messages between nodes: one socket to hear all, one to speak to each."""
+"""Message transport between nodes, over ZeroMQ sockets."""
 
 from cranecart.transport._zmq_transport import PeerTransport
 
--- a/src/cranecart/transport/_zmq_transport.py
+++ b/src/cranecart/transport/_zmq_transport.py
@@ -1,4 +1,4 @@
-"""Messages between nodes over pyzmq, driven by curio."""
+"""Message transport between nodes over pyzmq, driven by curio."""
 
 import logging
 from collections import Counter
@@ -12,33 +12,33 @@
 from cranecart.clocks import since_boot
 from cranecart.http import Address
 
-Sent = TypeVar('Sent')
+MessageT = TypeVar('MessageT')
 
 _LOG = logging.getLogger(__name__)
-_HIGH_WATER = 64
-_RECONNECT_MS = 100
-_RECONNECT_MAX_MS = 1000
-# An open connection may go silent for good while a new one would work, and
-# nothing but its own questions shows that. Peers that hear nothing for 0.8 s
-# take a node for gone, so that a second and a half is as late as may be; two
-# questions may be lost on the way.
-_HEARTBEAT_MS = 500
+_SEND_QUEUE_MESSAGES = 64
+_RECONNECT_INTERVAL_MS = 100
+_RECONNECT_MAX_INTERVAL_MS = 1000
+# An established connection may stop delivering while a new one would work, which
+# only heartbeats reveal. Peers that receive nothing for 0.8 s treat a node as
+# gone, so detection may take 1.5 s at most; two heartbeats may be lost in that
+# time.
+_HEARTBEAT_INTERVAL_MS = 500
 _HEARTBEAT_TIMEOUT_MS = 1500
-_MAX_BYTES = 16777216
+_MAX_MESSAGE_BYTES = 16777216
 
 
-class PeerTransport(Generic[Sent]):
-    """One socket to hear all peers, and one to speak to each.
+class PeerTransport(Generic[MessageT]):
+    """A PULL socket to receive from all peers and a PUSH socket to each peer.
 
-    Sending never waits: a message that cannot be queued is dropped and
-    counted, since everything sent here is repeated or asked for again.
+    Sending never blocks: a message that cannot be queued is dropped and
+    counted, since all messages are sent periodically or requested again.
     """
 
     def __init__(
         self,
         address: Address,
-        encode: Callable[[Sent], bytes],
-        decode: Callable[[bytes], Sent],
+        encode: Callable[[MessageT], bytes],
+        decode: Callable[[bytes], MessageT],
     ) -> None:
         """Bind; raise ``zmq.ZMQError`` if the address is taken."""
         self._encode = encode
@@ -48,51 +48,51 @@
         self.sent_bytes = 0
         self.received_messages = 0
         self.received_bytes = 0
-        self.dropped = 0
+        self.dropped_messages = 0
         self._context = zmq.Context(io_threads=1)
-        self._inbox = self._context.socket(zmq.PULL)
-        self._inbox.setsockopt(zmq.MAXMSGSIZE, _MAX_BYTES)
-        self._inbox.setsockopt(zmq.LINGER, 0)
-        self._inbox.bind(f'tcp://{address}')
-        self._outboxes: dict[str, zmq.Socket[bytes]] = {}
-        self._sent_at: dict[str, float] = {}
-        self._bytes_by_kind: Counter[str] = Counter()
+        self._pull_socket = self._context.socket(zmq.PULL)
+        self._pull_socket.setsockopt(zmq.MAXMSGSIZE, _MAX_MESSAGE_BYTES)
+        self._pull_socket.setsockopt(zmq.LINGER, 0)
+        self._pull_socket.bind(f'tcp://{address}')
+        self._push_sockets: dict[str, zmq.Socket[bytes]] = {}
+        self._last_sent_at: dict[str, float] = {}
+        self._sent_bytes_by_type: Counter[str] = Counter()
 
     @property
     def connections(self) -> int:
-        """Return how many nodes this one has a socket to speak to."""
-        return len(self._outboxes)
+        """Return the number of open PUSH sockets."""
+        return len(self._push_sockets)
 
-    def send(self, address: str, message: Sent) -> None:
-        """Queue a message for the node at an address, or drop it."""
+    def send(self, address: str, message: MessageT) -> None:
+        """Queue a message for the node at an address, or drop it if full."""
         self.send_all((address,), message)
 
-    def send_all(self, addresses: Iterable[str], message: Sent) -> None:
+    def send_all(self, addresses: Iterable[str], message: MessageT) -> None:
         """Queue a message for several nodes; it is encoded once."""
         encoded = self._encode(message)
-        before = self.sent_bytes
+        bytes_before = self.sent_bytes
         for address in addresses:
             self._queue(address, encoded)
-        kind = type(message).__name__.lower()
-        self._bytes_by_kind[kind] += self.sent_bytes - before
+        type_name = type(message).__name__.lower()
+        self._sent_bytes_by_type[type_name] += self.sent_bytes - bytes_before
 
     def counts(self) -> dict[str, int]:
-        """Return the messages and bytes so far, by name."""
+        """Return the counters of messages and bytes, by metric name."""
         return {
             'peer_messages_sent': self.sent_messages,
             'peer_bytes_sent': self.sent_bytes,
             'peer_messages_received': self.received_messages,
             'peer_bytes_received': self.received_bytes,
-            'peer_messages_dropped': self.dropped,
+            'peer_messages_dropped': self.dropped_messages,
             'peer_connections': self.connections,
             **{
-                f'peer_bytes_{kind}': size
-                for kind, size in self._bytes_by_kind.items()
+                f'peer_bytes_{type_name}': sent_bytes
+                for type_name, sent_bytes in self._sent_bytes_by_type.items()
             },
         }
 
-    async def receive(self) -> Sent:
-        """Return the next message that can be read."""
+    async def receive(self) -> MessageT:
+        """Return the next message that can be decoded."""
         while True:
             encoded = await self._receive_bytes()
             self.received_messages += 1
@@ -100,62 +100,64 @@
             try:
                 return self._decode(encoded)
             except msgspec.MsgspecError as error:
-                _LOG.warning('a message could not be read: %s', error)
+                _LOG.warning('could not decode a peer message: %s', error)
 
-    def forget(self, address: str) -> None:
+    def disconnect(self, address: str) -> None:
         """Close the socket to an address."""
-        self._sent_at.pop(address, None)
-        outbox = self._outboxes.pop(address, None)
-        if outbox is not None:
-            outbox.close(0)
+        self._last_sent_at.pop(address, None)
+        push_socket = self._push_sockets.pop(address, None)
+        if push_socket is not None:
+            push_socket.close(0)
 
     def close_idle(self, seconds: float) -> None:
-        """Close the sockets that nothing was sent on for so long.
+        """Close the sockets that nothing was sent on for ``seconds``.
 
-        Each open one asks and answers twice a second, and one to a node that
-        is gone tries to connect for ever.
+        Each open socket exchanges a heartbeat twice a second, and one to a node
+        that is gone keeps reconnecting for ever.
         """
-        oldest = since_boot() - seconds
-        for address, at in list(self._sent_at.items()):
-            if at < oldest:
-                self.forget(address)
+        idle_since = since_boot() - seconds
+        for address, sent_at in list(self._last_sent_at.items()):
+            if sent_at < idle_since:
+                self.disconnect(address)
 
     def close(self) -> None:
-        """Close all sockets and drop what is queued."""
-        for address in list(self._outboxes):
-            self.forget(address)
-        self._inbox.close(0)
+        """Close all sockets and drop the queued messages."""
+        for address in list(self._push_sockets):
+            self.disconnect(address)
+        self._pull_socket.close(0)
         self._context.term()
 
     def _queue(self, address: str, encoded: bytes) -> None:
-        outbox = self._outbox(address)
-        self._sent_at[address] = since_boot()
+        push_socket = self._push_socket(address)
+        self._last_sent_at[address] = since_boot()
         try:
-            outbox.send(encoded, zmq.NOBLOCK)
+            push_socket.send(encoded, zmq.NOBLOCK)
         except zmq.Again:
-            self.dropped += 1
+            self.dropped_messages += 1
             return
         self.sent_messages += 1
         self.sent_bytes += len(encoded)
 
-    def _outbox(self, address: str) -> zmq.Socket[bytes]:
-        outbox = self._outboxes.get(address)
-        if outbox is None:
-            outbox = self._context.socket(zmq.PUSH)
-            outbox.setsockopt(zmq.LINGER, 0)
-            outbox.setsockopt(zmq.SNDHWM, _HIGH_WATER)
-            outbox.setsockopt(zmq.RECONNECT_IVL, _RECONNECT_MS)
-            outbox.setsockopt(zmq.RECONNECT_IVL_MAX, _RECONNECT_MAX_MS)
-            outbox.setsockopt(zmq.HEARTBEAT_IVL, _HEARTBEAT_MS)
-            outbox.setsockopt(zmq.HEARTBEAT_TIMEOUT, _HEARTBEAT_TIMEOUT_MS)
-            outbox.setsockopt(zmq.TCP_MAXRT, _HEARTBEAT_TIMEOUT_MS)
-            outbox.connect(f'tcp://{address}')
-            self._outboxes[address] = outbox
-        return outbox
+    def _push_socket(self, address: str) -> zmq.Socket[bytes]:
+        push_socket = self._push_sockets.get(address)
+        if push_socket is None:
+            push_socket = self._context.socket(zmq.PUSH)
+            push_socket.setsockopt(zmq.LINGER, 0)
+            push_socket.setsockopt(zmq.SNDHWM, _SEND_QUEUE_MESSAGES)
+            push_socket.setsockopt(zmq.RECONNECT_IVL, _RECONNECT_INTERVAL_MS)
+            push_socket.setsockopt(
+                zmq.RECONNECT_IVL_MAX, _RECONNECT_MAX_INTERVAL_MS
+            )
+            push_socket.setsockopt(zmq.HEARTBEAT_IVL, _HEARTBEAT_INTERVAL_MS)
+            push_socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, _HEARTBEAT_TIMEOUT_MS)
+            push_socket.setsockopt(zmq.TCP_MAXRT, _HEARTBEAT_TIMEOUT_MS)
+            push_socket.connect(f'tcp://{address}')
+            self._push_sockets[address] = push_socket
+        return push_socket
 
     async def _receive_bytes(self) -> bytes:
-        # The descriptor tells of changes only, so what is already there has
-        # to be taken before each wait.
-        while not int(self._inbox.getsockopt(zmq.EVENTS)) & zmq.POLLIN:
-            await _read_wait(self._inbox.FD)
-        return bytes(self._inbox.recv(zmq.NOBLOCK))
+        # The descriptor of a ZeroMQ socket is edge-triggered, so messages that
+        # are already there have to be read before each wait.
+        while not int(self._pull_socket.getsockopt(zmq.EVENTS)) & zmq.POLLIN:
+            await _read_wait(self._pull_socket.FD)
+        return bytes(self._pull_socket.recv(zmq.NOBLOCK))
--- a/tests/lib/simulated_cluster.py
+++ b/tests/lib/simulated_cluster.py
@@ -49,7 +49,7 @@
         for address in addresses:
             self._world.carry(self._name, address, encoded)
 
-    def forget(self, address: str) -> None:
+    def disconnect(self, address: str) -> None:
         """Do nothing, as there is no socket."""
 
     def close_idle(self, seconds: float) -> None:
@@ -191,9 +191,9 @@
             lambda message: limits.extend(message.limits),
             lambda message: leaving.add(message.instance),
         )
-        link = SimulatedTransport(cluster, name)
+        transport = SimulatedTransport(cluster, name)
         local = LocalState(name, name, domain)
-        mesh = Mesh(local, link, events, lambda: cluster.now)
+        mesh = Mesh(local, transport, events, lambda: cluster.now)
         return cls(
             mesh,
             mesh.state,
--- a/tests/lib/store_rig.py
+++ b/tests/lib/store_rig.py
@@ -114,7 +114,7 @@
         encoded = encode_mesh_message(message)
         self._rig.wire.extend((address, encoded) for address in addresses)
 
-    def forget(self, address: str) -> None:
+    def disconnect(self, address: str) -> None:
         """Do nothing, as there is no socket."""
 
 
--- a/tests/unit/test_gossip.py
+++ b/tests/unit/test_gossip.py
@@ -1,4 +1,4 @@
-"""Membership and the entries that nodes spread."""
+"""Gossip membership and the replication of entries."""
 
 import unittest
 
@@ -28,7 +28,7 @@
 _NODE_SETS = st.sets(st.text(min_size=1), min_size=3, max_size=8)
 
 
-def _entries() -> st.SearchStrategy[list[Entry]]:
+def _entry_lists() -> st.SearchStrategy[list[Entry]]:
     numbers = st.integers(1, 3)
     versions = st.tuples(numbers, st.just(0), numbers)
     entries = st.builds(Entry, st.sampled_from(_KEYS), versions, st.none())
@@ -36,49 +36,49 @@
 
 
 class EntryStoreTest(unittest.TestCase):
-    """Stores that heard the same hold the same."""
+    """Stores that received the same entries converge."""
 
-    @given(_entries(), st.randoms(use_true_random=False))
-    def test_order_and_repeats_do_not_matter(
+    @given(_entry_lists(), st.randoms(use_true_random=False))
+    def test_order_and_duplicates_do_not_matter(
         self,
         entries: list[Entry],
-        source: object,
+        random_source: object,
     ) -> None:
-        """Crossed and doubled messages end in one state and digest."""
+        """Reordered and duplicated entries give the same state and digest."""
         one = EntryStore()
         other = EntryStore()
         for entry in entries:
             one.accept(entry)
-        crossed = [*entries, *entries]
-        source.shuffle(crossed)  # type: ignore[attr-defined]
-        for entry in crossed:
+        shuffled = [*entries, *entries]
+        random_source.shuffle(shuffled)  # type: ignore[attr-defined]
+        for entry in shuffled:
             other.accept(entry)
-        self.assertEqual(set(one.every()), set(other.every()))
+        self.assertEqual(set(one.all_entries()), set(other.all_entries()))
         self.assertEqual(one.digest, other.digest)
 
-    def test_news_is_sent_a_bounded_number_of_times(self) -> None:
-        """After that it is quiet, whatever the number of nodes."""
+    def test_entries_are_sent_a_bounded_number_of_times(self) -> None:
+        """Entries stop being pending after O(log n) messages."""
         store = EntryStore()
         for key in _KEYS:
             store.accept(Entry(key, (1, 0, 1), None))
         messages = 0
-        while store.next_news(45):
+        while store.next_pending(45):
             messages += 1
         self.assertLessEqual(messages, 12)
 
-    def test_forgetting_restores_the_digest(self) -> None:
-        """A digest is that of what is held."""
+    def test_removal_restores_the_digest(self) -> None:
+        """Removing an entry takes it out of the digest again."""
         store = EntryStore()
         store.accept(Entry(_KEYS[0], (1, 0, 1), None))
-        store.forget([_KEYS[0]])
+        store.remove([_KEYS[0]])
         self.assertEqual(store.digest, EntryStore().digest)
 
-    def test_digest_survives_the_wire(self) -> None:
-        """An entry counts alike where it was made and where it was heard."""
-        made = EntryStore()
-        members = Members('a', MemberInfo('1:1', 'd'), made, 1)
+    def test_digest_is_unchanged_by_encoding(self) -> None:
+        """An entry adds the same to a digest before and after encoding."""
+        origin_store = EntryStore()
+        members = Members('a', MemberInfo('1:1', 'd'), origin_store, 1)
         members.announce()
-        entry = made.every()[0]
+        entry = origin_store.all_entries()[0]
         message = Message(
             kind=MessageKind.PING,
             sender='a',
@@ -86,10 +86,10 @@
             failure_domain='d',
             entries=(entry,),
         )
-        heard = EntryStore()
+        receiver_store = EntryStore()
         for received in decode_message(encode_message(message)).entries:
-            heard.accept(received)
-        self.assertEqual(heard.digest, made.digest)
+            receiver_store.accept(received)
+        self.assertEqual(receiver_store.digest, origin_store.digest)
 
 
 @attrs.define
@@ -101,10 +101,10 @@
 
 
 class MembersTest(unittest.TestCase):
-    """Suspicion before death, and how it is refuted."""
+    """Suspicion, its time-out, and refutation by a new incarnation."""
 
     def setUp(self) -> None:
-        """Make one node that knows another."""
+        """Create a node that knows another one."""
         self.clock = _Clock()
         self.store = EntryStore()
         self.members = Members(
@@ -118,11 +118,11 @@
         other_store = EntryStore()
         self.other = Members('b', MemberInfo('1:2', 'd'), other_store, 1)
         self.other.announce()
-        self.entry = other_store.every()[0]
-        self._hear(self.entry)
+        self.entry = other_store.all_entries()[0]
+        self._receive(self.entry)
 
-    def test_suspicion_comes_before_death(self) -> None:
-        """A suspect is not asked to work, but dies only later."""
+    def test_suspect_is_dead_after_time_out(self) -> None:
+        """A suspect gets no work at once, but is dead only after a time-out."""
         self.members.suspect('b')
         self.assertEqual(self.members.alive(), ['a'])
         self.assertIn('b', self.members.others())
@@ -131,38 +131,38 @@
         self.assertEqual(self.members.status('b'), MemberStatus.DEAD)
         self.assertNotIn('b', self.members.others())
 
-    def test_a_suspect_refutes(self) -> None:
-        """It raises its incarnation, which outranks the suspicion."""
+    def test_suspect_refutes_by_new_incarnation(self) -> None:
+        """A new incarnation overrides the suspicion."""
         self.members.suspect('b')
-        said = self.store.get(self.entry.key)
-        assert said is not None
-        self.other.note(said)
+        suspicion = self.store.get(self.entry.key)
+        assert suspicion is not None
+        self.other.handle_update(suspicion)
         assert self.other.incarnation == 2
-        later = attrs.evolve(self.entry, version=(2, 0, 2))
-        self._hear(later)
+        refutation = attrs.evolve(self.entry, version=(2, 0, 2))
+        self._receive(refutation)
         self.assertEqual(self.members.alive(), ['a', 'b'])
 
-    def test_old_news_does_not_revive(self) -> None:
-        """What the dead said before is void."""
+    def test_old_entry_does_not_lift_suspicion(self) -> None:
+        """An entry of an earlier version does not lift the suspicion."""
         self.members.suspect('b')
-        self._hear(self.entry)
+        self._receive(self.entry)
         self.assertEqual(self.members.alive(), ['a'])
 
-    def _hear(self, entry: Entry) -> None:
+    def _receive(self, entry: Entry) -> None:
         if self.store.accept(entry):
-            self.members.note(entry)
+            self.members.handle_update(entry)
 
 
 class ChooseNodesTest(unittest.TestCase):
-    """Sharing work without a message."""
+    """Assignment of subjects to nodes by rendezvous hashing."""
 
     @given(_NODE_SETS, st.text())
-    def test_only_the_work_of_the_dead_moves(
+    def test_only_subjects_of_the_lost_node_move(
         self,
         nodes: set[str],
         subject: str,
     ) -> None:
-        """Losing a node that was not chosen changes nothing."""
+        """Losing a node that was not chosen changes no assignment."""
         chosen = choose_nodes(subject, nodes, 2)
         for lost in nodes - set(chosen):
             self.assertEqual(choose_nodes(subject, nodes - {lost}, 2), chosen)
--- a/tests/unit/test_mesh.py
+++ b/tests/unit/test_mesh.py
@@ -167,9 +167,9 @@
         behind = self.nodes['node-004']
         self.nodes['node-005'].configs.append(RouteConfig(3, (), {}))
         asks: list[float] = []
-        link = behind.message_sender._link
-        send = link.send
-        link.send = lambda address, message: (  # type: ignore[method-assign]
+        transport = behind.message_sender._transport
+        send = transport.send
+        transport.send = lambda address, message: (  # type: ignore[method-assign]
             asks.append(self.cluster.now)
             if isinstance(message, ConfigAsk)
             else send(address, message)
--- a/tests/unit/test_transport.py
+++ b/tests/unit/test_transport.py
@@ -1,4 +1,4 @@
-"""What nodes send each other when a connection fails without a word."""
+"""Transport between nodes when connections go silent or are closed."""
 
 import time
 import unittest
@@ -11,82 +11,92 @@
 from cranecart.transport import PeerTransport
 from tools.processes import Addresses
 
-_PATIENCE_SECONDS = 6.0
-_EVERY_SECONDS = 0.05
+_TIMEOUT_SECONDS = 6.0
+_SEND_INTERVAL_SECONDS = 0.05
 
 
-class SilentLinkTest(unittest.TestCase):
-    """An open connection carries nothing any more, and is not broken."""
+class SilentConnectionTest(unittest.TestCase):
+    """An established connection stops delivering without being closed."""
 
     def setUp(self) -> None:
-        """Take addresses for two nodes and the proxy between them."""
-        taken = Addresses()
-        self.addCleanup(taken.release)
-        self.near = taken.take()
-        self.far = taken.take()
-        self.middle = taken.take()
-        self.control = taken.take()
-        self.heard: list[int] = []
-
-    def test_a_new_connection_is_made(self) -> None:
-        """Without that, a peer never hears a node's beats again."""
-        curio.run(self._play)
-        self.assertEqual(self.heard[0], 1)
-        self.assertEqual(self.heard[-1], 2)
-
-    async def _play(self) -> None:
-        near, far = _link(self.near), _link(self.far)
-        proxy = FaultProxy(self.middle, self.far, self.control)
+        """Allocate addresses for two nodes and the proxy between them."""
+        addresses = Addresses()
+        self.addCleanup(addresses.release)
+        self.sender_address = addresses.take()
+        self.receiver_address = addresses.take()
+        self.proxy_address = addresses.take()
+        self.proxy_control = addresses.take()
+        self.received: list[int] = []
+
+    def test_silent_connection_is_replaced(self) -> None:
+        """Heartbeats detect the silent connection and it is replaced.
+
+        Otherwise the peer would never receive the node's beats again.
+        """
+        curio.run(self._run)
+        self.assertEqual(self.received[0], 1)
+        self.assertEqual(self.received[-1], 2)
+
+    async def _run(self) -> None:
+        sender, receiver = (
+            _make_transport(self.sender_address),
+            _make_transport(self.receiver_address),
+        )
+        proxy = FaultProxy(
+            self.proxy_address, self.receiver_address, self.proxy_control
+        )
         tasks = [
             await curio.spawn(proxy.run, daemon=True),
-            await curio.spawn(self._hear, far, daemon=True),
+            await curio.spawn(self._receive, receiver, daemon=True),
         ]
-        await self._say_until_heard(near, 1)
+        await self._send_until_received(sender, 1)
         proxy.faults = LinkFaults(mute_first=1)
-        await self._say_until_heard(near, 2)
+        await self._send_until_received(sender, 2)
         for task in tasks:
             await task.cancel()
-        near.close()
-        far.close()
+        sender.close()
+        receiver.close()
 
-    async def _hear(self, link: PeerTransport[int]) -> None:
+    async def _receive(self, transport: PeerTransport[int]) -> None:
         while True:
-            self.heard.append(await link.receive())
+            self.received.append(await transport.receive())
 
-    async def _say_until_heard(
-        self, link: PeerTransport[int], word: int
+    async def _send_until_received(
+        self, transport: PeerTransport[int], message: int
     ) -> None:
-        until = time.monotonic() + _PATIENCE_SECONDS
-        while time.monotonic() < until and word not in self.heard:
-            link.send(str(self.middle), word)
-            await curio.sleep(_EVERY_SECONDS)
-
-
-class IdleLinkTest(unittest.TestCase):
-    """Connections that nothing is sent on are closed, and made again."""
-
-    def test_it_is_made_again(self) -> None:
-        """Open ones cost, and urgent news must still arrive."""
-        taken = Addresses()
-        self.addCleanup(taken.release)
-        curio.run(self._play, taken.take(), taken.take())
-
-    async def _play(self, one: Address, other: Address) -> None:
-        near, far = _link(one), _link(other)
-        for word in (1, 2):
-            near.send_all((str(other),), word)
-            heard = await curio.timeout_after(_PATIENCE_SECONDS, far.receive)
-            self.assertEqual(heard, word)
-            self.assertEqual(near.connections, 1)
-            near.close_idle(10)
-            self.assertEqual(near.connections, 1)
-            near.close_idle(0)
-            self.assertEqual(near.connections, 0)
-        near.close()
-        far.close()
-
-
-def _link(address: Address) -> PeerTransport[int]:
+        deadline = time.monotonic() + _TIMEOUT_SECONDS
+        while time.monotonic() < deadline and message not in self.received:
+            transport.send(str(self.proxy_address), message)
+            await curio.sleep(_SEND_INTERVAL_SECONDS)
+
+
+class IdleConnectionTest(unittest.TestCase):
+    """Idle connections are closed and opened again on demand."""
+
+    def test_idle_connection_is_reopened_on_send(self) -> None:
+        """A message sent after an idle close is still delivered."""
+        addresses = Addresses()
+        self.addCleanup(addresses.release)
+        curio.run(self._run, addresses.take(), addresses.take())
+
+    async def _run(self, one: Address, other: Address) -> None:
+        sender, receiver = _make_transport(one), _make_transport(other)
+        for message in (1, 2):
+            sender.send_all((str(other),), message)
+            received = await curio.timeout_after(
+                _TIMEOUT_SECONDS, receiver.receive
+            )
+            self.assertEqual(received, message)
+            self.assertEqual(sender.connections, 1)
+            sender.close_idle(10)
+            self.assertEqual(sender.connections, 1)
+            sender.close_idle(0)
+            self.assertEqual(sender.connections, 0)
+        sender.close()
+        receiver.close()
+
+
+def _make_transport(address: Address) -> PeerTransport[int]:
     return PeerTransport(
         address,
         msgspec.msgpack.encode,
