--- a/src/cranecart/dispatch/__init__.py
+++ b/src/cranecart/dispatch/__init__.py
@@ -1,7 +1,7 @@
-"""Decide at the door: send a request, where and how urgently, or refuse it.
+"""Decide whether a request is sent, to which replica and how urgently.
 
-Nothing here reads a clock or a socket; what is believed comes in, typed
-outcomes go out.
+The decision is pure: it reads no clock and no socket. Its inputs are estimates
+of the current state, its result a ``Send`` or a ``Refuse``.
 """
 
 from cranecart.dispatch._client_retries import (
--- a/src/cranecart/dispatch/_client_retries.py
+++ b/src/cranecart/dispatch/_client_retries.py
@@ -1,47 +1,49 @@
-"""When a refused client should come back, and who has come back.
+"""Recognise retries of refused clients, and spread them in time.
 
-Load answered: clients that are all told the same short time come back
-together, find the queue that refused them and have lost their last try.
+Clients that are all told the same short retry time come back together, meet
+the queue that refused them, and have used up their last attempt.
 """
 
 from collections import defaultdict
 
 import attrs
 
-# Clients heed a time up to a third of what they have left.
-_HEEDED_PART = 1 / 3
-# Below this nothing has changed when they are back.
-_LEAST_SECONDS = 0.2
-# Times are spread by this part, so that not all come at the same moment.
-_SPREAD_PART = 0.5
-# A deadline that is shorter than the usual one by less is the way here.
-_WAY_SECONDS = 0.03
-# Clients come back within a third of their deadlines, 8 s at most on the
-# users' sheets.
-_MEMORY_SECONDS = 3.0
+# Clients honour a retry time of up to a third of their remaining time.
+_MAX_RETRY_FRACTION = 1 / 3
+# After less time than this the load has not changed.
+_MIN_RETRY_SECONDS = 0.2
+# Random spread, so that refused clients do not come back at the same moment.
+_JITTER_FRACTION = 0.5
+# A deadline that is shorter than usual by less than this is explained by
+# network transit.
+_TRANSIT_SECONDS = 0.03
+# Clients retry within a third of their deadline, which is at most 8 s on the
+# specified deployments.
+_REFUSAL_MEMORY_SECONDS = 3.0
 
 
 def spread_retry_after(
     expected_seconds: float,
-    left_seconds: float,
-    drawn: float,
+    remaining_seconds: float,
+    random_fraction: float,
 ) -> float:
-    """Return when to come back, for a place expected in so many seconds.
+    """Return after how many seconds a refused client should retry.
 
-    ``drawn`` is a random number from 0 to 1.
+    ``expected_seconds`` is when a slot is expected to be free;
+    ``random_fraction``, from 0 to 1, spreads the clients.
     """
-    spread = 1 + _SPREAD_PART * drawn
-    wanted = max(_LEAST_SECONDS, expected_seconds) * spread
-    return min(wanted, _HEEDED_PART * left_seconds)
+    jitter = 1 + _JITTER_FRACTION * random_fraction
+    delay = max(_MIN_RETRY_SECONDS, expected_seconds) * jitter
+    return min(delay, _MAX_RETRY_FRACTION * remaining_seconds)
 
 
 @attrs.define
 class ClientRetryDetector:
-    """Tells by its deadline how long ago a request's client first asked.
+    """Infers from its deadline how long ago a client first asked.
 
-    Clients name what they have left; the longest that came on a route is
-    taken for what they have at first. Only while requests of the route are
-    being refused does a shorter one mean that its client has come back.
+    Clients send their remaining time. The longest deadline seen on a route is
+    taken for the initial one. A shorter deadline means a retry only while
+    requests of the route are being refused.
     """
 
     _longest_deadline: dict[str, float] = attrs.field(
@@ -51,7 +53,7 @@
     _refused_at: dict[str, float] = attrs.field(factory=dict, init=False)
 
     def record_refusal(self, route: str, now: float) -> None:
-        """Take over that a client was told to come back."""
+        """Record that a client was refused and told to retry."""
         self._refused_at[route] = now
 
     def elapsed_seconds(
@@ -60,7 +62,7 @@
         deadline: float | None,
         now: float,
     ) -> float:
-        """Return since when a client has been asking, zero if it is new."""
+        """Return the time since the client's first attempt, zero if new."""
         if deadline is None:
             return 0
         self._longest_deadline[route] = max(
@@ -68,5 +70,5 @@
         )
         refused_at = self._refused_at.get(route, float('-inf'))
         elapsed = self._longest_deadline[route] - deadline
-        is_likely = now - refused_at < _MEMORY_SECONDS
-        return elapsed if is_likely and elapsed > _WAY_SECONDS else 0
+        is_likely = now - refused_at < _REFUSAL_MEMORY_SECONDS
+        return elapsed if is_likely and elapsed > _TRANSIT_SECONDS else 0
--- a/src/cranecart/dispatch/_decision.py
+++ b/src/cranecart/dispatch/_decision.py
@@ -1,10 +1,10 @@
-"""Choose where a request goes, or refuse it at once.
+"""Choose the replica for a request, or refuse the request.
 
-Load answered: a model's replicas are full for some seconds after deaths or in
-a surge. In the order of their coming everybody would be late by the length of
-the queue. Those that can still be in time go first, the others wait behind
-them as long as their clients do, and only what their clients would not live to
-see is refused.
+When replicas have failed or load surges, a model's replicas stay full for
+several seconds. Served in order of arrival, every request would be late by the
+length of the queue. So requests that can still meet their latency objective go
+first, later ones are deferred behind them for as long as their clients wait,
+and only requests that their clients would abandon are refused.
 """
 
 from collections.abc import Sequence
@@ -14,24 +14,31 @@
 from cranecart.dispatch._forecast import forecast
 from cranecart.dispatch._inputs import DispatchRequest, ReplicaState
 
-# A part of the objective that a replica in another failure domain must be
-# quicker to be chosen: bytes between failure domains are paid for, and what
-# is near goes on when a failure domain is cut off. It is about what a replica
-# loses in time from one free slot to the last, so that a full one is passed.
-_FAR_PART = 0.1
-# So many replicas are drawn first, in each of near and far. What other nodes
-# told is a quarter of a second old, and all of them would choose the same best
-# one: in the emulation 0.976 of the worth against 0.983 with two drawn.
-_DRAWN = 2
-# Forecasts are rough, so that a client is not left to the last moment; one
-# that was refused before loses more by being refused again than by waiting.
-_PATIENCE_PART = 0.8
-_RETURNED_PATIENCE_PART = 1.0
+# The fraction of the objective by which a replica in another failure domain
+# must be faster to be chosen: traffic between failure domains costs money, and
+# local replicas stay reachable when a domain is cut off. It is about the time
+# that a replica loses between its first and its last occupied slot, so that a
+# full local replica is passed over.
+_REMOTE_PENALTY_FRACTION = 0.1
+# Replicas sampled first, in each of local and remote. Counts from other nodes
+# are a quarter of a second old, so that all nodes would pick the same best
+# replica: in emulation this yields 0.976 of the value of served requests,
+# against 0.983 with two sampled.
+_SAMPLE_SIZE = 2
+# Forecasts are rough, so a request is refused before its client's last moment.
+# A client that was refused before loses more by another refusal than by
+# waiting.
+_MAX_WAIT_FRACTION = 0.8
+_REFUSED_MAX_WAIT_FRACTION = 1.0
 
 
 @attrs.frozen
 class Send:
-    """Send to a replica; ``is_late`` ones let those in time pass."""
+    """Send to a replica.
+
+    A request that ``is_deferred`` will miss its objective and lets requests
+    pass that can still meet theirs.
+    """
 
     name: str
     forecast_seconds: float
@@ -40,53 +47,63 @@
 
 @attrs.frozen
 class Refuse:
-    """Refuse; a place is expected in ``seconds``, counted from now."""
+    """Refuse the request.
+
+    ``excess_seconds`` is by how much the forecast exceeds the accepted wait.
+    """
 
     excess_seconds: float
 
 
 def decide(
-    ask: DispatchRequest, standings: Sequence[ReplicaState]
+    request: DispatchRequest, replicas: Sequence[ReplicaState]
 ) -> Send | Refuse:
-    """Choose between replicas, at least one of which is given.
+    """Choose one of at least one replica.
 
-    They are given in an order that was drawn for this request.
+    The replicas come in an order that was drawn at random for this request.
     """
-    for asked in (_drawn(standings), standings):
-        best, seconds = _quickest(ask, asked, behind=False)
-        if seconds <= ask.objective_seconds:
+    for candidates in (_sample(replicas), replicas):
+        best, seconds = _fastest(request, candidates, deferred=False)
+        if seconds <= request.objective_seconds:
             return Send(best.name, seconds)
-    if ask.is_resumed:
+    if request.is_resumed:
         return Send(best.name, seconds)
-    best, seconds = _quickest(ask, standings, behind=True)
-    part = _RETURNED_PATIENCE_PART if ask.was_refused else _PATIENCE_PART
-    over = seconds - part * ask.max_wait_seconds
-    if over <= 0:
+    best, seconds = _fastest(request, replicas, deferred=True)
+    fraction = (
+        _REFUSED_MAX_WAIT_FRACTION
+        if request.was_refused
+        else _MAX_WAIT_FRACTION
+    )
+    excess = seconds - fraction * request.max_wait_seconds
+    if excess <= 0:
         return Send(best.name, seconds, is_deferred=True)
-    return Refuse(over)
+    return Refuse(excess)
 
 
-def _drawn(standings: Sequence[ReplicaState]) -> Sequence[ReplicaState]:
-    near = [one for one in standings if one.is_local]
-    far = [one for one in standings if not one.is_local]
-    return (*near[:_DRAWN], *far[:_DRAWN])
+def _sample(replicas: Sequence[ReplicaState]) -> Sequence[ReplicaState]:
+    local = [replica for replica in replicas if replica.is_local]
+    remote = [replica for replica in replicas if not replica.is_local]
+    return (*local[:_SAMPLE_SIZE], *remote[:_SAMPLE_SIZE])
 
 
-def _quickest(
-    ask: DispatchRequest,
-    standings: Sequence[ReplicaState],
+def _fastest(
+    request: DispatchRequest,
+    replicas: Sequence[ReplicaState],
     *,
-    behind: bool,
+    deferred: bool,
 ) -> tuple[ReplicaState, float]:
-    forecasts = [(forecast(ask, one, behind=behind), one) for one in standings]
+    forecasts = [
+        (forecast(request, replica, deferred=deferred), replica)
+        for replica in replicas
+    ]
     seconds, best = min(
         forecasts,
-        key=lambda pair: pair[0] + _penalty(ask, pair[1]),
+        key=lambda pair: pair[0] + _penalty(request, pair[1]),
     )
     return best, seconds
 
 
-def _penalty(ask: DispatchRequest, standing: ReplicaState) -> float:
-    if standing.is_local:
+def _penalty(request: DispatchRequest, replica: ReplicaState) -> float:
+    if replica.is_local:
         return 0
-    return _FAR_PART * ask.route.objective_seconds
+    return _REMOTE_PENALTY_FRACTION * request.route.objective_seconds
--- a/src/cranecart/dispatch/_forecast.py
+++ b/src/cranecart/dispatch/_forecast.py
@@ -1,33 +1,34 @@
-"""Forecast the first event of a request at a replica, from declared times.
+"""Forecast the time to a request's first event at a replica.
 
-Load answered: counts alone take a large prompt for a small one, a full
-replica for one that is nearly free, and a slow replica for a quick one.
+The forecast uses the declared engine timings. Request counts alone cannot tell
+a long prompt from a short one, a full replica from one that has almost a free
+slot, or a slow replica from a fast one.
 """
 
 from cranecart.dispatch._inputs import DispatchRequest, ReplicaState
 
-# A request is let in between passes, half a pass after it came on average,
-# and its first event ends a pass of its own.
-_PASSES = 1.5
+# Engines admit requests between passes, on average half a pass after arrival,
+# and the first event comes at the end of one more pass.
+_FIRST_EVENT_PASSES = 1.5
 
 
 def forecast(
-    ask: DispatchRequest, standing: ReplicaState, *, behind: bool = False
+    request: DispatchRequest, replica: ReplicaState, *, deferred: bool = False
 ) -> float:
-    """Return the seconds to the first event, by what is believed.
+    """Return the forecast time to the first event, in seconds.
 
-    A request that goes ``behind`` waits for those that wait there already,
-    one that does not passes them.
+    A ``deferred`` request waits behind the requests deferred before it; any
+    other request passes them.
     """
-    slots = ask.engine.slots
-    timing = ask.engine.timing
-    before = standing.in_flight
-    if behind:
-        before += standing.deferred
-    writers = min(before + 1, slots)
-    own = timing.reading_seconds(ask.prompt_tokens)
-    own += _PASSES * timing.pass_seconds(writers)
-    # A full replica ends a request in each mean part of its time.
-    queued = max(0, before + 1 - slots)
-    waiting = queued * ask.completion_interval
-    return own * ask.model.pace + waiting + standing.error_seconds
+    slots = request.engine.slots
+    timing = request.engine.timing
+    ahead = replica.in_flight
+    if deferred:
+        ahead += replica.deferred
+    active = min(ahead + 1, slots)
+    prefill = timing.reading_seconds(request.prompt_tokens)
+    prefill += _FIRST_EVENT_PASSES * timing.pass_seconds(active)
+    # A full replica completes one request per completion interval.
+    queued = max(0, ahead + 1 - slots)
+    waiting = queued * request.completion_interval
+    return prefill * request.model.pace + waiting + replica.error_seconds
--- a/src/cranecart/dispatch/_forecast_errors.py
+++ b/src/cranecart/dispatch/_forecast_errors.py
@@ -1,7 +1,7 @@
-"""Learn how much later than forecast first events come.
+"""Learn by how much first events come later than forecast.
 
-Load answered: a replica that has turned slow looks like any other by its
-counts, and the time that all engines need beside passes is declared nowhere.
+A replica that has become slow is not visible in request counts, and the time
+that engines need beside their passes is not declared.
 """
 
 from collections import defaultdict
@@ -9,19 +9,22 @@
 
 import attrs
 
-# A replica's error follows its last ten or so first events, which come within
-# a second under load; the model's follows slower.
-_REPLICA_PART = 0.15
-_MODEL_PART = 0.02
-# One answer tells no more than so much: it may have waited for others' prompts.
-_MOST_SECONDS = 1.0
-# A replica that got no request for so long is tried anew.
-_FORGOTTEN_SECONDS = 3.0
+# Weights of the moving averages. A replica's average covers about its last ten
+# first events, which arrive within a second under load; the model's average
+# follows more slowly.
+_REPLICA_WEIGHT = 0.15
+_MODEL_WEIGHT = 0.02
+# Bounds the effect of one measurement: the request may have waited for the
+# prompts of others.
+_MAX_ERROR_SECONDS = 1.0
+# A replica without measurements for this long is treated as unmeasured, so
+# that it is tried again.
+_EXPIRY_SECONDS = 3.0
 
 
 @attrs.define
 class ForecastErrors:
-    """The mean errors of each model's forecasts, and of each replica's."""
+    """Moving averages of the forecast error, by model and by replica."""
 
     _models: dict[str, float] = attrs.field(
         factory=lambda: defaultdict(float),
@@ -39,21 +42,21 @@
         seconds: float,
         now: float,
     ) -> None:
-        """Take over by how much a first event was late at a replica."""
-        error = max(-_MOST_SECONDS, min(_MOST_SECONDS, seconds))
-        before = self.expected(name, model, now)
-        after = before + _REPLICA_PART * (error - before)
-        self._replicas[name] = (after, now)
-        self._models[model] += _MODEL_PART * (error - self._models[model])
+        """Add a measurement: how much later a first event came."""
+        error = max(-_MAX_ERROR_SECONDS, min(_MAX_ERROR_SECONDS, seconds))
+        previous = self.expected(name, model, now)
+        updated = previous + _REPLICA_WEIGHT * (error - previous)
+        self._replicas[name] = (updated, now)
+        self._models[model] += _MODEL_WEIGHT * (error - self._models[model])
 
     def expected(self, name: Hashable, model: str, now: float) -> float:
-        """Return how much later than forecast a first event should come."""
+        """Return the expected forecast error at a replica, in seconds."""
         known = self._replicas.get(name)
-        if known is None or now - known[1] > _FORGOTTEN_SECONDS:
+        if known is None or now - known[1] > _EXPIRY_SECONDS:
             return self._models[model]
         return known[0]
 
     def prune(self, names: Collection[Hashable]) -> None:
-        """Forget all replicas but some."""
+        """Drop all replicas but the named ones."""
         for name in self._replicas.keys() - set(names):
             self._replicas.pop(name)
--- a/src/cranecart/dispatch/_inputs.py
+++ b/src/cranecart/dispatch/_inputs.py
@@ -1,24 +1,25 @@
-"""What the door believes of a request and of the replicas it could go to."""
+"""Inputs of the dispatch decision: a request and its candidate replicas."""
 
 import attrs
 
 from cranecart.models import EngineModel, EngineProfile, Route
 
-# Clients leave a stream that is silent for the longest of these, by the
-# users' protocol: seconds, objectives, and allowed pauses.
-_PATIENCE_SECONDS = 2.0
-_PATIENCE_OBJECTIVES = 4.0
-_PATIENCE_PAUSES = 8.0
+# By the platform's protocol, a client abandons a stream after a silence of the
+# longest of these: a number of seconds, multiples of the latency objective,
+# and multiples of the longest pause that the route allows.
+_MIN_WAIT_SECONDS = 2.0
+_WAIT_OBJECTIVES = 4.0
+_WAIT_PAUSES = 8.0
 
 
 @attrs.frozen
 class ReplicaState:
-    """One replica as it is believed to stand now.
+    """The estimated state of one replica.
 
-    ``in_flight`` counts the requests there, of all nodes, ``behind`` those
-    that wait there behind all others, as far as this node knows them.
-    ``error_seconds`` is how much later than forecast its first events came.
-    ``is_near`` tells whether it is in the node's failure domain.
+    ``in_flight`` counts the requests of all nodes at the replica, ``deferred``
+    those that this node has queued there behind all others. ``error_seconds``
+    is by how much recent first events were later than forecast. ``is_local``
+    tells whether the replica is in the node's failure domain.
     """
 
     name: str
@@ -30,12 +31,13 @@
 
 @attrs.frozen
 class DispatchRequest:
-    """One request; times in seconds.
+    """One request to decide about; times in seconds.
 
-    ``elapsed_seconds`` is how long ago its client first asked, as far as that
-    shows, and ``has_returned`` that it was refused before. ``has_begun`` tells
-    of a stream that goes on elsewhere. ``run_seconds`` is the part of a full
-    engine's time that a request of the model takes on average.
+    ``elapsed_seconds`` is the estimated time since the client's first attempt,
+    and ``was_refused`` tells whether that attempt was refused. ``is_resumed``
+    marks a stream that continues after another replica failed.
+    ``completion_interval`` is the mean time between completed requests of the
+    model at a fully occupied replica.
     """
 
     route: Route
@@ -50,15 +52,15 @@
 
     @property
     def objective_seconds(self) -> float:
-        """Return what is left of the objective."""
+        """Return what is left of the latency objective."""
         return self.route.objective_seconds - self.elapsed_seconds
 
     @property
     def max_wait_seconds(self) -> float:
-        """Return how long the client waits for a first event."""
-        patience = max(
-            _PATIENCE_SECONDS,
-            _PATIENCE_OBJECTIVES * self.route.objective_seconds,
-            _PATIENCE_PAUSES * self.route.pause_seconds,
+        """Return how long the client waits for the first event."""
+        longest_wait = max(
+            _MIN_WAIT_SECONDS,
+            _WAIT_OBJECTIVES * self.route.objective_seconds,
+            _WAIT_PAUSES * self.route.pause_seconds,
         )
-        return min(patience, self.remaining_seconds)
+        return min(longest_wait, self.remaining_seconds)
--- a/src/cranecart/routing/__init__.py
+++ b/src/cranecart/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Choose the replica, or the instance of a plain service, for a call."""
+"""Choose the replica, or the instance of a plain service, for a request."""
 
 from cranecart.routing._ejection import OutlierEjection
 from cranecart.routing._in_flight import Target
--- a/src/cranecart/routing/_availability.py
+++ b/src/cranecart/routing/_availability.py
@@ -1,4 +1,4 @@
-"""Leave out the targets that take no request now, by what they have said."""
+"""Leave out targets whose own limits allow no request now."""
 
 from collections.abc import Callable, Sequence
 from typing import TypeVar
@@ -8,64 +8,70 @@
 from cranecart.ports import ListedInstance
 from cranecart.throttling import TargetThrottle
 
-Named = TypeVar('Named', ServingHead, ListedInstance)
-# Draws some targets to decide between.
+TargetT = TypeVar('TargetT', ServingHead, ListedInstance)
+# Samples some replicas to decide between.
 Draw = Callable[[Sequence[ServingHead]], Sequence[ServingHead]]
 
 
 def draw_available(
     heads: Sequence[ServingHead],
-    gate: TargetThrottle,
+    throttle: TargetThrottle,
     rank: int,
     draw: Draw,
-    return_after: Callable[[float], float],
+    retry_after: Callable[[float], float],
 ) -> tuple[Sequence[ServingHead], int]:
-    """Draw some of the replicas that take requests; count those left out.
+    """Sample replicas that accept requests; count those left out.
 
-    All of them are looked at only where none of the first drawn does: among
-    many this costs more than the decision. Raise ``OverloadedError`` where none
-    takes any.
+    Checking all of them costs more than the decision itself where there are
+    many, so that it is done only if none of the first sample accepts. Raise
+    ``OverloadedError`` if no replica does.
     """
-    drawn = draw(heads)
-    if gate.is_unrestricted:
-        return drawn, 0
-    taking = _open_ones(drawn, gate, rank)
-    if taking:
-        return taking, len(drawn) - len(taking)
-    every = available_targets(heads, gate, rank, return_after)
-    return draw(every), len(heads) - len(every)
+    sampled = draw(heads)
+    if throttle.is_unrestricted:
+        return sampled, 0
+    accepting = _accepting(sampled, throttle, rank)
+    if accepting:
+        return accepting, len(sampled) - len(accepting)
+    available = available_targets(heads, throttle, rank, retry_after)
+    return draw(available), len(heads) - len(available)
 
 
 def available_targets(
-    targets: Sequence[Named],
-    gate: TargetThrottle,
+    targets: Sequence[TargetT],
+    throttle: TargetThrottle,
     rank: int,
-    return_after: Callable[[float], float],
-) -> Sequence[Named]:
-    """Return the targets that take requests of a rank.
+    retry_after: Callable[[float], float],
+) -> Sequence[TargetT]:
+    """Return the targets that accept requests of a rank.
 
-    Raise ``OverloadedError`` where none of them does: they are not asked.
-    ``return_after`` makes of the seconds until one does when to come back.
+    Raise ``OverloadedError`` if none does; nothing is sent to them then.
+    ``return_after`` turns the seconds until one accepts into the client's
+    retry time.
     """
-    if gate.is_unrestricted:
+    if throttle.is_unrestricted:
         return targets
-    taking = _open_ones(targets, gate, rank)
-    if taking:
-        return taking
-    gate.record_rejection((one.incarnation for one in targets), rank)
+    accepting = _accepting(targets, throttle, rank)
+    if accepting:
+        return accepting
+    throttle.record_rejection((target.incarnation for target in targets), rank)
     seconds = min(
-        gate.seconds_until_accepted(one.incarnation) for one in targets
+        throttle.seconds_until_accepted(target.incarnation)
+        for target in targets
     )
     raise OverloadedError(
-        f'none of {len(targets)} targets takes more, as they have said; '
-        f'the first does in {seconds:.2f} s',
-        retry_after=return_after(seconds),
+        f'all {len(targets)} targets are at the limits that they announced; '
+        f'the first accepts requests in {seconds:.2f} s',
+        retry_after=retry_after(seconds),
     )
 
 
-def _open_ones(
-    targets: Sequence[Named],
-    gate: TargetThrottle,
+def _accepting(
+    targets: Sequence[TargetT],
+    throttle: TargetThrottle,
     rank: int,
-) -> list[Named]:
-    return [one for one in targets if gate.accepts(one.incarnation, rank)]
+) -> list[TargetT]:
+    return [
+        target
+        for target in targets
+        if throttle.accepts(target.incarnation, rank)
+    ]
--- a/src/cranecart/routing/_ejection.py
+++ b/src/cranecart/routing/_ejection.py
@@ -1,4 +1,4 @@
-"""Pass over targets that keep failing, for a while and never all of them."""
+"""Eject targets that keep failing for a while, but never all of them."""
 
 import operator
 from collections.abc import Callable, Hashable, Iterable
@@ -9,12 +9,12 @@
 from cranecart.clocks import since_boot
 
 Target = TypeVar('Target')
-# What tells targets apart: an id, or a life where ids may come again.
+# Identifies a target: an id, or an incarnation where ids are reused.
 Key = Hashable
 
-_FAILURES = 3
-_FIRST_SECONDS = 1.0
-_LONGEST_SECONDS = 8.0
+_FAILURE_THRESHOLD = 3
+_FIRST_EJECTION_SECONDS = 1.0
+_MAX_EJECTION_SECONDS = 8.0
 
 
 @attrs.define
@@ -25,53 +25,59 @@
 
 @attrs.define
 class OutlierEjection:
-    """Failures in a row by target; each one more doubles the time out.
+    """Counts consecutive failures by target.
 
-    ``_key`` returns what failures of a target are counted under.
+    From the third failure on a target is ejected; each further failure doubles
+    the ejection time. ``_key`` returns the key under which a target's failures
+    are counted.
     """
 
     _clock: Callable[[], float] = since_boot
     _key: Callable[[Any], Key] = operator.attrgetter('id')
     _records: dict[Key, _Record] = attrs.field(factory=dict, init=False)
 
-    def record_failure(self, name: Key, *, reached: bool = True) -> None:
-        """Count a failure that was the target's.
+    def record_failure(self, key: Key, *, reached: bool = True) -> None:
+        """Record a failure that the target caused.
 
-        One that could not be reached at all is passed over at once.
+        A target that could not be reached at all is ejected at once.
         """
-        record = self._records.setdefault(name, _Record())
+        record = self._records.setdefault(key, _Record())
         record.failures += 1
         if not reached:
-            record.failures = max(record.failures, _FAILURES)
-        over = record.failures - _FAILURES
-        if over >= 0:
-            seconds = min(_LONGEST_SECONDS, _FIRST_SECONDS * 2**over)
+            record.failures = max(record.failures, _FAILURE_THRESHOLD)
+        excess = record.failures - _FAILURE_THRESHOLD
+        if excess >= 0:
+            seconds = min(
+                _MAX_EJECTION_SECONDS, _FIRST_EJECTION_SECONDS * 2**excess
+            )
             record.ejected_until = self._clock() + seconds
 
-    def eject_reported(self, name: Key) -> None:
-        """Take over that a target broke another node's connection."""
-        record = self._records.setdefault(name, _Record())
+    def eject_reported(self, key: Key) -> None:
+        """Eject a target that broke another node's connection."""
+        record = self._records.setdefault(key, _Record())
         record.ejected_until = max(
-            record.ejected_until, self._clock() + _FIRST_SECONDS
+            record.ejected_until, self._clock() + _FIRST_EJECTION_SECONDS
         )
 
-    def record_success(self, name: Key) -> None:
-        """Forget a target's failures."""
-        self._records.pop(name, None)
+    def record_success(self, key: Key) -> None:
+        """Reset a target's failures."""
+        self._records.pop(key, None)
 
-    def is_ejected(self, name: Key) -> bool:
-        """Tell whether a target is passed over now."""
-        return self._is_ejected(name, self._clock())
+    def is_ejected(self, key: Key) -> bool:
+        """Tell whether a target is ejected now."""
+        return self._is_ejected(key, self._clock())
 
     def without_ejected(self, targets: Iterable[Target]) -> list[Target]:
-        """Return the targets in good standing, or all if none is."""
-        every = list(targets)
+        """Return the targets that are not ejected, or all if all are."""
+        candidates = list(targets)
         now = self._clock()
-        good = [
-            one for one in every if not self._is_ejected(self._key(one), now)
+        healthy = [
+            target
+            for target in candidates
+            if not self._is_ejected(self._key(target), now)
         ]
-        return good or every
+        return healthy or candidates
 
-    def _is_ejected(self, name: Key, now: float) -> bool:
-        record = self._records.get(name)
+    def _is_ejected(self, key: Key, now: float) -> bool:
+        record = self._records.get(key)
         return record is not None and record.ejected_until > now
--- a/src/cranecart/routing/_in_flight.py
+++ b/src/cranecart/routing/_in_flight.py
@@ -1,4 +1,4 @@
-"""This node's requests at targets, and those that wait behind others."""
+"""This node's requests at targets, counted by instance."""
 
 from collections import Counter
 
@@ -9,12 +9,14 @@
 
 @attrs.frozen(eq=False)
 class Target:
-    """Where one attempt goes, and why.
+    """The target of one attempt, and why it was chosen.
 
-    ``seconds`` is the forecast of the first event, ``error_seconds`` what of
-    it was learned from earlier ones there. A request that ``is_late`` lets
-    those pass that can still be in time. ``passed_over`` counts the targets
-    that take none for what they have said.
+    ``replica_epoch`` is the replica and the epoch in which it was formed, None
+    for an instance of a plain service. ``load`` counts the requests that all
+    nodes had there. ``error_seconds`` is the part of ``forecast_seconds`` that
+    was learned from earlier first events. A request that ``is_deferred`` will
+    miss its objective and lets others pass. ``throttled`` counts the targets
+    that were left out as their own limits allow no request now.
     """
 
     instance: ListedInstance
@@ -30,7 +32,11 @@
 
 @attrs.define
 class InFlightCounts:
-    """Counts by instance; what is late counts as behind until it begins."""
+    """Requests in flight by instance.
+
+    A deferred request counts in ``deferred`` until its first event, and in
+    ``in_flight`` from then on.
+    """
 
     in_flight: Counter[str] = attrs.field(factory=Counter, init=False)
     deferred: Counter[str] = attrs.field(factory=Counter, init=False)
@@ -38,10 +44,10 @@
 
     def add(self, target: Target) -> None:
         """Count a request."""
-        self._counts(target)[target.instance.id] += 1
+        self._counter_of(target)[target.instance.id] += 1
 
     def record_first_event(self, target: Target) -> bool:
-        """Take over a first event; return whether it came as one in time."""
+        """Record a first event; return whether its request was not deferred."""
         if not target.is_deferred:
             return True
         if target not in self._started:
@@ -51,13 +57,13 @@
         return False
 
     def remove(self, target: Target) -> None:
-        """Count a request less."""
-        counts = self._counts(target)
-        counts[target.instance.id] -= 1
-        if counts[target.instance.id] <= 0:
-            counts.pop(target.instance.id)
+        """Stop counting a request."""
+        counter = self._counter_of(target)
+        counter[target.instance.id] -= 1
+        if counter[target.instance.id] <= 0:
+            counter.pop(target.instance.id)
         self._started.discard(target)
 
-    def _counts(self, target: Target) -> Counter[str]:
-        is_behind = target.is_deferred and target not in self._started
-        return self.deferred if is_behind else self.in_flight
+    def _counter_of(self, target: Target) -> Counter[str]:
+        is_waiting = target.is_deferred and target not in self._started
+        return self.deferred if is_waiting else self.in_flight
--- a/src/cranecart/routing/_request.py
+++ b/src/cranecart/routing/_request.py
@@ -1,4 +1,4 @@
-"""What the router needs to know of a request."""
+"""What the router needs to know about a request."""
 
 from collections.abc import Collection
 
@@ -9,12 +9,13 @@
 
 @attrs.frozen
 class RoutingRequest:
-    """One request that looks for a target; times in seconds.
+    """One request that needs a target; times in seconds.
 
-    ``elapsed_seconds`` is how long ago its client first asked; it
-    ``has_returned`` if it was refused before, and ``has_begun`` if it is a
-    stream that goes on elsewhere. ``tried`` targets are left out, those that are
-    ``passed_over`` as long as there are others. Smaller ranks are more urgent.
+    ``elapsed_seconds`` is the time since the client's first attempt,
+    ``was_refused`` tells whether that was refused, and ``is_resumed`` marks a
+    stream that continues after its replica failed. ``tried`` targets are
+    excluded; those that are ``avoided`` are used only if there are no others.
+    Smaller ranks are more urgent.
     """
 
     config: RouteConfig
@@ -32,5 +33,5 @@
 
     @property
     def engine(self) -> EngineProfile | None:
-        """Return what is declared of the service's engines, if it has any."""
+        """Return the service's engine profile, None for a plain service."""
         return self.config.engine(self.service)
--- a/src/cranecart/routing/_router.py
+++ b/src/cranecart/routing/_router.py
@@ -24,7 +24,7 @@
 from cranecart.models import EngineProfile, RouteConfig
 from cranecart.ports import Incarnation, ListedInstance
 from cranecart.routing._availability import (
-    Named,
+    TargetT,
     available_targets,
     draw_available,
 )
@@ -35,30 +35,32 @@
 from cranecart.routing._stalls import StallDetector
 from cranecart.throttling import TargetThrottle
 
-# So many replicas near and as many far are drawn to decide between; more
-# bring nothing where counts of other nodes are a beat old, and each one that is
-# looked at costs the request time.
-_MOST_ASKED = 12
-# Plain services queue up to four times their slots on the users' sheets.
-_PLAIN_QUEUE_PART = 2.0
-# When a replica that forms now is open, and one that must wait for its
-# members first.
+# Replicas sampled to decide between, in each of local and remote. More do not
+# help where the counts of other nodes are one heartbeat old, and each one
+# examined delays the request.
+_SAMPLE_SIZE = 12
+# Plain services queue requests up to four times their slots on the specified
+# deployments.
+_QUEUE_PER_SLOT = 2.0
+# Expected time until a replica that is forming now serves, and until one that
+# first needs members does.
 _FORMING_SECONDS = 0.6
-_NOTHING_FORMS_SECONDS = 2.0
-# In which a full plain service ends a request.
-_FULL_SECONDS = 0.2
+_NO_REPLICA_SECONDS = 2.0
+# Expected time until a full plain service completes a request.
+_BUSY_SECONDS = 0.2
 
 
-def _tell_nobody(_incarnation: Incarnation) -> None:
-    """Serve a router without other nodes."""
+def _report_to_nobody(_incarnation: Incarnation) -> None:
+    """Ignore a report, for a router without other nodes."""
 
 
 @attrs.define
 class TargetRouter:
-    """Routes by the forecast of the first event, or by counts.
+    """Chooses targets by forecast latency or by requests in flight.
 
-    ``_elsewhere`` tells the requests that other nodes have at an instance,
-    ``_run_seconds`` what part of a full engine's time a model's requests take.
+    ``_remote_in_flight`` returns the requests that other nodes have at an
+    instance, ``_completion_interval`` the mean time between completed requests
+    of a model at a fully occupied replica.
     """
 
     _fleet: Fleet
@@ -67,9 +69,9 @@
     _completion_interval: Callable[[str], float]
     _failure_domain: str = ''
     _clock: Callable[[], float] = since_boot
-    # Told of instances of plain services that broke a connection.
+    # Called with instances of plain services that broke a connection.
     _report_broken: Callable[[Incarnation], None] = attrs.field(
-        default=_tell_nobody
+        default=_report_to_nobody
     )
     throttle: TargetThrottle = attrs.field(factory=TargetThrottle)
     gaps: EventGapTracker = attrs.field(factory=EventGapTracker, init=False)
@@ -85,33 +87,33 @@
     )
     _in_flight: InFlightCounts = attrs.field(factory=InFlightCounts, init=False)
 
-    def choose(self, wanted: RoutingRequest) -> Target:
-        """Return where to send.
+    def choose(self, request: RoutingRequest) -> Target:
+        """Return the target to send to.
 
-        Raise ``NoReplicaError`` if nowhere, and ``OverloadedError`` where all
-        targets are full for longer than the client waits.
+        Raise ``NoReplicaError`` if there is none, and ``OverloadedError`` if
+        all targets are full for longer than the client waits.
         """
-        engine = wanted.engine
+        engine = request.engine
         if engine is None:
-            return self._choose_instance(wanted)
-        return self._choose_replica(wanted, engine)
+            return self._choose_instance(request)
+        return self._choose_replica(request, engine)
 
-    def retry_after_seconds(self, wanted: RoutingRequest) -> float:
-        """Return when a client should come back that targets have refused."""
+    def retry_after_seconds(self, request: RoutingRequest) -> float:
+        """Return when a client that targets have refused should retry."""
         targets = _targets(
             self._fleet,
-            wanted.config,
-            wanted.service,
-            wanted.model,
+            request.config,
+            request.service,
+            request.model,
         )
-        expected = min(
+        expected_seconds = min(
             (
                 self.throttle.seconds_until_accepted(one.incarnation)
                 for one in targets
             ),
-            default=_NOTHING_FORMS_SECONDS,
+            default=_NO_REPLICA_SECONDS,
         )
-        return _return_after(self._random, wanted, expected)
+        return _retry_after(self._random, request, expected_seconds)
 
     def has_untried_target(
         self,
@@ -120,9 +122,9 @@
         model: str,
         tried: Collection[str],
     ) -> bool:
-        """Tell whether a request could still go to another target.
+        """Tell whether another target could take the request.
 
-        This is asked with every event of a stream, so that nothing is built.
+        Called for every event of a stream, so that it builds no collection.
         """
         is_open = self.throttle.is_unrestricted
         return any(
@@ -133,7 +135,7 @@
 
     @contextlib.contextmanager
     def track_in_flight(self, target: Target) -> Generator[None, None, None]:
-        """Count one request more at a target while the context lasts."""
+        """Count a request at a target while the context lasts."""
         self._in_flight.add(target)
         try:
             yield
@@ -145,37 +147,39 @@
         return self._in_flight.in_flight
 
     def record_first_event(self, target: Target, model: str) -> None:
-        """Take over that a stream's first event came."""
+        """Record that a stream's first event arrived."""
         if self._in_flight.record_first_event(target):
             seconds = self._clock() - target.sent_at
-            late = seconds - target.forecast_seconds + target.error_seconds
+            error = seconds - target.forecast_seconds + target.error_seconds
             incarnation = target.instance.incarnation
-            self.forecast_errors.record(incarnation, model, late, self._clock())
+            self.forecast_errors.record(
+                incarnation, model, error, self._clock()
+            )
 
     def record_failure(
         self, incarnation: Incarnation, *, reached: bool = True
     ) -> None:
-        """Count a failure that was the instance's."""
+        """Count a failure that the instance caused."""
         self._ejection.record_failure(incarnation, reached=reached)
 
     def record_broken_connection(self, incarnation: Incarnation) -> None:
-        """Take over that an instance of a plain service broke a connection.
+        """Eject an instance of a plain service that broke a connection.
 
-        It may go down and up, and each of many nodes sends it too little to
-        find that out: all pass it over at once, for a while. In drawn faults
-        13 of 1,000 calls fail, and 28 where each node waits for three of its
-        own.
+        The instance may be restarting repeatedly, and each of many nodes sends
+        it too little to find that out alone, so that all nodes eject it for a
+        while. Under random faults this fails 13 of 1,000 calls, against 28
+        where each node waits for three failures of its own.
         """
-        is_news = not self._ejection.is_ejected(incarnation)
+        is_new = not self._ejection.is_ejected(incarnation)
         self._ejection.record_failure(incarnation, reached=False)
-        if is_news:
+        if is_new:
             decision(
                 'target_passed_over', instance=incarnation.id, by='this node'
             )
             self._report_broken(incarnation)
 
     def eject_reported(self, incarnation: Incarnation) -> None:
-        """Take over that an instance broke another node's connection."""
+        """Eject an instance that broke another node's connection."""
         if not self._ejection.is_ejected(incarnation):
             decision(
                 'target_passed_over', instance=incarnation.id, by='another node'
@@ -183,11 +187,11 @@
         self._ejection.eject_reported(incarnation)
 
     def record_success(self, incarnation: Incarnation) -> None:
-        """Forget an instance's failures."""
+        """Reset an instance's failures."""
         self._ejection.record_success(incarnation)
 
     def is_stalled(self, target: Target, model: str) -> bool:
-        """Tell whether a replica gives none of its streams anything."""
+        """Tell whether a replica has stopped sending on all of its streams."""
         return self.stalls.is_stalled(target.instance.incarnation, model)
 
     def load(self, name: str) -> int:
@@ -199,162 +203,166 @@
         return StallDetector(self.gaps.stall_seconds)
 
     def _choose_replica(
-        self, wanted: RoutingRequest, engine: EngineProfile
+        self, request: RoutingRequest, engine: EngineProfile
     ) -> Target:
-        model = engine.model(wanted.model)
-        allowed = self._eligible_heads(wanted)
-        if not allowed or model is None:
-            raise self._no_replica(wanted)
-        taking, passed_over = draw_available(
-            allowed,
+        model = engine.model(request.model)
+        eligible = self._eligible_heads(request)
+        if not eligible or model is None:
+            raise self._no_replica(request)
+        available, throttled = draw_available(
+            eligible,
             self.throttle,
-            wanted.rank,
-            functools.partial(_draw, self._random, self._failure_domain),
-            functools.partial(_return_after, self._random, wanted),
+            request.rank,
+            functools.partial(_sample, self._random, self._failure_domain),
+            functools.partial(_retry_after, self._random, request),
         )
         heads = {
-            head.id: head for head in self._without_unhealthy(taking, wanted)
+            head.id: head
+            for head in self._without_unhealthy(available, request)
         }
-        ask = DispatchRequest(
-            wanted.route,
+        dispatch_request = DispatchRequest(
+            request.route,
             engine,
             model,
-            wanted.prompt_tokens,
-            wanted.elapsed_seconds,
-            wanted.remaining_seconds,
-            self._completion_interval(wanted.model),
-            wanted.was_refused,
-            wanted.is_resumed,
+            request.prompt_tokens,
+            request.elapsed_seconds,
+            request.remaining_seconds,
+            self._completion_interval(request.model),
+            request.was_refused,
+            request.is_resumed,
         )
-        standings = [self._replica_state(one, wanted) for one in heads.values()]
-        chosen = decide(ask, standings)
-        if isinstance(chosen, Refuse):
+        states = [self._replica_state(one, request) for one in heads.values()]
+        choice = decide(dispatch_request, states)
+        if isinstance(choice, Refuse):
             raise OverloadedError(
-                f'a place is due {chosen.excess_seconds:.2f} s after its client left',
-                retry_after=_return_after(
-                    self._random, wanted, chosen.excess_seconds
+                f'a slot is expected {choice.excess_seconds:.2f} s after '
+                'the client gives up',
+                retry_after=_retry_after(
+                    self._random, request, choice.excess_seconds
                 ),
             )
-        head = heads[chosen.name]
+        head = heads[choice.name]
         self.throttle.record_sent(head.incarnation)
         return Target(
             head.head,
             head.forming,
             self.load(head.id),
-            'behind those in time' if chosen.is_deferred else 'in time',
+            'deferred: too late for its objective'
+            if choice.is_deferred
+            else 'in time',
             self._clock(),
-            chosen.forecast_seconds,
-            self._forecast_error(head.incarnation, wanted.model),
-            chosen.is_deferred,
-            passed_over,
+            choice.forecast_seconds,
+            self._forecast_error(head.incarnation, request.model),
+            choice.is_deferred,
+            throttled,
         )
 
     def _without_unhealthy(
         self,
         drawn: Sequence[ServingHead],
-        wanted: RoutingRequest,
+        request: RoutingRequest,
     ) -> Sequence[ServingHead]:
-        """Leave out replicas in doubt, but where no other is left."""
-        good = self._ejection.without_ejected(drawn)
-        moving = [
+        """Leave out ejected and stalled replicas, unless no other is left."""
+        healthy = self._ejection.without_ejected(drawn)
+        active = [
             one
-            for one in good
-            if not self.stalls.is_stalled(one.incarnation, wanted.model)
+            for one in healthy
+            if not self.stalls.is_stalled(one.incarnation, request.model)
         ]
-        return moving or good
+        return active or healthy
 
-    def _eligible_heads(self, wanted: RoutingRequest) -> Sequence[ServingHead]:
-        heads = self._fleet.heads(wanted.service, wanted.model)
-        if not wanted.tried and not wanted.avoided:
+    def _eligible_heads(self, request: RoutingRequest) -> Sequence[ServingHead]:
+        heads = self._fleet.heads(request.service, request.model)
+        if not request.tried and not request.avoided:
             return heads
-        return _allowed(heads, wanted)
+        return _eligible(heads, request)
 
     def _replica_state(
-        self, head: ServingHead, wanted: RoutingRequest
+        self, head: ServingHead, request: RoutingRequest
     ) -> ReplicaState:
         return ReplicaState(
             head.id,
             self.load(head.id),
             self._in_flight.deferred[head.id],
-            self._forecast_error(head.incarnation, wanted.model),
+            self._forecast_error(head.incarnation, request.model),
             head.head.failure_domain == self._failure_domain,
         )
 
     def _forecast_error(self, incarnation: Incarnation, model: str) -> float:
         return self.forecast_errors.expected(incarnation, model, self._clock())
 
-    def _no_replica(self, wanted: RoutingRequest) -> NoReplicaError:
-        forms = self._fleet.recorded.is_forming(wanted.service, wanted.model)
-        expected = _FORMING_SECONDS if forms else _NOTHING_FORMS_SECONDS
+    def _no_replica(self, request: RoutingRequest) -> NoReplicaError:
+        forms = self._fleet.recorded.is_forming(request.service, request.model)
+        expected_seconds = _FORMING_SECONDS if forms else _NO_REPLICA_SECONDS
         return NoReplicaError(
-            f'no whole replica of {wanted.model!r} serves',
-            retry_after=_return_after(self._random, wanted, expected),
+            f'no complete replica of {request.model!r} is serving',
+            retry_after=_retry_after(self._random, request, expected_seconds),
         )
 
-    def _choose_instance(self, wanted: RoutingRequest) -> Target:
-        allowed = _allowed(self._fleet.plain(wanted.service), wanted)
-        if not allowed:
+    def _choose_instance(self, request: RoutingRequest) -> Target:
+        eligible = _eligible(self._fleet.plain(request.service), request)
+        if not eligible:
             raise NoReplicaError(
-                f'no instance of {wanted.service!r} serves',
-                retry_after=_NOTHING_FORMS_SECONDS,
+                f'no instance of {request.service!r} is serving',
+                retry_after=_NO_REPLICA_SECONDS,
             )
         instances = available_targets(
-            allowed,
+            eligible,
             self.throttle,
-            wanted.rank,
-            functools.partial(_return_after, self._random, wanted),
+            request.rank,
+            functools.partial(_retry_after, self._random, request),
         )
-        good = self._ejection.without_ejected(instances)
-        chosen = min(good, key=self._load_then_random)
-        if _is_full(chosen, self.load(chosen.id)):
-            # What is passed over may be well again; those others refuse.
-            chosen = min(instances, key=self._load_then_random)
-        load = self.load(chosen.id)
-        if _is_full(chosen, load):
+        healthy = self._ejection.without_ejected(instances)
+        choice = min(healthy, key=self._load_then_random)
+        if _is_full(choice, self.load(choice.id)):
+            # An ejected instance may work again; the others would refuse.
+            choice = min(instances, key=self._load_then_random)
+        load = self.load(choice.id)
+        if _is_full(choice, load):
             raise OverloadedError(
-                f'the least loaded target has {load} requests',
-                retry_after=_return_after(self._random, wanted, _FULL_SECONDS),
+                f'all instances are full; the least loaded has {load} requests',
+                retry_after=_retry_after(self._random, request, _BUSY_SECONDS),
             )
-        self.throttle.record_sent(chosen.incarnation)
+        self.throttle.record_sent(choice.incarnation)
         return Target(
-            chosen,
+            choice,
             None,
             load,
             'fewest in flight',
             self._clock(),
-            throttled=len(allowed) - len(instances),
+            throttled=len(eligible) - len(instances),
         )
 
     def _load_then_random(self, one: ListedInstance) -> tuple[int, float]:
         return self.load(one.id), self._random.random()
 
 
-def _draw(
+def _sample(
     source: random.Random,
     failure_domain: str,
     heads: Sequence[ServingHead],
 ) -> Sequence[ServingHead]:
-    """Draw replicas to decide between, near ones and far ones."""
-    near: list[ServingHead] = []
-    far: list[ServingHead] = []
+    """Sample replicas to decide between, local and remote ones."""
+    local: list[ServingHead] = []
+    remote: list[ServingHead] = []
     for one in heads:
-        is_near = one.head.failure_domain == failure_domain
-        (near if is_near else far).append(one)
+        is_local = one.head.failure_domain == failure_domain
+        (local if is_local else remote).append(one)
     return [
         head
-        for side in (near, far)
-        for head in source.sample(side, min(_MOST_ASKED, len(side)))
+        for side in (local, remote)
+        for head in source.sample(side, min(_SAMPLE_SIZE, len(side)))
     ]
 
 
-def _return_after(
+def _retry_after(
     source: random.Random,
-    wanted: RoutingRequest,
-    expected: float,
+    request: RoutingRequest,
+    expected_seconds: float,
 ) -> float:
-    """Return when a refused client should come back, drawn for it."""
+    """Return when a refused client should retry, spread at random."""
     return spread_retry_after(
-        expected, wanted.remaining_seconds, source.random()
+        expected_seconds, request.remaining_seconds, source.random()
     )
 
 
@@ -370,11 +378,13 @@
 
 
 def _is_full(instance: ListedInstance, load: int) -> bool:
-    return load >= instance.slots * (1 + _PLAIN_QUEUE_PART)
+    return load >= instance.slots * (1 + _QUEUE_PER_SLOT)
 
 
-def _allowed(targets: Sequence[Named], wanted: RoutingRequest) -> list[Named]:
-    """Leave out those that were tried, and if possible those passed over."""
-    left = [one for one in targets if one.id not in wanted.tried]
-    good = [one for one in left if one.id not in wanted.avoided]
-    return good or left
+def _eligible(
+    targets: Sequence[TargetT], request: RoutingRequest
+) -> list[TargetT]:
+    """Leave out tried targets and, if others remain, avoided ones."""
+    untried = [one for one in targets if one.id not in request.tried]
+    preferred = [one for one in untried if one.id not in request.avoided]
+    return preferred or untried
--- a/src/cranecart/routing/_stalls.py
+++ b/src/cranecart/routing/_stalls.py
@@ -1,10 +1,10 @@
-"""Which replicas have fallen silent as a whole; no I/O.
+"""Detect replicas that have stopped sending events on all streams; no I/O.
 
-Load answered: a replica that lost a member, or is cut off from this node, goes
-on taking requests while it answers none of them. Requests went on being sent
-there for over a second, and each lost its objective. One stream's silence says
-little, as a stream may wait for others' prompts; where several streams are due
-and not one event comes, the replica stands still for this node.
+A replica that lost a member, or is cut off from this node, goes on accepting
+requests and answers none of them; requests that were sent there missed their
+objective. The silence of one stream says little, as it may wait for the
+prompts of others. Where several streams have begun and none of them brings an
+event, the replica is stalled.
 """
 
 import contextlib
@@ -15,18 +15,19 @@
 
 from cranecart.clocks import since_boot
 
-# Streams whose events must all stay away.
-_LEAST_STREAMS = 2
-# A replica's events come together, at most as far apart as those of its
-# streams do in all but one of a hundred cases; half as long again is clear.
-_FACTOR = 1.5
+# Streams that must all be silent.
+_MIN_STREAMS = 2
+# The events of a replica's streams come close together: their gaps are no
+# longer than the 99th percentile of the gaps within one stream. Half as much
+# again is a clear stall.
+_STALL_FACTOR = 1.5
 
 
 @attrs.define
 class StallDetector:
-    """When each replica last gave an event, and how many streams are due.
+    """The time of each replica's last event, and its number of begun streams.
 
-    ``_suspect_seconds`` tells how long a stream of a model may be silent.
+    ``_stall_seconds`` returns how long a stream of a model may be silent.
     """
 
     _stall_seconds: Callable[[str], float]
@@ -40,44 +41,44 @@
 
     @contextlib.contextmanager
     def track_stream(
-        self, name: Hashable
+        self, key: Hashable
     ) -> Generator['StreamActivity', None, None]:
-        """Follow a stream of an instance; it counts from its first event."""
-        stream = StreamActivity(self, name)
+        """Track a stream of a replica, which counts from its first event."""
+        stream = StreamActivity(self, key)
         try:
             yield stream
         finally:
             if stream.has_started:
-                self._remove_stream(name)
+                self._remove_stream(key)
 
-    def record_event(self, name: Hashable, is_first: bool) -> None:
-        """Take over that a stream of an instance brought something."""
-        self._active_streams[name] += is_first
-        self._last_event_at[name] = self._clock()
+    def record_event(self, key: Hashable, is_first: bool) -> None:
+        """Record an event on a stream of a replica."""
+        self._active_streams[key] += is_first
+        self._last_event_at[key] = self._clock()
 
-    def is_stalled(self, name: Hashable, model: str) -> bool:
-        """Tell whether an instance gives none of its streams anything."""
-        if self._active_streams[name] < _LEAST_STREAMS:
+    def is_stalled(self, key: Hashable, model: str) -> bool:
+        """Tell whether a replica has stopped sending on all of its streams."""
+        if self._active_streams[key] < _MIN_STREAMS:
             return False
-        silence = self._clock() - self._last_event_at[name]
-        return silence > _FACTOR * self._stall_seconds(model)
+        silence = self._clock() - self._last_event_at[key]
+        return silence > _STALL_FACTOR * self._stall_seconds(model)
 
-    def _remove_stream(self, name: Hashable) -> None:
-        self._active_streams[name] -= 1
-        if self._active_streams[name] <= 0:
-            self._active_streams.pop(name)
-            self._last_event_at.pop(name, None)
+    def _remove_stream(self, key: Hashable) -> None:
+        self._active_streams[key] -= 1
+        if self._active_streams[key] <= 0:
+            self._active_streams.pop(key)
+            self._last_event_at.pop(key, None)
 
 
 @attrs.define
 class StreamActivity:
-    """One stream's part in what is known of its instance."""
+    """Reports the events of one stream to the detector."""
 
     _detector: StallDetector
-    _name: Hashable
+    _key: Hashable
     has_started: bool = attrs.field(default=False, init=False)
 
     def record_event(self) -> None:
-        """Take over that the stream brought something."""
-        self._detector.record_event(self._name, not self.has_started)
+        """Record that the stream brought an event."""
+        self._detector.record_event(self._key, not self.has_started)
         self.has_started = True
--- a/src/cranecart/selection/__init__.py
+++ b/src/cranecart/selection/__init__.py
@@ -1,4 +1,4 @@
-"""Which replica or service instance a native node sends to."""
+"""Target selection on the native path: replicas and service instances."""
 
 from cranecart.selection._policies import POLICIES, policy_from_name
 from cranecart.selection._router import Router
--- a/src/cranecart/selection/_policies.py
+++ b/src/cranecart/selection/_policies.py
@@ -1,4 +1,4 @@
-"""Ways to choose among whole replicas; one is picked in the settings."""
+"""Policies for choosing among complete replicas, selected in the settings."""
 
 import hashlib
 import random
@@ -9,7 +9,7 @@
 from cranecart.targets import ServingReplica
 
 _DIGEST_BYTES = 8
-_PAIR = 2
+_SAMPLE_SIZE = 2
 
 Load = Callable[[ServingReplica], float]
 
@@ -18,8 +18,8 @@
 class PrefixAffinity:
     """Rendezvous hashing by prompt prefix, with bounded load.
 
-    All nodes rank replicas alike without a message, so that prefix caches
-    stay warm; a replica over ``bound`` times the mean load is passed over.
+    All nodes rank replicas alike without communicating, so that prefix caches
+    stay warm. A replica above ``bound`` times the mean load is passed over.
     """
 
     bound: float = 1.25
@@ -27,12 +27,12 @@
 
 @attrs.frozen
 class TwoChoices:
-    """The less loaded of two replicas drawn at random."""
+    """The less loaded of two replicas sampled at random."""
 
 
 @attrs.frozen
 class LeastLoaded:
-    """The least loaded replica, as far as late reports tell."""
+    """The least loaded replica, by load reports that may be stale."""
 
 
 Policy = PrefixAffinity | TwoChoices | LeastLoaded
@@ -42,7 +42,7 @@
 
 @attrs.frozen
 class Choice:
-    """The chosen replica, why, and which were passed over for it."""
+    """The chosen replica, the reason, and the replicas passed over for it."""
 
     replica: ServingReplica
     reason: str
@@ -50,7 +50,7 @@
 
 
 def policy_from_name(name: str) -> Policy:
-    """Return the policy of a setting; raise ``ValueError`` if unknown."""
+    """Return the policy for a setting; raise ``ValueError`` if unknown."""
     match name:
         case 'prefix':
             return PrefixAffinity()
@@ -58,7 +58,7 @@
             return TwoChoices()
         case 'least_loaded':
             return LeastLoaded()
-    raise ValueError(f'there is no routing policy {name!r}')
+    raise ValueError(f'unknown routing policy: {name!r}')
 
 
 def choose(
@@ -66,15 +66,15 @@
     replicas: Sequence[ServingReplica],
     prefix: str,
     load: Load,
-    source: random.Random,
+    rng: random.Random,
 ) -> Choice:
     """Choose one of at least one replica."""
     match policy:
         case PrefixAffinity():
             return _by_prefix(policy, replicas, prefix, load)
         case TwoChoices():
-            drawn = source.sample(replicas, min(_PAIR, len(replicas)))
-            return Choice(min(drawn, key=load), 'less loaded of two')
+            sampled = rng.sample(replicas, min(_SAMPLE_SIZE, len(replicas)))
+            return Choice(min(sampled, key=load), 'less loaded of two')
         case LeastLoaded():
             return Choice(min(replicas, key=load), 'least loaded')
 
@@ -96,9 +96,9 @@
         for replica in (*ranked, min(ranked, key=load))
         if load(replica) <= policy.bound * mean + 1 / replica.slots
     )
-    over = ranked[: ranked.index(chosen)]
-    reason = 'first for its prefix over its load' if over else 'prefix'
-    return Choice(chosen, reason, tuple(replica.id for replica in over))
+    skipped = ranked[: ranked.index(chosen)]
+    reason = 'prefix, passing over overloaded replicas' if skipped else 'prefix'
+    return Choice(chosen, reason, tuple(replica.id for replica in skipped))
 
 
 def _score(prefix: str, replica_id: str) -> bytes:
--- a/src/cranecart/selection/_router.py
+++ b/src/cranecart/selection/_router.py
@@ -1,4 +1,4 @@
-"""Choose targets among those that serve, near ones first."""
+"""Choose targets among the serving ones, preferring local ones."""
 
 import contextlib
 import random
@@ -26,7 +26,7 @@
 
 @attrs.define
 class Router:
-    """Routes calls of one node, with its own counts of work in flight."""
+    """Routes the calls of one node, counting its own calls in flight."""
 
     _directory: Directory
     _random: random.Random
@@ -41,21 +41,23 @@
         call: CompletionCall,
         tried: Collection[str] = (),
     ) -> ServingReplica:
-        """Return a whole replica; raise ``NoReplicaError`` if none is left.
+        """Return a complete replica; raise ``NoReplicaError`` if none is left.
 
-        Replicas of the own failure domain go first; among them the policy
-        chooses.
+        Replicas of the node's own failure domain are preferred; among those
+        the policy chooses.
         """
-        matching = [
+        candidates = [
             replica
             for replica in self._directory.replicas()
             if _serves(replica, call) and replica.id not in tried
         ]
-        if not matching:
-            raise NoReplicaError(f'no whole replica of {call.model} serves')
+        if not candidates:
+            raise NoReplicaError(
+                f'no complete replica of {call.model} is serving'
+            )
         choice = choose(
             self._policy,
-            self._prefer_local(self._ejection.without_ejected(matching)),
+            self._prefer_local(self._ejection.without_ejected(candidates)),
             call.prefix,
             self.load,
             self._random,
@@ -81,22 +83,22 @@
         tried: Collection[str] = (),
     ) -> Instance:
         """Return an instance of a plain service, the less loaded of two."""
-        matching = [
+        candidates = [
             instance
             for instance in self._directory.services(call.service)
             if instance.id not in tried
         ]
-        if not matching:
-            raise NoReplicaError(f'no instance of {call.service} serves')
-        matching = self._ejection.without_ejected(matching)
-        near = [
+        if not candidates:
+            raise NoReplicaError(f'no instance of {call.service} is serving')
+        candidates = self._ejection.without_ejected(candidates)
+        local = [
             instance
-            for instance in matching
+            for instance in candidates
             if instance.failure_domain == self._directory.failure_domain
         ]
-        pool = near or matching
-        pair = self._random.sample(pool, min(2, len(pool)))
-        chosen = min(pair, key=lambda instance: self._in_flight[instance.id])
+        preferred = local or candidates
+        sampled = self._random.sample(preferred, min(2, len(preferred)))
+        chosen = min(sampled, key=lambda instance: self._in_flight[instance.id])
         decision(
             'routed',
             request=call.request_id,
@@ -110,7 +112,7 @@
 
     @contextlib.contextmanager
     def track_in_flight(self, name: str) -> Generator[None, None, None]:
-        """Count one call more at a target while the context lasts."""
+        """Count a call at a target while the context lasts."""
         self._in_flight[name] += 1
         try:
             yield
@@ -122,7 +124,7 @@
         self._ejection.record_success(name)
 
     def load(self, replica: ServingReplica) -> float:
-        """Return work in flight a slot: the larger of reported and own."""
+        """Return the load per slot: the larger of reported and own calls."""
         reported = replica.running + replica.queued
         return max(reported, self._in_flight[replica.id]) / replica.slots
 
@@ -130,13 +132,13 @@
         self,
         replicas: Iterable[ServingReplica],
     ) -> list[ServingReplica]:
-        every = list(replicas)
-        near = [
+        candidates = list(replicas)
+        local = [
             replica
-            for replica in every
+            for replica in candidates
             if replica.failure_domain == self._directory.failure_domain
         ]
-        return near or every
+        return local or candidates
 
 
 def _serves(replica: ServingReplica, call: CompletionCall) -> bool:
