--- a/src/cranecart/limits/__init__.py
+++ b/src/cranecart/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Admission: organisations' shares, and shedding when full."""
+"""Admission control: organisations' limits, and load shedding."""
 
 from cranecart.limits._admission import Admission, Capacity
 from cranecart.limits._rates import TokenRateLimiter
--- a/src/cranecart/limits/_admission.py
+++ b/src/cranecart/limits/_admission.py
@@ -1,4 +1,4 @@
-"""Decide at the door whether a call may come in now."""
+"""Decide whether a node admits a call."""
 
 import contextlib
 import math
@@ -12,17 +12,17 @@
 from cranecart.limits._rates import TokenRateLimiter
 from cranecart.limits._shares import LimitShares
 
-_ALL = 1.0
+_FULL = 1.0
 
 
 @attrs.frozen
 class Capacity:
-    """How many calls a node holds, and how full is full for a priority."""
+    """How many calls a node holds, and the usable part of it by priority."""
 
     calls: int = 512
     fill: Mapping[Priority, float] = attrs.field(
         factory=lambda: {
-            Priority.HIGH: _ALL,
+            Priority.HIGH: _FULL,
             Priority.NORMAL: 0.9,
             Priority.LOW: 0.7,
         },
@@ -31,10 +31,10 @@
 
 @attrs.define
 class Admission:
-    """Counts the calls inside one node and keeps limits and capacity.
+    """Counts the calls in progress in one node; enforces limits and capacity.
 
-    Over all nodes an organisation has at most its limit of calls in
-    progress, and at most one more a node, as shares are rounded up.
+    Shares are rounded up, so that over all nodes an organisation has at most
+    its limit of calls in progress plus one for each node.
     """
 
     _capacity: Capacity
@@ -54,9 +54,9 @@
         priority: Priority,
         tokens: int = 0,
     ) -> Generator[None, None, None]:
-        """Hold a place while a call is in progress.
+        """Admit a call for as long as the context lasts.
 
-        Raise ``LimitedError`` or ``OverloadedError`` at once, never wait.
+        Raise ``LimitedError`` or ``OverloadedError`` at once; never wait.
         """
         name = organisation.name
         self._shares.call_started(name)
@@ -83,9 +83,11 @@
     ) -> None:
         name = organisation.name
         if self._in_progress[name] >= self.allowance(organisation):
-            raise LimitedError(f'{name} has its share of calls in progress')
+            raise LimitedError(
+                f'{name} has reached its limit of concurrent requests'
+            )
         limit = self._capacity.calls * self._capacity.fill[priority]
         if self.in_progress >= limit:
             raise OverloadedError(
-                f'the node is too full for priority {priority.value}',
+                f'the node is at capacity for requests of priority {priority.value}',
             )
--- a/src/cranecart/limits/_rates.py
+++ b/src/cranecart/limits/_rates.py
@@ -1,4 +1,4 @@
-"""Tokens a second of each organisation, as far as this node's share goes."""
+"""Limits on the tokens a second of each organisation, by node share."""
 
 from collections.abc import Callable
 
@@ -26,23 +26,23 @@
     _buckets: dict[str, _Bucket] = attrs.field(factory=dict, init=False)
 
     def take(self, organisation: OrganisationSpec, tokens: int) -> None:
-        """Take tokens; raise ``LimitedError`` with when to come back.
+        """Take tokens; raise ``LimitedError`` with the time to retry after.
 
-        A call for more than a whole burst is let in once the bucket is full,
-        and what it takes too much is owed.
+        A call for more than a burst is admitted once the bucket is full, and
+        its excess leaves the bucket in debt.
         """
         now = self._clock()
         name = organisation.name
         rate = organisation.limits.tokens_per_second * self._share(name)
-        most = rate * _BURST_SECONDS
-        bucket = self._buckets.setdefault(name, _Bucket(most, now))
-        earned = (now - bucket.refilled_at) * rate
-        bucket.tokens = min(most, bucket.tokens + earned)
+        burst = rate * _BURST_SECONDS
+        bucket = self._buckets.setdefault(name, _Bucket(burst, now))
+        accrued = (now - bucket.refilled_at) * rate
+        bucket.tokens = min(burst, bucket.tokens + accrued)
         bucket.refilled_at = now
-        missing = min(tokens, most) - bucket.tokens
+        missing = min(tokens, burst) - bucket.tokens
         if missing > 0:
             raise LimitedError(
-                f'{name} has used its tokens a second',
+                f'{name} has exceeded its limit of tokens per second',
                 retry_after=missing / rate,
             )
         bucket.tokens -= tokens
--- a/src/cranecart/limits/_shares.py
+++ b/src/cranecart/limits/_shares.py
@@ -1,13 +1,13 @@
-"""Divide organisations' limits over all nodes by recent demand.
-
-A node's share is its part of the demand that all nodes publish, and an even
-part of what nobody wants. By demand alone a node that had just started got
-a sixteenth of a limit, and refused calls while four fifths of it were free.
-A share is lowered at once, but raised only after every other node has had time
-to lower its own, or by what a node that stops in order leaves, so that the
-shares of nodes that hear each other add up to one at most. The demand of a node
-that died is kept for a while, so that a node that is cut off goes on with
-about the share that it had.
+"""Divide organisations' limits between nodes by recent demand.
+
+A node's share of a limit is its part of the demand that all nodes publish, and
+an even part of what is not in demand. By demand alone a node that had just
+started got a sixteenth of a limit, and refused calls while four fifths of it
+were free. A share is lowered at once, but raised only after all other nodes
+have had time to lower theirs, or by the part that a node leaves when it shuts
+down in order, so that the shares of nodes that see each other add up to one at
+most. The demand of a failed node is kept for a while, so that a node that is
+cut off from the others keeps about its share.
 """
 
 from collections import Counter, deque
@@ -19,29 +19,29 @@
 
 RAISE_DELAY_SECONDS = 3.0
 DEMAND_RETENTION_SECONDS = 60.0
-_HOLD_SECONDS = 3.0
-# A node's own demand counts for its share once the others know it as well, so
-# that all work with the same figures; otherwise shares added up to 1.9 while
-# demand moved.
-_KNOWN_SECONDS = 1.0
-# How far apart the own demands are that are remembered for that.
-_SAMPLED_SECONDS = 0.05
-# What a node without demand weighs at least, so that it can begin at once.
+_PEAK_SECONDS = 3.0
+# A node's own demand counts for its share only once the other nodes know it as
+# well, so that all compute with the same figures; otherwise the shares added
+# up to 1.9 while demand changed.
+_PROPAGATION_SECONDS = 1.0
+# Minimum time between the kept samples of the node's own demand.
+_SAMPLE_INTERVAL_SECONDS = 0.05
+# Minimum weight of a node without demand, so that it can admit calls at once.
 _IDLE_WEIGHT = 1
 
 Demand = Mapping[str, int]
 
 
 @attrs.frozen
-class _Heard:
+class _RemoteDemand:
     demand: Demand
     nodes: int
     received_at: float
 
 
 @attrs.define
-class _Raise:
-    """A higher share that has to wait; the lowest wanted meanwhile counts."""
+class _PendingRaise:
+    """A raise that is being delayed; ``share`` is its lowest target so far."""
 
     since: float
     share: float
@@ -61,34 +61,41 @@
         init=False,
     )
     _open_calls: Counter[str] = attrs.field(factory=Counter, init=False)
-    _remote_demand: dict[str, _Heard] = attrs.field(factory=dict, init=False)
+    _remote_demand: dict[str, _RemoteDemand] = attrs.field(
+        factory=dict, init=False
+    )
     _shares: dict[str, float] = attrs.field(factory=dict, init=False)
     _limits: dict[str, int] = attrs.field(factory=dict, init=False)
-    _raises: dict[str, _Raise] = attrs.field(factory=dict, init=False)
+    _pending_raises: dict[str, _PendingRaise] = attrs.field(
+        factory=dict, init=False
+    )
 
     def call_started(self, organisation: str) -> None:
-        """Count a call that came in, admitted or not."""
+        """Count an incoming call, admitted or not."""
         self._open_calls[organisation] += 1
         now = self._clock()
         peak, at = self._peaks.get(organisation, (0, now))
-        wanted = self._open_calls[organisation]
-        if wanted >= peak or now - at > _HOLD_SECONDS:
-            self._peaks[organisation] = (wanted, now)
+        open_calls = self._open_calls[organisation]
+        if open_calls >= peak or now - at > _PEAK_SECONDS:
+            self._peaks[organisation] = (open_calls, now)
 
     def call_ended(self, organisation: str) -> None:
-        """Count a call that ended or was turned away."""
+        """Stop counting a call that ended or was refused."""
         self._open_calls[organisation] -= 1
 
     def demand(self) -> dict[str, int]:
-        """Return the most calls at once of each organisation, recently."""
+        """Return the recent peak of concurrent calls of each organisation."""
         now = self._clock()
         self._peaks = {
             name: (max(peak, self._open_calls[name]), at)
             for name, (peak, at) in self._peaks.items()
-            if now - at <= _HOLD_SECONDS or self._open_calls[name]
+            if now - at <= _PEAK_SECONDS or self._open_calls[name]
         }
         demand = {name: peak for name, (peak, _at) in self._peaks.items()}
-        if not self._samples or now - self._samples[-1][0] > _SAMPLED_SECONDS:
+        if (
+            not self._samples
+            or now - self._samples[-1][0] > _SAMPLE_INTERVAL_SECONDS
+        ):
             self._samples.append((now, demand))
         while len(self._samples) > 1 and self._is_published(
             self._samples[1], now
@@ -99,81 +106,86 @@
     def record_demand(
         self, source: str, demand: Demand, nodes: int = 1
     ) -> None:
-        """Take over the demand of another node, or of a failure domain."""
-        self._remote_demand[source] = _Heard(demand, nodes, self._clock())
+        """Record the demand of another node, or of a failure domain."""
+        self._remote_demand[source] = _RemoteDemand(
+            demand, nodes, self._clock()
+        )
 
     def add_sources(self, sources: Iterable[str]) -> None:
-        """Count nodes that are known but have told no demand yet."""
+        """Add nodes that are known but have not published any demand yet."""
         for source in sources:
             if source not in self._remote_demand:
                 self.record_demand(source, {})
 
     def remove_source(self, source: str) -> None:
-        """Drop a node's demand, as it stopped in order.
+        """Drop the demand of a node that has shut down in order.
 
-        It admits nothing more and its clients come to the others, so what it
-        leaves is taken at once; nobody has to lower a share for that.
+        It admits no more calls and its clients move to other nodes, so that
+        the others take over its share at once; no node has to lower its own
+        for that.
         """
         if source not in self._remote_demand:
             return
-        before = {name: self._target_share(name) for name in self._shares}
+        previous = {name: self._target_share(name) for name in self._shares}
         self._remote_demand.pop(source)
-        for name, target in before.items():
-            left = self._target_share(name) - target
-            self._shares[name] = min(1, self._shares[name] + left)
+        for name, target in previous.items():
+            freed = self._target_share(name) - target
+            self._shares[name] = min(1, self._shares[name] + freed)
 
     def total_demand(self, sources: Iterable[str]) -> Counter[str]:
-        """Return the demand of some sources together."""
-        together: Counter[str] = Counter()
+        """Return the total demand of some sources."""
+        total: Counter[str] = Counter()
         for source in self._remote_demand.keys() & set(sources):
-            together.update(self._remote_demand[source].demand)
-        return together
+            total.update(self._remote_demand[source].demand)
+        return total
 
     def share(self, organisation: str, limit: int = 0) -> float:
-        """Return this node's part of an organisation's limits, up to one.
+        """Return this node's share of an organisation's limits, at most one.
 
-        ``limit`` is how many calls it may have in progress on all nodes.
+        ``limit`` is the organisation's limit of concurrent calls on all nodes.
         """
         now = self._clock()
         if limit:
             self._limits[organisation] = limit
         self._prune(now)
         target = self._target_share(organisation)
-        nodes = 1 + sum(heard.nodes for heard in self._remote_demand.values())
-        current = self._shares.setdefault(organisation, 1 / nodes)
-        if target <= current:
+        nodes = 1 + sum(remote.nodes for remote in self._remote_demand.values())
+        share = self._shares.setdefault(organisation, 1 / nodes)
+        if target <= share:
             self._shares[organisation] = target
-            self._raises.pop(organisation, None)
+            self._pending_raises.pop(organisation, None)
             return target
-        waiting = self._raises.setdefault(organisation, _Raise(now, target))
-        waiting.share = min(waiting.share, target)
-        if now - waiting.since >= RAISE_DELAY_SECONDS:
-            self._shares[organisation] = waiting.share
-            self._raises.pop(organisation)
+        pending = self._pending_raises.setdefault(
+            organisation, _PendingRaise(now, target)
+        )
+        pending.share = min(pending.share, target)
+        if now - pending.since >= RAISE_DELAY_SECONDS:
+            self._shares[organisation] = pending.share
+            self._pending_raises.pop(organisation)
         return self._shares[organisation]
 
     def _published_demand(self) -> Demand:
-        """Return the own demand as the other nodes know it by now."""
+        """Return this node's demand as other nodes know it by now."""
         now = self._clock()
         self.demand()
         first = self._samples[0]
         return first[1] if self._is_published(first, now) else {}
 
     def _is_published(self, sample: tuple[float, Demand], now: float) -> bool:
-        return now - sample[0] > _KNOWN_SECONDS
+        return now - sample[0] > _PROPAGATION_SECONDS
 
     def _prune(self, now: float) -> None:
         self._remote_demand = {
-            source: heard
-            for source, heard in self._remote_demand.items()
-            if now - heard.received_at < DEMAND_RETENTION_SECONDS
+            source: remote
+            for source, remote in self._remote_demand.items()
+            if now - remote.received_at < DEMAND_RETENTION_SECONDS
         }
 
     def _target_share(self, organisation: str) -> float:
         own = self._published_demand().get(organisation, 0)
-        heard = self._remote_demand.values()
-        total = own + sum(one.demand.get(organisation, 0) for one in heard)
-        nodes = 1 + sum(one.nodes for one in heard)
+        remote = self._remote_demand.values()
+        total = own + sum(one.demand.get(organisation, 0) for one in remote)
+        nodes = 1 + sum(one.nodes for one in remote)
         free = self._limits.get(organisation, 0) - total
-        spread = max(free, nodes * _IDLE_WEIGHT)
-        return (own + spread / nodes) / (total + spread)
+        unclaimed = max(free, nodes * _IDLE_WEIGHT)
+        return (own + unclaimed / nodes) / (total + unclaimed)
--- a/src/cranecart/quarantine/__init__.py
+++ b/src/cranecart/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that end the targets that run them: found, told, held."""
+"""Detect requests that crash their targets, and hold them back."""
 
 from cranecart.quarantine._cases import (
     CaseRegistry,
--- a/src/cranecart/quarantine/_cases.py
+++ b/src/cranecart/quarantine/_cases.py
@@ -1,14 +1,14 @@
-"""Decide which requests are held, by the lives that ended under them; no I/O.
+"""Decide which requests are held, from the instances that crashed under them.
 
-Load answered: one request in some thousands ends each target that begins to
-run it, and its client sends it again at any node for minutes. Unbounded, one
-such request ended 26 replicas in a minute, and each end cut the streams beside
-it. Others come into the same ends without being the cause: those that had just
-begun there, and those that waited.
+One request in several thousand crashes each target that begins to run it,
+while its client retries it at any node for minutes. Without a bound one such
+request ended 26 replicas in a minute, and each termination cut the other streams at
+the replica. Other requests are present at the same terminations without
+causing them: those that had just begun there, and those that waited there.
 
-What is counted for a request is a set of lives. Sets told by several nodes are
-joined, so that nothing has to be agreed or led, and news may come late, again
-and in any order.
+What is counted for a request is a set of incarnations. Nodes merge their sets,
+so that no agreement or leader is needed, and updates may arrive late,
+repeatedly and in any order. This module does no I/O.
 """
 
 import enum
@@ -19,43 +19,46 @@
 from cranecart.clocks import since_boot
 from cranecart.ports import Incarnation
 
-# Ends shortly after the request had begun. One or two happen by chance: heads
-# of replicas end every few seconds on bad days. A third costs another replica.
-_HELD_BEGUN = 3
-# Ends of which nobody can tell whether it had begun: it may have waited for the
-# one that was the cause, so that one more is asked for.
-_HELD_ALL = 4
-# From then on it runs apart from others, so that it neither takes them along
-# nor is cut by what they do.
-_APART = 2
-# More of them change nothing.
-_MOST_LIVES = 8
-_MOST_CLEARED = 32
-# Of two thousand cases 1 MB is taken; an end brings some ten.
-_MOST_CASES = 2048
-_MOST_HELD = 256
-# Clients came again up to twenty seconds later. What nobody answers for an hour
-# is not asked any more, or has been answered by a node that is gone.
-_FORGET_SECONDS = 3600.0
+# Terminations shortly after the request had begun. One or two happen by
+# chance, as replica heads terminate every few seconds under heavy failures; a
+# higher threshold would cost another replica.
+_HOLD_BEGUN_THRESHOLD = 3
+# All terminations, including those where it is unknown whether the request had
+# begun: it may have waited behind the one that caused them, so that one more
+# is needed.
+_HOLD_THRESHOLD = 4
+# From then on the request runs apart from others, so that it neither affects
+# them nor is affected by them.
+_ISOLATION_THRESHOLD = 2
+# More of them do not change the verdict.
+_MAX_TERMINATIONS = 8
+_MAX_CLEARED = 32
+# Two thousand cases take 1 MB; each termination adds about ten cases.
+_MAX_CASES = 2048
+_MAX_HELD = 256
+# Clients retried for up to twenty seconds. A request that nobody has answered
+# for an hour is no longer sent, or was answered by a node that is gone.
+_RETENTION_SECONDS = 3600.0
 
 
 class Verdict(enum.Enum):
-    """What is done with a request."""
+    """How a request is treated."""
 
     FREE = 'free'
-    # Goes where no other suspect is.
+    # Is routed away from other suspects.
     SUSPECT = 'suspect'
-    # Goes where no other suspect is, and others pass its target over.
+    # Is routed away from other suspects, and other requests avoid its target.
     ISOLATED = 'apart'
-    # Is answered at once, and reaches no target.
+    # Is refused at once and reaches no target.
     HELD = 'held'
 
 
 @attrs.frozen
 class Termination:
-    """A life that ended while a request was there.
+    """An incarnation that terminated while a request was there.
 
-    The request had ``begun`` there shortly before; else nobody can tell.
+    ``begun`` tells that the request had begun there shortly before; otherwise
+    it is unknown whether it had.
     """
 
     life: Incarnation
@@ -64,9 +67,10 @@
 
 @attrs.frozen
 class CaseUpdate:
-    """What is known of one request, by the digest that all its tries share.
+    """Knowledge about one request, identified by the digest its tries share.
 
-    Ends of ``cleared`` lives were others' doing.
+    ``ends`` are the terminations under it. Those of ``cleared`` incarnations
+    were caused by something else.
     """
 
     identity: str
@@ -76,129 +80,135 @@
 
 @attrs.define
 class Case:
-    """One request under which lives have ended."""
+    """One request during which incarnations have terminated."""
 
     identity: str
     changed_at: float
     held_at: float | None = None
-    # Whether the end that decided was seen by this node itself.
+    # Whether this node itself saw the deciding termination.
     is_own: bool = False
     ends: dict[Incarnation, bool] = attrs.field(factory=dict)
-    # In the order in which they came.
+    # In order of arrival.
     cleared: dict[Incarnation, None] = attrs.field(factory=dict)
 
     @property
     def begun_count(self) -> int:
-        """Return how many lives ended shortly after it had begun there."""
+        """Return how many incarnations terminated shortly after a begin."""
         return sum(self.ends.values())
 
     @property
     def update(self) -> CaseUpdate:
-        """Return all that is known, to be told."""
+        """Return everything known about the request, to publish it."""
         ends = tuple(
-            Termination(life, begun) for life, begun in self.ends.items()
+            Termination(incarnation, begun)
+            for incarnation, begun in self.ends.items()
         )
         return CaseUpdate(self.identity, ends, tuple(self.cleared))
 
     def verdict(self, explained: Container[Incarnation] = ()) -> Verdict:
-        """Return what its ends say, but for those that others explain."""
-        left = [
+        """Return the verdict, not counting terminations that others explain."""
+        unexplained = [
             had_begun
-            for life, had_begun in self.ends.items()
-            if life not in explained
+            for incarnation, had_begun in self.ends.items()
+            if incarnation not in explained
         ]
-        begun = sum(left)
-        if begun >= _HELD_BEGUN or len(left) >= _HELD_ALL:
+        begun = sum(unexplained)
+        if (
+            begun >= _HOLD_BEGUN_THRESHOLD
+            or len(unexplained) >= _HOLD_THRESHOLD
+        ):
             return Verdict.HELD
-        if len(left) >= _APART:
+        if len(unexplained) >= _ISOLATION_THRESHOLD:
             return Verdict.ISOLATED
         return Verdict.SUSPECT if begun else Verdict.FREE
 
     def mark_held(self, now: float, *, is_own: bool) -> None:
-        """Take over that there are ends enough to hold it."""
+        """Record that there are enough terminations to hold the request."""
         if self.held_at is None:
             self.held_at = now
             self.is_own = is_own
 
-    def merge(self, news: CaseUpdate) -> bool:
-        """Join what somebody knows; return whether anything is new."""
+    def merge(self, update: CaseUpdate) -> bool:
+        """Merge an update; return whether it changed anything."""
         before = (dict(self.ends), set(self.cleared))
-        self.cleared.update(dict.fromkeys(news.cleared))
-        for life in news.cleared:
-            self.ends.pop(life, None)
-        for end in news.ends:
-            self._add(end)
-        for oldest in list(self.cleared)[:-_MOST_CLEARED]:
+        self.cleared.update(dict.fromkeys(update.cleared))
+        for incarnation in update.cleared:
+            self.ends.pop(incarnation, None)
+        for termination in update.ends:
+            self._add(termination)
+        for oldest in list(self.cleared)[:-_MAX_CLEARED]:
             self.cleared.pop(oldest)
         return before != (self.ends, set(self.cleared))
 
-    def _add(self, end: Termination) -> None:
-        if end.life in self.cleared:
+    def _add(self, termination: Termination) -> None:
+        if termination.life in self.cleared:
             return
-        known = self.ends.get(end.life)
-        if known is None and len(self.ends) >= _MOST_LIVES:
+        known = self.ends.get(termination.life)
+        if known is None and len(self.ends) >= _MAX_TERMINATIONS:
             return
-        self.ends[end.life] = bool(known) or end.begun
+        self.ends[termination.life] = bool(known) or termination.begun
 
 
 @attrs.define
 class CaseRegistry:
-    """The requests that are suspected or held, as one node knows them.
+    """The suspected and held requests, as known to one node.
 
-    Both are kept in the order in which they changed last.
+    Both are kept in the order of their last change.
     """
 
     _clock: Callable[[], float] = since_boot
     _suspected: dict[str, Case] = attrs.field(factory=dict, init=False)
-    # With ends enough to be held, unless others explain some of them.
+    # Cases with enough terminations to be held, unless others explain some.
     _hold_candidates: dict[str, Case] = attrs.field(factory=dict, init=False)
-    # By life the most begun ends that a request with enough of them has, as
-    # far as one has ended there.
-    _most_begun: dict[Incarnation, int] = attrs.field(factory=dict, init=False)
+    # By incarnation: the highest begun count of the hold candidates that were
+    # there when it terminated.
+    _max_begun: dict[Incarnation, int] = attrs.field(factory=dict, init=False)
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether nothing is suspected, as on most days."""
+        """Tell whether nothing is suspected, which is the normal state."""
         return not self._suspected and not self._hold_candidates
 
     def counts(self) -> dict[str, int]:
-        """Return how many requests are suspected, and how many held."""
+        """Return the numbers of suspected and of held requests, as metrics."""
         held = len(self.held())
         known = len(self._suspected) + len(self._hold_candidates)
         return {'requests_suspected': known - held, 'requests_held': held}
 
     def verdict(self, identity: str) -> Verdict:
-        """Return what is done with a request now."""
+        """Return how a request is treated now."""
         case = self.find(identity)
         return Verdict.FREE if case is None else self._judge(case)
 
     def find(self, identity: str) -> Case | None:
-        """Return what is known of a request."""
+        """Return the case of a request, if there is one."""
         return self._hold_candidates.get(identity) or self._suspected.get(
             identity
         )
 
     def is_hold_candidate(self, identity: str) -> bool:
-        """Tell whether a request has ends enough, explained or not."""
+        """Tell whether a request has enough terminations, explained or not."""
         return identity in self._hold_candidates
 
     def held(self) -> Sequence[Case]:
-        """Return the held requests, those first that came first."""
+        """Return the held requests, the least recently changed first."""
         return [
             case
             for case in self._hold_candidates.values()
             if self._judge(case) is Verdict.HELD
         ]
 
-    def merge(self, news: CaseUpdate, *, is_own: bool) -> bool:
-        """Join what this node saw, or was told; return whether it is new."""
+    def merge(self, update: CaseUpdate, *, is_own: bool) -> bool:
+        """Merge this node's or another's update; return whether it was new."""
         now = self._clock()
-        case = self.find(news.identity) or Case(news.identity, now)
-        if not case.merge(news):
+        case = self.find(update.identity) or Case(update.identity, now)
+        if not case.merge(update):
             return False
         case.changed_at = now
         self._suspected.pop(case.identity, None)
-        was_grave = self._hold_candidates.pop(case.identity, None) is not None
+        was_candidate = (
+            self._hold_candidates.pop(case.identity, None) is not None
+        )
         if case.verdict() is Verdict.HELD:
             case.mark_held(now, is_own=is_own)
             self._hold_candidates[case.identity] = case
@@ -206,52 +216,52 @@
             case.held_at = None
             self._suspected[case.identity] = case
         self._prune(now)
-        if was_grave or case.held_at is not None:
+        if was_candidate or case.held_at is not None:
             self._count_begun()
         return True
 
     def clearing_update(self, identity: str) -> CaseUpdate | None:
-        """Return the news that a request was not the cause of any end."""
+        """Return an update that clears a request of all its terminations."""
         case = self.find(identity)
         if case is None or not case.ends:
             return None
         return CaseUpdate(identity, cleared=tuple(case.ends))
 
     def _judge(self, case: Case) -> Verdict:
-        """Judge a case beside the others.
+        """Judge a case by comparison with the others.
 
-        What many targets ended under explains the ends of those who were there
-        as well: they share some of its lives, and it has more than they. So
-        each node comes to the same by the same sets.
+        A request under which more targets terminated explains the terminations
+        of the requests beside it: it shares some of their incarnations and has
+        more of them. All nodes reach the same verdict from the same sets.
         """
         begun = case.begun_count
         return case.verdict(
             {
-                life
-                for life in case.ends
-                if self._most_begun.get(life, 0) > begun
+                incarnation
+                for incarnation in case.ends
+                if self._max_begun.get(incarnation, 0) > begun
             },
         )
 
     def _count_begun(self) -> None:
-        self._most_begun = {}
+        self._max_begun = {}
         for case in self._hold_candidates.values():
             begun = case.begun_count
-            if begun < _HELD_BEGUN:
+            if begun < _HOLD_BEGUN_THRESHOLD:
                 continue
-            for life in case.ends:
-                most = self._most_begun.get(life, 0)
-                self._most_begun[life] = max(most, begun)
+            for incarnation in case.ends:
+                max_count = self._max_begun.get(incarnation, 0)
+                self._max_begun[incarnation] = max(max_count, begun)
 
     def _prune(self, now: float) -> None:
-        """Drop what is too much, or too old; the oldest comes first."""
-        while len(self._hold_candidates) > _MOST_HELD:
+        """Drop cases that are too many or too old, the oldest first."""
+        while len(self._hold_candidates) > _MAX_HELD:
             self._hold_candidates.pop(next(iter(self._hold_candidates)))
-        while len(self._suspected) > _MOST_CASES or self._has_expired(now):
+        while len(self._suspected) > _MAX_CASES or self._has_expired(now):
             self._suspected.pop(next(iter(self._suspected)))
 
     def _has_expired(self, now: float) -> bool:
         oldest = next(iter(self._suspected.values()), None)
         if oldest is None:
             return False
-        return now - oldest.changed_at >= _FORGET_SECONDS
+        return now - oldest.changed_at >= _RETENTION_SECONDS
--- a/src/cranecart/quarantine/_guard.py
+++ b/src/cranecart/quarantine/_guard.py
@@ -1,4 +1,4 @@
-"""Hold requests that end the targets that run them."""
+"""Hold requests that crash the targets that run them."""
 
 import contextlib
 from collections import Counter
@@ -26,19 +26,19 @@
 from cranecart.quarantine._probe import TerminationProbe
 from cranecart.quarantine._runner import Runner
 
-# What ends a target does so as it begins there: within 0.04 to 0.13 s where it
-# was seen. Twice as much is left for busy nodes. Whose answer had been coming for
-# longer was there by chance.
-_BEGIN_SECONDS = 0.25
-# Three turns of housekeeping: a connection between nodes that carries nothing
-# any more is found out after 1.5 s.
-_REPEAT_SECONDS = 2.0
-_SUSPECTS = frozenset((Verdict.SUSPECT, Verdict.ISOLATED))
+# A request that crashes its target does so as it begins there: within 0.04 to
+# 0.13 s in the observed cases, doubled here for busy nodes. A request whose
+# answer had been arriving for longer was there by chance.
+_STARTUP_SECONDS = 0.25
+# Three rounds of housekeeping: a dead connection between nodes is detected
+# after 1.5 s.
+_REPUBLISH_SECONDS = 2.0
+_SUSPECT_VERDICTS = frozenset((Verdict.SUSPECT, Verdict.ISOLATED))
 
 
 @attrs.define
 class AttemptProgress:
-    """One attempt: whether its target has begun, and what came since."""
+    """One attempt: whether its target has begun it, and how far it has got."""
 
     _clock: Callable[[], float]
     has_begun: bool = attrs.field(default=False, init=False)
@@ -46,7 +46,7 @@
 
     @property
     def progress_seconds(self) -> float:
-        """Return how long ago the first part of an answer came."""
+        """Return the time since the first part of the answer arrived."""
         return (
             0
             if self._progress_since is None
@@ -54,27 +54,28 @@
         )
 
     def record_begun(self) -> None:
-        """Take over that the target has begun to answer."""
+        """Record that the target has begun to answer."""
         self.has_begun = True
 
     def record_progress(self) -> None:
-        """Take over that a part of the answer came."""
+        """Record that a part of the answer arrived."""
         if self._progress_since is None:
             self._progress_since = self._clock()
 
 
-def _tell_of_none(_incarnation: Incarnation) -> bool:
-    """Find out of no life later that it has ended."""
+def _has_never_terminated(_incarnation: Incarnation) -> bool:
+    """Find no termination after the fact."""
     return False
 
 
 @attrs.define
 class RequestGuard:
-    """One node's part in finding and holding such requests.
+    """One node's part in detecting and holding such requests.
 
-    ``_is_expected`` tells of a life whose end was planned, or not surprising,
-    ``_has_ended`` of one that has since turned out to be over; ``_tell`` passes
-    news on to the other nodes. Requests are known by the digests that all tries at one share.
+    ``_is_expected`` tells whether a target's termination was planned or is no
+    surprise, ``_has_terminated`` whether an incarnation is known to have ended
+    since, and ``_publish`` sends updates to the other nodes. Requests are
+    identified by the digest that all their tries share.
     """
 
     _is_expected: Callable[[Runner], bool]
@@ -83,18 +84,19 @@
     _clock: Callable[[], float] = since_boot
     probe: TerminationProbe = attrs.field(factory=TerminationProbe)
     _has_terminated: Callable[[Incarnation], bool] = attrs.field(
-        default=_tell_of_none
+        default=_has_never_terminated
     )
     refusals: int = attrs.field(default=0, init=False)
     terminations: int = attrs.field(default=0, init=False)
     _pending: PendingTerminations = attrs.field(init=False)
     _published_at: dict[str, float] = attrs.field(factory=dict, init=False)
-    # This node's suspects by instance, and those of them that run apart.
+    # This node's suspects in flight by instance, and the isolated ones among
+    # them.
     _suspects: Counter[str] = attrs.field(factory=Counter, init=False)
     _isolated: Counter[str] = attrs.field(factory=Counter, init=False)
 
     def counts(self) -> dict[str, int]:
-        """Return the figures of this node, by name."""
+        """Return this node's metrics by name."""
         return {
             **self.cases.counts(),
             'held_refusals': self.refusals,
@@ -104,20 +106,20 @@
     def instances_to_avoid(
         self, identity: Callable[[], str]
     ) -> Collection[str]:
-        """Return the instances that a request should rather not go to.
+        """Return the instances that a request should avoid.
 
-        Raise ``HeldError`` if it may not go to any. The identity is asked for
-        only where there is something to compare it with.
+        Raise ``HeldError`` if the request is held. The identity is computed
+        only if there is something to compare it with.
         """
         if self.cases.is_empty:
             return ()
-        named = identity()
-        standing = self.cases.verdict(named)
-        if standing is Verdict.HELD:
+        digest = identity()
+        verdict = self.cases.verdict(digest)
+        if verdict is Verdict.HELD:
             self.refusals += 1
-            raise HeldError(self._hold_reason(named))
-        suspected = standing in _SUSPECTS
-        return (self._suspects if suspected else self._isolated).keys()
+            raise HeldError(self._hold_reason(digest))
+        is_suspect = verdict in _SUSPECT_VERDICTS
+        return (self._suspects if is_suspect else self._isolated).keys()
 
     @contextlib.asynccontextmanager
     async def watch(
@@ -125,7 +127,7 @@
         identity: Callable[[], str],
         runner: Runner,
     ) -> AsyncGenerator['AttemptProgress', None]:
-        """Watch one attempt; it succeeded if the context ends without error."""
+        """Watch an attempt; it succeeds if the context raises no error."""
         watch = AttemptProgress(self._clock)
         try:
             with self.track_running(identity, runner):
@@ -141,17 +143,17 @@
         identity: Callable[[], str],
         runner: Runner,
     ) -> Generator[None, None, None]:
-        """Count a suspected request at an instance while the context lasts."""
-        standing = Verdict.FREE
+        """Count a suspect at an instance while the context lasts."""
+        verdict = Verdict.FREE
         if not self.cases.is_empty:
-            standing = self.cases.verdict(identity())
+            verdict = self.cases.verdict(identity())
         counts = [
             count
-            for count, counted in (
-                (self._suspects, _SUSPECTS),
+            for count, verdicts in (
+                (self._suspects, _SUSPECT_VERDICTS),
                 (self._isolated, frozenset((Verdict.ISOLATED,))),
             )
-            if standing in counted
+            if verdict in verdicts
         ]
         for count in counts:
             count[runner.id] += 1
@@ -159,32 +161,34 @@
             yield
         finally:
             for count in counts:
-                _take_off(count, runner.id)
+                _decrement(count, runner.id)
 
     def record_served(self, identity: Callable[[], str]) -> None:
-        """Take over that a request was answered whole: it ends nothing."""
+        """Record that a request was answered completely, which clears it."""
         if self.cases.is_empty:
             return
-        news = self.cases.clearing_update(identity())
-        if news is None:
+        update = self.cases.clearing_update(identity())
+        if update is None:
             return
-        self.cases.merge(news, is_own=True)
-        self._publish_case(news.identity)
-        if len(news.cleared) > 1:
-            decision('request_cleared', identity=news.identity)
-
-    def merge_remote(self, news: CaseUpdate, sender: str) -> bool:
-        """Take over what another node knows; return whether it is news."""
-        is_news = self.cases.merge(news, is_own=False)
-        if is_news and self.cases.verdict(news.identity) is Verdict.HELD:
-            self._log_termination(news.identity, None, f'heard from {sender}')
-        return is_news
+        self.cases.merge(update, is_own=True)
+        self._publish_case(update.identity)
+        if len(update.cleared) > 1:
+            decision('request_cleared', identity=update.identity)
+
+    def merge_remote(self, update: CaseUpdate, sender: str) -> bool:
+        """Merge another node's update; return whether it was new."""
+        is_new = self.cases.merge(update, is_own=False)
+        if is_new and self.cases.verdict(update.identity) is Verdict.HELD:
+            self._log_termination(
+                update.identity, None, f'reported by {sender}'
+            )
+        return is_new
 
     def refresh(self, listed: Collection[Incarnation]) -> None:
-        """Forget lives that are gone, and tell once more what is new."""
+        """Drop instance_ids that are gone, and publish recent updates again."""
         self.probe.prune(listed)
-        for news in self._pending.pop_terminated(self._has_terminated):
-            self._record_termination(news, 'seen here, and known later')
+        for update in self._pending.pop_terminated(self._has_terminated):
+            self._record_termination(update, 'seen here, confirmed later')
         self._republish()
 
     @_pending.default
@@ -192,17 +196,17 @@
         return PendingTerminations(self._clock)
 
     def _republish(self) -> None:
-        """Tell what was told lately; some of it may be lost."""
-        oldest = self._clock() - _REPEAT_SECONDS
+        """Publish recent updates again, as some may have been lost."""
+        oldest = self._clock() - _REPUBLISH_SECONDS
         self._published_at = {
             identity: at
             for identity, at in self._published_at.items()
             if at > oldest
         }
         cases = filter(None, map(self.cases.find, self._published_at))
-        news = [case.update for case in cases]
-        if news:
-            self._publish(news)
+        updates = [case.update for case in cases]
+        if updates:
+            self._publish(updates)
 
     async def _check_termination(
         self,
@@ -210,25 +214,27 @@
         runner: Runner,
         watch: AttemptProgress,
     ) -> None:
-        """Look whether a request has ended the target that it was at."""
+        """Check whether the target of a broken attempt has terminated."""
         if self._is_expected(runner):
             return
-        if watch.progress_seconds > _BEGIN_SECONDS:
+        if watch.progress_seconds > _STARTUP_SECONDS:
             self._pending.record_alive(runner.incarnation)
             return
         if await self.probe.has_terminated(runner):
-            end = Termination(runner.incarnation, watch.has_begun)
-            self._record_termination(CaseUpdate(identity, (end,)), 'seen here')
+            termination = Termination(runner.incarnation, watch.has_begun)
+            self._record_termination(
+                CaseUpdate(identity, (termination,)), 'seen here'
+            )
         else:
             self._pending.record_break(
                 runner.incarnation, identity, begun=watch.has_begun
             )
 
-    def _record_termination(self, news: CaseUpdate, source: str) -> None:
-        if self.cases.merge(news, is_own=True):
+    def _record_termination(self, update: CaseUpdate, source: str) -> None:
+        if self.cases.merge(update, is_own=True):
             self.terminations += 1
-            self._log_termination(news.identity, news.ends[0].life, source)
-            self._publish_case(news.identity)
+            self._log_termination(update.identity, update.ends[0].life, source)
+            self._publish_case(update.identity)
 
     def _publish_case(self, identity: str) -> None:
         case = self.cases.find(identity)
@@ -238,12 +244,12 @@
 
     def _hold_reason(self, identity: str) -> str:
         case = self.cases.find(identity)
-        incarnations = (
+        instance_ids = (
             []
             if case is None
             else [incarnation.id for incarnation in case.ends]
         )
-        return f'request {identity} ended {", ".join(incarnations)}'
+        return f'request {identity} crashed {", ".join(instance_ids)}'
 
     def _log_termination(
         self, identity: str, incarnation: Incarnation | None, source: str
@@ -263,7 +269,7 @@
         )
 
 
-def _take_off(counts: Counter[str], name: str) -> None:
+def _decrement(counts: Counter[str], name: str) -> None:
     counts[name] -= 1
     if counts[name] <= 0:
         counts.pop(name)
--- a/src/cranecart/quarantine/_identity.py
+++ b/src/cranecart/quarantine/_identity.py
@@ -1,10 +1,11 @@
-"""Tell whether two tries are the same request; no I/O."""
+"""Identify the tries of one request; no I/O."""
 
 import hashlib
 
-# 2**64 requests before two of them are likely to be taken for one.
+# Collisions become likely only after 2**64 requests.
 _DIGEST_BYTES = 16
-# Hashed in front of each part, so that no two lists of parts look alike.
+# The length of each part is hashed before it, so that different lists of parts
+# never produce the same input.
 _LENGTH_BYTES = 8
 
 
@@ -17,13 +18,13 @@
 ) -> str:
     """Return what all tries of one caller at one request have in common.
 
-    Ids, deadlines, hints and the event to go on from differ between tries, and
-    are left out. It is a digest: nothing of a caller's content is logged or
-    sent to other nodes.
+    Ids, deadlines, hints and resume positions differ between tries and are
+    left out. The identity is a digest, so that no content of a caller is
+    logged or sent to other nodes.
     """
     digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
-    named = (organisation, host.lower(), method, target)
-    for part in (*(one.encode() for one in named), body):
+    parts = (organisation, host.lower(), method, target)
+    for part in (*(one.encode() for one in parts), body):
         digest.update(len(part).to_bytes(_LENGTH_BYTES))
         digest.update(part)
     return digest.hexdigest()
--- a/src/cranecart/quarantine/_pending.py
+++ b/src/cranecart/quarantine/_pending.py
@@ -1,9 +1,9 @@
-"""Requests whose targets broke off, until it shows whether these had ended.
+"""Requests with broken connections whose targets may have terminated.
 
-Something before a target may go on taking connections after it has ended, and a
-target may fall silent for a moment before it does, so that its port tells nothing.
-That it has ended shows seconds later then: another life stands under its id, or
-its entry goes.
+A proxy before a target may go on accepting connections after the target has
+terminated, and a target may hang for a moment before it does, so that its port
+shows nothing. The termination shows seconds later: another incarnation appears
+under its id, or its entry goes.
 """
 
 from collections.abc import Callable
@@ -14,17 +14,18 @@
 from cranecart.ports import Incarnation
 from cranecart.quarantine._cases import CaseUpdate, Termination
 
-# What an end cuts breaks within this time; what comes later found the target
-# gone, and had no part in its end.
-_TOGETHER_SECONDS = 0.1
-# An entry goes after three heartbeats of silence, 1.2 s each on the users'
-# sheets, and is read within a second or two, also by who reads anew.
-_KEPT_SECONDS = 8.0
+# A termination breaks its connections within this time; a later break found
+# the target gone already and has no part in its termination.
+_SIMULTANEOUS_SECONDS = 0.1
+# An entry goes after three missed heartbeats, 1.2 s each on the specified
+# deployments, and is read within another second or two, also by nodes that
+# read the whole list again.
+_RETENTION_SECONDS = 8.0
 
 
 @attrs.frozen
 class _Break:
-    """A request whose connection broke; ``begun`` is as with ``End``."""
+    """A request whose connection broke; ``begun`` as in ``Termination``."""
 
     identity: str
     begun: bool
@@ -33,9 +34,10 @@
 
 @attrs.define
 class _Breaks:
-    """What broke at one life.
+    """The connections that broke at entry incarnation.
 
-    It was surely alive at ``alive_at``, when an answer was cut that had begun.
+    It was certainly alive at ``alive_at``, when an answer that had begun was
+    cut.
     """
 
     first_at: float
@@ -43,18 +45,21 @@
     breaks: list[_Break] = attrs.field(factory=list)
 
     def at_termination(self) -> list[_Break]:
-        """Return those that were there when the life ended."""
-        ended_at = self.first_at if self.alive_at is None else self.alive_at
+        """Return the requests that were there when the incarnation ended."""
+        terminated_at = (
+            self.first_at if self.alive_at is None else self.alive_at
+        )
         return [
-            one
-            for one in self.breaks
-            if one.begun or abs(one.at - ended_at) <= _TOGETHER_SECONDS
+            entry
+            for entry in self.breaks
+            if entry.begun
+            or abs(entry.at - terminated_at) <= _SIMULTANEOUS_SECONDS
         ]
 
 
 @attrs.define
 class PendingTerminations:
-    """Breaks of the last seconds, by life."""
+    """The broken connections of the last seconds, by incarnation."""
 
     _clock: Callable[[], float] = since_boot
     _breaks: dict[Incarnation, _Breaks] = attrs.field(factory=dict, init=False)
@@ -62,37 +67,37 @@
     def record_break(
         self, incarnation: Incarnation, identity: str, *, begun: bool
     ) -> None:
-        """Take over that a request's connection broke shortly after a begin.
+        """Record that a connection broke before its answer had progressed far.
 
-        It has not begun where nobody can tell.
+        ``begun`` is false where it is unknown whether the request had begun.
         """
         now = self._clock()
-        known = self._breaks.setdefault(incarnation, _Breaks(now))
-        known.breaks.append(_Break(identity, begun, now))
+        broken = self._breaks.setdefault(incarnation, _Breaks(now))
+        broken.breaks.append(_Break(identity, begun, now))
         if begun:
-            known.alive_at = now
+            broken.alive_at = now
 
     def record_alive(self, incarnation: Incarnation) -> None:
-        """Take over that an answer was cut that had been coming for long."""
+        """Record that an answer was cut that had been arriving for a while."""
         now = self._clock()
         self._breaks.setdefault(incarnation, _Breaks(now)).alive_at = now
 
     def pop_terminated(
         self,
-        has_ended: Callable[[Incarnation], bool],
+        has_terminated: Callable[[Incarnation], bool],
     ) -> list[CaseUpdate]:
-        """Return what is known of requests whose targets have ended."""
-        oldest = self._clock() - _KEPT_SECONDS
+        """Return updates for the requests whose targets have terminated."""
+        oldest = self._clock() - _RETENTION_SECONDS
         found: list[CaseUpdate] = []
-        for incarnation, known in list(self._breaks.items()):
-            if has_ended(incarnation):
+        for incarnation, broken in list(self._breaks.items()):
+            if has_terminated(incarnation):
                 self._breaks.pop(incarnation)
                 found.extend(
                     CaseUpdate(
-                        one.identity, (Termination(incarnation, one.begun),)
+                        entry.identity, (Termination(incarnation, entry.begun),)
                     )
-                    for one in known.at_termination()
+                    for entry in broken.at_termination()
                 )
-            elif known.first_at < oldest:
+            elif broken.first_at < oldest:
                 self._breaks.pop(incarnation)
         return found
--- a/src/cranecart/quarantine/_probe.py
+++ b/src/cranecart/quarantine/_probe.py
@@ -1,4 +1,4 @@
-"""Find out whether a life has ended, or only a connection to it."""
+"""Find out whether a target has terminated or only a connection broke."""
 
 from collections.abc import Awaitable, Callable, Collection
 
@@ -11,29 +11,29 @@
 from cranecart.ports import Incarnation
 from cranecart.quarantine._runner import Runner
 
-# Told by a live host within a few milliseconds on the deployments' links; what
-# a cut path says nothing of is no evidence, and others wait for the answer.
-_ASK_SECONDS = 0.08
-# For how long one that took a connection is not asked again: a reset of all
-# connections breaks some dozens in one moment.
-_ALIVE_SECONDS = 0.25
-# A life that has ended stays so; this is how long anybody still asks.
-_ENDED_SECONDS = 60.0
+# A live host answers within a few milliseconds on the deployments' links. No
+# answer is no evidence, and other requests wait for the result.
+_CONNECT_TIMEOUT_SECONDS = 0.08
+# How long an accepted connection counts: a reset of all connections breaks
+# dozens at the same moment.
+_ALIVE_CACHE_SECONDS = 0.25
+# A termination is final; this is how long anybody still asks for it.
+_TERMINATED_CACHE_SECONDS = 60.0
 
 
 async def connect_once(address: Address) -> None:
     """Open a connection and close it; raise ``ConnectFailedError``."""
-    connection = await HttpConnection.open(address, _ASK_SECONDS)
+    connection = await HttpConnection.open(address, _CONNECT_TIMEOUT_SECONDS)
     await connection.close()
 
 
 @attrs.define
 class TerminationProbe:
-    """Asks the port of a life whose connection broke, once for all.
+    """Probes the port of an incarnation once for all broken connections.
 
-    A refused connection says that nothing listens there any more. One that is
-    taken, or not answered, says nothing: connections are reset, and paths cut,
-    while what they lead to goes on.
+    A refused connection proves that nothing listens there any more. An
+    accepted connection or a missing answer proves nothing, as connections are
+    reset and paths are cut while the target goes on.
     """
 
     _connect: Callable[[Address], Awaitable[None]] = connect_once
@@ -47,32 +47,36 @@
     )
 
     async def has_terminated(self, runner: Runner) -> bool:
-        """Tell whether a life has surely ended."""
+        """Tell whether an incarnation has certainly terminated."""
         incarnation = runner.incarnation
         async with self._locks.setdefault(incarnation, curio.Lock()):
-            known = self._cached(incarnation)
-            if known is None:
-                known = await self._probe(runner.address)
-                self._probed[incarnation] = (known, self._clock())
-        return known
+            has_terminated = self._cached(incarnation)
+            if has_terminated is None:
+                has_terminated = await self._probe(runner.address)
+                self._probed[incarnation] = (has_terminated, self._clock())
+        return has_terminated
 
     def prune(self, listed: Collection[Incarnation]) -> None:
-        """Forget lives that are not listed and that nobody asks for."""
-        old = [
+        """Drop the results of unlisted incarnations that have expired."""
+        expired = [
             incarnation
             for incarnation in self._probed
             if incarnation not in listed and self._cached(incarnation) is None
         ]
-        for incarnation in old:
+        for incarnation in expired:
             self._probed.pop(incarnation)
             self._locks.pop(incarnation, None)
 
     def _cached(self, incarnation: Incarnation) -> bool | None:
         if incarnation not in self._probed:
             return None
-        has_ended, at = self._probed[incarnation]
-        holds = _ENDED_SECONDS if has_ended else _ALIVE_SECONDS
-        return has_ended if self._clock() - at < holds else None
+        has_terminated, at = self._probed[incarnation]
+        max_age = (
+            _TERMINATED_CACHE_SECONDS
+            if has_terminated
+            else _ALIVE_CACHE_SECONDS
+        )
+        return has_terminated if self._clock() - at < max_age else None
 
     async def _probe(self, address: Address) -> bool:
         try:
--- a/src/cranecart/quarantine/_rows.py
+++ b/src/cranecart/quarantine/_rows.py
@@ -1,4 +1,4 @@
-"""The rows by which held requests outlast every node."""
+"""Stored rows by which held requests survive the restart of all nodes."""
 
 import time
 from collections.abc import Callable, Mapping, Sequence
@@ -15,18 +15,19 @@
 
 _PREFIX = f'{RECORDS_TABLE}/{RECORDS_PART}/held/'
 _UNREADABLE = UnreadableRows('held_row_unreadable')
-# The node that saw the deciding end writes at once; if it died over it, any
-# other does once its row would long have been read.
-_OTHERS_SECONDS = 2.0
-# Later a row that is not there was dropped by an operator.
-_GIVEN_UP_SECONDS = 60.0
-# Far below the 100 entries of a transaction; more wait for the next turn.
-_MOST_AT_ONCE = 16
+# The node that saw the deciding termination writes at once. If it fails, any
+# other node writes once the row would long have been read.
+_TAKEOVER_SECONDS = 2.0
+# A row that is missing later than this was deleted by an operator.
+_WRITE_WINDOW_SECONDS = 60.0
+# Far below the limit of 100 entries in a transaction; the rest waits for the
+# next round.
+_MAX_BATCH = 16
 
 
 @attrs.frozen
 class _Value:
-    """What a row says; ``held_at`` is Unix seconds, for people."""
+    """The content of a row; ``held_at`` is in Unix seconds, for operators."""
 
     news: CaseUpdate
     node: str
@@ -41,9 +42,9 @@
 def held_from_rows(
     items: Mapping[str, Row | None],
 ) -> dict[str, CaseUpdate | None]:
-    """Return the held requests among changed rows, by their digests.
+    """Return the held requests among changed rows, by identity.
 
-    A row that is gone names none; one that can't be read changes nothing.
+    A deleted row yields None; an unreadable row is left out.
     """
     found = {
         key.removeprefix(_PREFIX): row if row is None else _read(row)
@@ -51,78 +52,85 @@
         if key.startswith(_PREFIX)
     }
     return {
-        identity: news
-        for identity, news in found.items()
-        if news is not None or items[held_key(identity)] is None
+        identity: update
+        for identity, update in found.items()
+        if update is not None or items[held_key(identity)] is None
     }
 
 
 def _read(row: Row) -> CaseUpdate | None:
     try:
-        news = msgspec.json.decode(row.value, type=_Value).news
+        update = msgspec.json.decode(row.value, type=_Value).news
     except (msgspec.MsgspecError, RecursionError) as error:
         _UNREADABLE.note(row.key, str(error))
         return None
-    if held_key(news.identity) != row.key:
-        _UNREADABLE.note(row.key, 'it is not what its key says')
+    if held_key(update.identity) != row.key:
+        _UNREADABLE.note(
+            row.key, 'the identity in the row differs from the one in its key'
+        )
         return None
-    return news
+    return update
 
 
 @attrs.define
 class HeldRows:
-    """Writes the rows of held requests, and follows them.
+    """Writes the rows of held requests, and follows their changes.
 
-    Nothing waits for a row: a request is held before it is written.
+    A request is held before its row is written, so that nothing waits for it.
     """
 
     _node_id: str
     _table: Table
     _cases: CaseRegistry
     _clock: Callable[[], float] = since_boot
-    # Digests whose rows were read, and those that were written since: a whole
-    # read that is older than a write does not show that its row has gone.
+    # Identities whose rows were read, and those written since: a full read
+    # that is older than a write does not prove that the row was deleted.
     _read: set[str] = attrs.field(factory=set, init=False)
     _written: set[str] = attrs.field(factory=set, init=False)
-    # Digests whose rows a copy of the table lacks, and since when.
+    # Identities whose rows are missing from a restored table, and since when.
     _missing_since: dict[str, float] = attrs.field(factory=dict, init=False)
     _is_writing: bool = attrs.field(default=False, init=False)
 
     @property
     def has_pending_writes(self) -> bool:
-        """Tell whether there is something to write, and nobody writes."""
+        """Tell whether there is something to write and no write in progress."""
         return not self._is_writing and any(self._pending())
 
     def apply(self, items: Mapping[str, Row | None], is_whole: bool) -> None:
-        """Take over changed rows, or all; a row that goes releases."""
+        """Apply changed rows, or all rows; a deleted row releases a request."""
         held = held_from_rows(items)
-        gone = [one for one, news in held.items() if news is None]
+        deleted = [
+            identity for identity, update in held.items() if update is None
+        ]
         if is_whole:
             keys = {key.removeprefix(_PREFIX) for key in items}
-            gone.extend(self._read - keys)
-        for identity in gone:
+            deleted.extend(self._read - keys)
+        for identity in deleted:
             self._release(identity)
-        for identity, news in held.items():
-            if news is not None:
+        for identity, update in held.items():
+            if update is not None:
                 self._read.add(identity)
                 self._written.discard(identity)
                 self._missing_since.pop(identity, None)
-                self._cases.merge(news, is_own=False)
+                self._cases.merge(update, is_own=False)
 
     def restore(self, items: Mapping[str, Row]) -> None:
-        """Take over the rows of a table that has come back from a copy.
+        """Apply the rows of a table that was restored from a copy.
 
-        What it lacks was not dropped by anybody, and is written again.
+        Rows that the copy lacks were not deleted by anybody, and are written
+        again.
         """
         known = self._read | self._written
-        lost = {one for one in known if held_key(one) not in items}
-        self._missing_since.update(dict.fromkeys(lost, self._clock()))
-        self._read -= lost
-        self._written -= lost
+        missing = {
+            identity for identity in known if held_key(identity) not in items
+        }
+        self._missing_since.update(dict.fromkeys(missing, self._clock()))
+        self._read -= missing
+        self._written -= missing
         self.apply(items, False)
 
     async def write(self) -> None:
-        """Bring the rows up to date, if anything has changed."""
+        """Write and delete rows as needed."""
         if not self.has_pending_writes:
             return
         puts, deletes = self._pending()
@@ -154,7 +162,7 @@
         self._read.difference_update(deletes)
 
     def _pending(self) -> tuple[list[Case], list[str]]:
-        """Return whose rows are to be written, and whose dropped."""
+        """Return the cases to write rows of, and the identities to delete."""
         now = self._clock()
         known = self._read | self._written
         puts = [
@@ -167,17 +175,17 @@
             for identity in sorted(known)
             if not self._cases.is_hold_candidate(identity)
         ]
-        return puts[:_MOST_AT_ONCE], deletes[:_MOST_AT_ONCE]
+        return puts[:_MAX_BATCH], deletes[:_MAX_BATCH]
 
     def _is_due(self, case: Case, now: float) -> bool:
         since = self._missing_since.get(case.identity, case.held_at)
         age = now - (since or now)
-        return age < _GIVEN_UP_SECONDS and (
-            case.is_own or age >= _OTHERS_SECONDS
+        return age < _WRITE_WINDOW_SECONDS and (
+            case.is_own or age >= _TAKEOVER_SECONDS
         )
 
     def _make_put(self, case: Case) -> Put:
-        # The time of day, as people read it beside the logs.
+        # Wall-clock time, as operators compare it with the logs.
         value = _Value(case.update, self._node_id, round(time.time(), 3))
         return Put(
             held_key(case.identity),
@@ -185,11 +193,11 @@
         )
 
     def _release(self, identity: str) -> None:
-        """Take over that an operator, or a node, has dropped a row."""
+        """Release a request whose row an operator or a node has deleted."""
         self._read.discard(identity)
         self._written.discard(identity)
         self._missing_since.pop(identity, None)
-        news = self._cases.clearing_update(identity)
-        if news is not None:
-            self._cases.merge(news, is_own=False)
+        update = self._cases.clearing_update(identity)
+        if update is not None:
+            self._cases.merge(update, is_own=False)
             decision('request_released', identity=identity)
--- a/src/cranecart/quarantine/_runner.py
+++ b/src/cranecart/quarantine/_runner.py
@@ -1,4 +1,4 @@
-"""What runs requests, whichever protocol it speaks."""
+"""Targets that run requests, independent of their protocol."""
 
 from typing import Protocol
 
@@ -9,24 +9,24 @@
 
 
 class Runner(Protocol):
-    """A target that runs requests, in the life that it has now."""
+    """A target that runs requests, in its current incarnation."""
 
     @property
     def id(self) -> str:
-        """Return the name that routing knows it by."""
+        """Return the id by which routing knows the target."""
 
     @property
     def incarnation(self) -> Incarnation:
-        """Return what tells this life from others."""
+        """Return what distinguishes this incarnation from others."""
 
     @property
     def address(self) -> Address:
-        """Return where it listens."""
+        """Return where the target listens."""
 
 
 @attrs.frozen
 class NamedRunner:
-    """A target whose life is told by a name and a number."""
+    """A target whose incarnation is known by name and number."""
 
     id: str
     incarnation: Incarnation
--- a/src/cranecart/retries/__init__.py
+++ b/src/cranecart/retries/__init__.py
@@ -1,4 +1,4 @@
-"""How much may be sent again."""
+"""Retry budgets."""
 
 from cranecart.retries._budget import RetryBudget
 from cranecart.retries._window import RetryLimits, SharedRetryBudget
--- a/src/cranecart/retries/_budget.py
+++ b/src/cranecart/retries/_budget.py
@@ -1,27 +1,27 @@
-"""Budgets that keep retries a small part of the traffic."""
+"""A retry budget that keeps retries a small part of the traffic."""
 
 import attrs
 
-_PART = 0.1
-_MOST = 10.0
+_DEPOSIT_PER_CALL = 0.1
+_MAX_BALANCE = 10.0
 
 
 @attrs.define
 class RetryBudget:
-    """Each call pays in a tenth of a retry; each retry takes a whole one.
+    """Each call deposits a tenth of a retry; each retry withdraws one.
 
-    What is saved is bounded, so that a long quiet time does not pay for a
-    storm, and small enough that sent calls stay under 1.2 times the offered.
+    The balance is bounded, so that a long quiet time does not pay for a retry
+    storm, and calls that are sent stay below 1.2 times the calls offered.
     """
 
-    _balance: float = _MOST
+    _balance: float = _MAX_BALANCE
 
     def deposit(self) -> None:
-        """Count a call that came in."""
-        self._balance = min(_MOST, self._balance + _PART)
+        """Credit the budget for an incoming call."""
+        self._balance = min(_MAX_BALANCE, self._balance + _DEPOSIT_PER_CALL)
 
     def withdraw(self) -> bool:
-        """Take one retry; return whether the budget allows it."""
+        """Withdraw one retry; return whether the budget allows it."""
         if self._balance < 1:
             return False
         self._balance -= 1
--- a/src/cranecart/retries/_window.py
+++ b/src/cranecart/retries/_window.py
@@ -1,4 +1,4 @@
-"""A budget of repeated sends that holds over all nodes together."""
+"""A retry budget that holds over all nodes together."""
 
 from collections import deque
 from collections.abc import Callable
@@ -10,10 +10,11 @@
 
 @attrs.frozen
 class RetryLimits:
-    """What a deployment allows: repeats within a sliding window.
+    """The retries that a deployment allows within a sliding window.
 
-    ``ratio`` is the part of the requests that may be sent again, ``slack``
-    how many more over all nodes, ``window_seconds`` the window's length.
+    ``ratio`` is the part of the requests that may be retried, ``slack`` the
+    number of further retries over all nodes, ``window_seconds`` the length of
+    the window.
     """
 
     ratio: float
@@ -21,17 +22,17 @@
     window_seconds: float
 
 
-# What is left for nodes that were restarted and have forgotten their sends,
-# and for nodes that count each other late.
-_MARGIN = 0.6
+# Leaves room for nodes that were restarted and have forgotten their retries,
+# and for nodes that learn of each other late.
+_SAFETY_FACTOR = 0.6
 
 
 @attrs.define
 class SharedRetryBudget:
-    """This node's part of the budget, by service.
+    """This node's share of the retry budget, by service.
 
-    Each node takes its part of the slack by the number of nodes it hears,
-    and the ratio of its own requests, so that nothing has to be agreed.
+    Each node uses the slack divided by the number of nodes that it sees, and
+    the ratio of its own requests, so that no coordination is needed.
     """
 
     limits: RetryLimits
@@ -45,11 +46,11 @@
         self._requests.setdefault(service, deque()).append(self._clock())
 
     def withdraw(self, service: str) -> bool:
-        """Take one repeated send; return whether the budget allows it."""
+        """Withdraw one retry; return whether the budget allows it."""
         requests = self._recent(self._requests, service)
         repeats = self._recent(self._retries, service)
         slack = self.limits.slack / max(self._count_nodes(), 1)
-        allowed = _MARGIN * (slack + self.limits.ratio * len(requests))
+        allowed = _SAFETY_FACTOR * (slack + self.limits.ratio * len(requests))
         if len(repeats) + 1 > allowed:
             return False
         repeats.append(self._clock())
@@ -60,8 +61,8 @@
         times: dict[str, deque[float]],
         service: str,
     ) -> deque[float]:
-        kept = times.setdefault(service, deque())
+        recent = times.setdefault(service, deque())
         oldest = self._clock() - self.limits.window_seconds
-        while kept and kept[0] < oldest:
-            kept.popleft()
-        return kept
+        while recent and recent[0] < oldest:
+            recent.popleft()
+        return recent
--- a/src/cranecart/throttling/__init__.py
+++ b/src/cranecart/throttling/__init__.py
@@ -1,4 +1,4 @@
-"""What targets say about the load that they take; no I/O."""
+"""Limits and back-off times that targets announce; no I/O."""
 
 from cranecart.throttling._limits import LimitRegistry, LimitUpdate
 from cranecart.throttling._shares import FewestNodes, Share, ShareRule
--- a/src/cranecart/throttling/_backoffs.py
+++ b/src/cranecart/throttling/_backoffs.py
@@ -1,4 +1,4 @@
-"""Until when targets want nothing of this node."""
+"""Back-off times that targets request from this node."""
 
 from collections.abc import Callable
 
@@ -11,24 +11,25 @@
 
 @attrs.define
 class BackoffRegistry:
-    """The rests that targets have asked this node for, by life.
+    """The back-offs that targets requested from this node, by incarnation.
 
-    A later one makes a rest longer and never shorter, as answers pass each
-    other; no success ends it, as those come of requests sent before it.
+    A later request can extend a back-off but not shorten it, as responses
+    overtake each other. A success does not end it, as its request was sent
+    before.
     """
 
     _clock: Callable[[], float] = since_boot
     _until: dict[Incarnation, float] = attrs.field(factory=dict, init=False)
 
     def __len__(self) -> int:
-        """Return how many targets rest."""
+        """Return how many targets are backed off from."""
         return len(self._until)
 
     def record(self, incarnation: Incarnation, seconds: float) -> None:
-        """Take over that a target asks for so many seconds from now on."""
+        """Record that a target requests a back-off from now on."""
         until = self._clock() + seconds
-        earlier = self._until.get(incarnation, 0)
-        self._until[incarnation] = max(earlier, until)
+        previous = self._until.get(incarnation, 0)
+        self._until[incarnation] = max(previous, until)
         decision(
             'target_rest',
             instance=incarnation.id,
@@ -38,12 +39,12 @@
         )
 
     def remaining_seconds(self, incarnation: Incarnation) -> float:
-        """Return for how long a target still rests, 0 if it does not."""
+        """Return how much of a target's back-off remains, 0 if none."""
         until = self._until.get(incarnation)
         return 0 if until is None else max(0, until - self._clock())
 
     def prune(self) -> None:
-        """Forget the rests that are over."""
+        """Drop the back-offs that have ended."""
         now = self._clock()
         for incarnation, until in list(self._until.items()):
             if until <= now:
--- a/src/cranecart/throttling/_bucket.py
+++ b/src/cranecart/throttling/_bucket.py
@@ -1,13 +1,14 @@
-"""A token bucket on a clock that its caller reads."""
+"""A token bucket that is told the time by its caller."""
 
 import attrs
 
 
 @attrs.define
 class TokenBucket:
-    """Tokens that come at a rate, and of which only so many are saved.
+    """Tokens that accrue at a rate, up to the size of a burst.
 
-    It starts empty, and fills from ``filled_at`` on, which may lie ahead.
+    The bucket starts empty and accrues from ``filled_at`` on, which may be in
+    the future.
     """
 
     per_second: float
@@ -16,14 +17,14 @@
     _tokens: float = attrs.field(default=0, init=False)
 
     def set_rate(self, per_second: float, burst: float, now: float) -> None:
-        """Go on at another rate with what is there."""
+        """Change rate and burst, keeping the accrued tokens."""
         self._refill(now)
         self.per_second = per_second
         self.burst = burst
         self._tokens = min(self._tokens, burst)
 
     def has_tokens(self, count: int, now: float) -> bool:
-        """Tell whether so many tokens are there."""
+        """Tell whether the bucket holds a number of tokens."""
         self._refill(now)
         return self._tokens >= count
 
@@ -33,13 +34,13 @@
         self._tokens -= 1
 
     def seconds_to_token(self, now: float) -> float:
-        """Return how long it takes until a token is there."""
+        """Return the time until a token is available."""
         self._refill(now)
         missing = max(0, 1 - self._tokens)
         return max(0, self.filled_at - now) + missing / self.per_second
 
     def _refill(self, now: float) -> None:
         if now > self.filled_at:
-            came = (now - self.filled_at) * self.per_second
-            self._tokens = min(self.burst, self._tokens + came)
+            earned = (now - self.filled_at) * self.per_second
+            self._tokens = min(self.burst, self._tokens + earned)
             self.filled_at = now
--- a/src/cranecart/throttling/_limits.py
+++ b/src/cranecart/throttling/_limits.py
@@ -1,9 +1,10 @@
-"""Which targets have named a limit, and who has to be told.
+"""The limits that targets announce, merged between nodes.
 
-A limit holds for the life that named it, from the first answer with it to the
-first one without. Nodes have no common clock, and answers pass each other: each
-change has a version, the larger of which counts, and only the answer to a
-request that was sent after the limit was last named ends it.
+A limit belongs to the incarnation that announced it, from the first response
+with the limit to the first one without. Nodes have no common clock and
+responses overtake each other: each change has a version, of which the larger
+wins, and only the response to a request that was sent after the last
+announcement ends a limit.
 """
 
 from collections.abc import Callable, Collection, Iterable
@@ -15,19 +16,20 @@
 from cranecart.logs import decision
 from cranecart.ports import AnswerFacts, Incarnation
 
-# Who told of a limit, in log lines.
-_ANSWER = 'an answer'
-# A life that is listed no more may come back with its limit, when the store
-# has lost its entry for some seconds only.
+# The source of a limit that came with a response, in the log.
+_RESPONSE_SOURCE = 'an answer'
+# How long the limit of an unlisted incarnation is kept: its entry may be
+# missing from the store for some seconds only.
 _UNLISTED_SECONDS = 30.0
-# A limit that nobody repeats has ended without this node's hearing of it.
-_BELIEVED_SECONDS = 10.0
+# A limit that nobody repeats has ended without this node being told.
+_LIMIT_EXPIRY_SECONDS = 10.0
 
 
 class LimitUpdate(msgspec.Struct, array_like=True, frozen=True):
-    """What a node knows of one life's limit, requests a second.
+    """One node's knowledge of an incarnation's limit, in requests a second.
 
-    No limit means that it named one before and does so no more.
+    No limit means that the incarnation announced one before and has dropped
+    it.
     """
 
     instance: str
@@ -37,13 +39,13 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """Return the life that the news is of."""
+        """Return the incarnation that the update belongs to."""
         return Incarnation(self.instance, self.born)
 
     def supersedes(self, other: 'LimitUpdate') -> bool:
-        """Tell whether this counts and the other does not.
+        """Tell whether this update replaces the other.
 
-        Of two changes that were seen at once, the stricter counts.
+        Of two updates with the same version the stricter one wins.
         """
         if self.version != other.version:
             return self.version > other.version
@@ -52,32 +54,32 @@
 
 @attrs.define
 class KnownLimit:
-    """The last news of a life; times on the book's clock.
+    """The latest update of an incarnation; times on the registry's clock.
 
-    It ``is_own`` if an answer to this node said so, last at ``named_at``;
-    other nodes said so last at ``heard_at``.
+    It ``is_own`` if a response to this node announced it, last at
+    ``confirmed_at``; other nodes reported it last at ``reported_at``.
     """
 
     update: LimitUpdate
     is_own: bool
     changed_at: float
     confirmed_at: float
-    heard_at: float
+    reported_at: float
 
     @property
     def is_in_force(self) -> bool:
-        """Tell whether the life names a limit."""
+        """Tell whether a limit is announced."""
         return self.update.per_second is not None
 
     @property
     def last_seen_at(self) -> float:
-        """Return when this was said last."""
-        return max(self.confirmed_at, self.heard_at)
+        """Return when the update was last confirmed or reported."""
+        return max(self.confirmed_at, self.reported_at)
 
 
 @attrs.define
 class LimitRegistry:
-    """The limits that are in force, and those that ended lately, by life."""
+    """Limits in force and limits that ended recently, by incarnation."""
 
     _clock: Callable[[], float] = since_boot
     _known: dict[Incarnation, KnownLimit] = attrs.field(
@@ -86,12 +88,12 @@
     _unreadable: set[Incarnation] = attrs.field(factory=set, init=False)
 
     def limit(self, incarnation: Incarnation) -> float | None:
-        """Return the limit that a life names, if it names one."""
+        """Return the limit of an incarnation, if it announces one."""
         known = self._known.get(incarnation)
         return None if known is None else known.update.per_second
 
     def active_limits(self) -> list[LimitUpdate]:
-        """Return the limits that are named now."""
+        """Return the limits that are in force."""
         return [one.update for one in self._known.values() if one.is_in_force]
 
     def record_response(
@@ -100,9 +102,9 @@
         facts: AnswerFacts,
         sent_at: float,
     ) -> LimitUpdate | None:
-        """Take over what an answer names; return what others have to hear.
+        """Apply a response's limit; return the update to publish, if any.
 
-        ``sent_at`` is when the request was sent that it answers.
+        ``sent_at`` is when the request was sent that the response belongs to.
         """
         if facts.unreadable:
             self._log_unreadable(incarnation, facts.unreadable)
@@ -110,48 +112,55 @@
         if known is None:
             if facts.limit is None:
                 return None
-            return self._change(incarnation, 1, facts.limit)
+            return self._record_change(incarnation, 1, facts.limit)
         if facts.limit == known.update.per_second:
             known.confirmed_at = self._clock()
             return None
         if sent_at < known.confirmed_at and not _is_stricter(
             facts.limit, known
         ):
-            # It may be older than the answer that said so.
+            # The response may be older than the one that announced the limit.
             return None
-        return self._change(incarnation, known.update.version + 1, facts.limit)
-
-    def merge(self, news: LimitUpdate, by: str) -> bool:
-        """Take over what another node knows; return whether it is new."""
-        known = self._known.get(news.incarnation)
-        if known is not None and news == known.update:
-            known.heard_at = self._clock()
-        if known is not None and not news.supersedes(known.update):
+        return self._record_change(
+            incarnation, known.update.version + 1, facts.limit
+        )
+
+    def merge(self, update: LimitUpdate, by: str) -> bool:
+        """Merge another node's update; return whether it changed anything."""
+        known = self._known.get(update.incarnation)
+        if known is not None and update == known.update:
+            known.reported_at = self._clock()
+        if known is not None and not update.supersedes(known.update):
             return False
-        self._store(news, by)
+        self._store(update, by)
         return True
 
-    def updates_to_repeat(
+    def updates_to_republish(
         self,
-        sends: Collection[Incarnation],
+        sending_to: Collection[Incarnation],
         seconds: float,
     ) -> list[LimitUpdate]:
-        """Return what this node has to say again.
+        """Return the updates that this node has to publish again.
 
-        That is what it ``sends`` by; and of what it was told itself, what has
-        ended in so many ``seconds``, or was said by no other node in them.
+        These are the limits of incarnations in ``sending_to`` and, of the
+        limits announced to this node itself, those that ended within
+        ``seconds`` or that no other node reported within them.
         """
         oldest = self._clock() - seconds
         return [
             known.update
             for incarnation, known in self._known.items()
-            if _is_to_repeat(known, oldest, is_sent=incarnation in sends)
+            if _needs_republishing(
+                known, oldest, is_sending=incarnation in sending_to
+            )
         ]
 
     def prune(
-        self, listed: Collection[Incarnation], sends: Collection[Incarnation]
+        self,
+        listed: Collection[Incarnation],
+        sending_to: Collection[Incarnation],
     ) -> None:
-        """Forget lives that are listed no more, and limits nobody repeats."""
+        """Drop incarnations that are no longer listed and expired limits."""
         now = self._clock()
         self._known = {
             incarnation: known
@@ -160,37 +169,37 @@
                 incarnation in listed
                 or now - known.last_seen_at < _UNLISTED_SECONDS
             )
-            and (incarnation in sends or _is_believed(known, now))
+            and (incarnation in sending_to or _is_current(known, now))
         }
         self._unreadable.intersection_update(listed)
 
-    def _change(
+    def _record_change(
         self,
         incarnation: Incarnation,
         version: int,
         per_second: float | None,
     ) -> LimitUpdate:
-        news = LimitUpdate(
+        update = LimitUpdate(
             incarnation.id, incarnation.born, version, per_second
         )
-        self._store(news, _ANSWER)
-        return news
+        self._store(update, _RESPONSE_SOURCE)
+        return update
 
-    def _store(self, news: LimitUpdate, by: str) -> None:
+    def _store(self, update: LimitUpdate, by: str) -> None:
         now = self._clock()
-        known = self._known.get(news.incarnation)
+        known = self._known.get(update.incarnation)
         decision(
             'target_limit',
-            instance=news.instance,
-            born=news.born,
-            per_second=news.per_second,
+            instance=update.instance,
+            born=update.born,
+            per_second=update.per_second,
             before=known and known.update.per_second,
             for_seconds=known and round(now - known.changed_at, 3),
             by=by,
-            version=news.version,
+            version=update.version,
         )
-        self._known[news.incarnation] = KnownLimit(
-            news, by == _ANSWER, now, now, now
+        self._known[update.incarnation] = KnownLimit(
+            update, by == _RESPONSE_SOURCE, now, now, now
         )
 
     def _log_unreadable(
@@ -206,19 +215,24 @@
             )
 
 
-def _strictness(news: LimitUpdate) -> float:
-    return float('inf') if news.per_second is None else news.per_second
+def _strictness(update: LimitUpdate) -> float:
+    return float('inf') if update.per_second is None else update.per_second
 
 
 def _is_stricter(limit: float | None, known: KnownLimit) -> bool:
     return limit is not None and limit < _strictness(known.update)
 
 
-def _is_to_repeat(known: KnownLimit, oldest: float, *, is_sent: bool) -> bool:
+def _needs_republishing(
+    known: KnownLimit, oldest: float, *, is_sending: bool
+) -> bool:
     if known.is_in_force:
-        return is_sent or (known.is_own and known.heard_at < oldest)
+        return is_sending or (known.is_own and known.reported_at < oldest)
     return known.is_own and known.changed_at > oldest
 
 
-def _is_believed(known: KnownLimit, now: float) -> bool:
-    return not known.is_in_force or now - known.last_seen_at < _BELIEVED_SECONDS
+def _is_current(known: KnownLimit, now: float) -> bool:
+    return (
+        not known.is_in_force
+        or now - known.last_seen_at < _LIMIT_EXPIRY_SECONDS
+    )
--- a/src/cranecart/throttling/_shares.py
+++ b/src/cranecart/throttling/_shares.py
@@ -1,38 +1,38 @@
-"""How many nodes send to a target with a limit, and how much each.
+"""How many nodes send to a target with a limit, and how much each may send.
 
-A limit is a sum over nodes that nobody leads. Divided by all nodes, the burst of
-each adds up: nine nodes with one request saved each pass a limit of 1.4 a
-second, and of a few requests a second a node's part is too small to be used.
-So only as many nodes send as the limit bears, and all others pass the target
-over.
+The limit applies to all nodes together, without a coordinator. If all nodes
+divided it, their bursts would add up: nine nodes with one saved request each
+exceed a limit of 1.4 requests a second, and a node's share of a few requests a
+second is too small to be useful. So only as many nodes send as the limit
+supports, and all others pass the target over.
 """
 
 from typing import Protocol
 
 import attrs
 
-# The aim: no span of so many seconds sees more than what the limit allows in
-# it, and so many more, whatever the number of nodes.
-_SPAN_SECONDS = 4.0
-_SPAN_EXTRA = 2
-# Requests come closer to each other than they were sent by what connecting
-# takes longer for the first.
-_SPREAD_SECONDS = 0.1
-# What a node sends on beyond the rate, so that a token is not lost while its
-# requests come unevenly.
-_BURST = 2.0
-# What each node that sends should have at least.
-_LEAST_SHARE_PER_SECOND = 4.0
-# A target that takes nothing is still asked now and then, or nobody would learn
-# when its limit has gone.
-_LEAST_PER_SECOND = 0.1
-# Keeps a bound that is met exactly from being passed by a rounding.
-_TINY = 1e-6
+# The bound to keep: no window of this length contains more requests than the
+# limit allows in it plus the tolerance, whatever the number of nodes.
+_WINDOW_SECONDS = 4.0
+_WINDOW_TOLERANCE = 2
+# Requests arrive closer together than they were sent, by the extra time that a
+# new connection costs the earlier ones.
+_JITTER_SECONDS = 0.1
+# What a node may send beyond the rate, so that no token is lost when its
+# requests arrive unevenly.
+_MIN_BURST = 2.0
+# The minimum share of each node that sends.
+_MIN_SHARE_PER_SECOND = 4.0
+# A target with a limit of zero still gets a request now and then, or no node
+# would learn when the limit ends.
+_MIN_LIMIT_PER_SECOND = 0.1
+# Keeps rounding from exceeding a bound that is met exactly.
+_EPSILON = 1e-6
 
 
 @attrs.frozen
 class Share:
-    """One node's part: requests a second, and how many it may save up."""
+    """One node's share: requests a second, and the size of a burst."""
 
     per_second: float
     burst: float
@@ -45,26 +45,27 @@
         """Return how many nodes may send at most."""
 
     def share(self, limit: float, nodes: int) -> Share:
-        """Return what each of so many nodes may send."""
+        """Return what each of a number of nodes may send."""
 
 
 class FewestNodes:
-    """As few nodes send as can use the limit."""
+    """Divides a limit between as few nodes as can use it."""
 
     def max_nodes(self, limit: float) -> int:
         """Return how many nodes may send at most."""
-        return max(1, int(limit / _LEAST_SHARE_PER_SECOND))
+        return max(1, int(limit / _MIN_SHARE_PER_SECOND))
 
     def share(self, limit: float, nodes: int) -> Share:
-        """Return what each of so many nodes may send.
+        """Return what each of a number of nodes may send.
 
-        A bucket lets no more pass in a span than its burst and what comes in
-        it; whole requests only, so that what is left to the next one is free.
+        In any window a bucket passes at most its burst plus the tokens that
+        accrue in the window. Only whole requests count, so that a fraction of
+        one may be added to the burst.
         """
-        limit = max(limit, _LEAST_PER_SECOND)
-        span = _SPAN_SECONDS + _SPREAD_SECONDS
-        allowed = (limit * _SPAN_SECONDS + _SPAN_EXTRA) / nodes
-        most = max(1, int(allowed + _TINY)) + 1 - _TINY
+        limit = max(limit, _MIN_LIMIT_PER_SECOND)
+        window = _WINDOW_SECONDS + _JITTER_SECONDS
+        allowed = (limit * _WINDOW_SECONDS + _WINDOW_TOLERANCE) / nodes
+        max_in_window = max(1, int(allowed + _EPSILON)) + 1 - _EPSILON
         per_second = limit / nodes
-        burst = max(_BURST, most - span * per_second)
-        return Share(min(per_second, (most - burst) / span), burst)
+        burst = max(_MIN_BURST, max_in_window - window * per_second)
+        return Share(min(per_second, (max_in_window - burst) / window), burst)
--- a/src/cranecart/throttling/_throttle.py
+++ b/src/cranecart/throttling/_throttle.py
@@ -1,8 +1,9 @@
-"""Let no more requests through to a target than it says that it takes.
+"""Send targets no more requests than they announce to take.
 
-Load answered: targets in need name a few requests a second, for all nodes
-together, and every node may be asked for many times that; others turn away what
-comes and ask for rest, and look free by their counts meanwhile.
+Overloaded targets announce limits of a few requests a second for all nodes
+together, while each node may be asked for many times that. Others refuse
+requests and ask for a back-off; meanwhile they look idle sender their request
+counts.
 """
 
 from collections.abc import Callable, Collection, Iterable, Sequence
@@ -17,66 +18,68 @@
 from cranecart.throttling._limits import LimitRegistry, LimitUpdate
 from cranecart.throttling._shares import FewestNodes, Share, ShareRule
 
-# How long a node that comes to send in another's place waits before it does:
-# nodes learn of each other within that time, and both would send.
+# A node that takes over sending from another waits this long first: nodes
+# learn of each other within that time, and both would send until then.
 _HANDOVER_SECONDS = 1.0
-# How old a finding may be that this node is among those that send.
-_LOOK_SECONDS = 0.25
-# How often limits are repeated, for nodes that have started or missed them.
-_REPEAT_SECONDS = 2.0
-# How long a place is kept for urgent requests that were turned away.
-_WAITING_SECONDS = 1.0
-
-# Tells how many nodes share a target if this node is one of them, else 0; by
-# failure domain, what tells the target from others, and how many at most.
+# How long the result of the check whether this node may send is reused.
+_SHARING_CHECK_SECONDS = 0.25
+# How often limits are published again, for nodes that have started since or
+# missed them.
+_REPUBLISH_SECONDS = 2.0
+# How long a token is reserved for urgent requests after one was rejected.
+_RESERVATION_SECONDS = 1.0
+
+# Returns how many nodes share a target if this node is one of them, else 0.
+# Arguments: the target's failure domain, its unique name, and the maximum
+# number of nodes.
 CountSharingNodes = Callable[[str, str, int], int]
 
 
-def _send_alone(_domain: str, _name: str, _most: int) -> int:
-    """Be the only node."""
+def _count_one(_failure_domain: str, _name: str, _max_nodes: int) -> int:
+    """Count this node alone."""
     return 1
 
 
-def _know_nothing(_name: str) -> None:
-    """Know no instance's failure domain."""
+def _find_no_instance(_name: str) -> None:
+    """Find no instance, so that failure domains are unknown."""
 
 
-def _hear_of_none(_incarnation: Incarnation) -> None:
-    """Serve where no target leaves."""
+def _ignore_leaving(_incarnation: Incarnation) -> None:
+    """Ignore that a target announced its leaving."""
 
 
-def _has_none(_incarnation: Incarnation) -> bool:
-    """Know of no target that leaves."""
+def _is_never_leaving(_incarnation: Incarnation) -> bool:
+    """Treat no target as leaving."""
     return False
 
 
-def _tell_nobody(_news: Sequence[LimitUpdate]) -> None:
-    """Serve a node without others."""
+def _publish_to_nobody(_updates: Sequence[LimitUpdate]) -> None:
+    """Publish nothing, for a node without others."""
 
 
 @attrs.define
 class _Allotment:
-    """This node's part of one limit; ``nodes`` is 0 if it has none."""
+    """This node's share of one limit; ``nodes`` is 0 if it has none."""
 
     limit: float
     nodes: int
     bucket: TokenBucket
     checked_at: float
-    # The most urgent rank that was turned away lately, and when.
+    # The most urgent rank that was rejected recently, and when.
     rejected_rank: int = 0
     rejected_at: float = float('-inf')
 
     def tokens_required(self, rank: int, now: float) -> int:
-        """Return how many tokens must be there for a request of a rank.
+        """Return how many tokens a request of a rank needs in the bucket.
 
-        The last one is left to what is more urgent and was turned away: it
-        comes back within about that time.
+        The last token is reserved for more urgent requests that were rejected,
+        which are retried within about that time.
         """
-        is_waited_for = now - self.rejected_at < _WAITING_SECONDS
-        return 2 if is_waited_for and rank > self.rejected_rank else 1
+        is_reserved = now - self.rejected_at < _RESERVATION_SECONDS
+        return 2 if is_reserved and rank > self.rejected_rank else 1
 
     def record_rejection(self, rank: int, now: float) -> None:
-        """Take over that a request of a rank was turned away."""
+        """Record that a request of a rank was rejected."""
         if self.tokens_required(rank, now) == 1:
             self.rejected_rank = rank
             self.rejected_at = now
@@ -84,24 +87,27 @@
 
 @attrs.define
 class TargetThrottle:
-    """What may be sent to targets now, as far as they have said.
+    """What may be sent to targets now, given what they have announced.
 
-    ``_known`` finds a listed instance by id, ``_tell`` tells all other nodes.
-    ``_leave`` hears of lives that say that they leave, and ``_is_leaving`` tells
-    which do; the fleet leaves them out itself.
+    ``_find_instance`` finds a listed instance by id, ``_publish`` sends limits
+    to all other nodes. ``_mark_leaving`` is called with incarnations that
+    announce their leaving, and ``_is_leaving`` tells which did; the fleet
+    leaves those out of its lists itself.
     """
 
-    _count_sharing_nodes: CountSharingNodes = attrs.field(default=_send_alone)
+    _count_sharing_nodes: CountSharingNodes = attrs.field(default=_count_one)
     _find_instance: Callable[[str], ListedInstance | None] = attrs.field(
-        default=_know_nothing,
+        default=_find_no_instance,
     )
     _publish: Callable[[Sequence[LimitUpdate]], None] = attrs.field(
-        default=_tell_nobody,
+        default=_publish_to_nobody,
     )
     _mark_leaving: Callable[[Incarnation], None] = attrs.field(
-        default=_hear_of_none
+        default=_ignore_leaving
+    )
+    _is_leaving: Callable[[Incarnation], bool] = attrs.field(
+        default=_is_never_leaving
     )
-    _is_leaving: Callable[[Incarnation], bool] = attrs.field(default=_has_none)
     _clock: Callable[[], float] = since_boot
     _rule: ShareRule = attrs.field(factory=FewestNodes)
     _limits: LimitRegistry = attrs.field(init=False)
@@ -114,7 +120,7 @@
 
     @property
     def is_unrestricted(self) -> bool:
-        """Tell whether no target has said anything."""
+        """Tell whether no target has announced a limit or a back-off."""
         return not self._allotments and not self._backoffs
 
     def record_response(
@@ -123,107 +129,115 @@
         facts: AnswerFacts,
         sent_at: float,
     ) -> None:
-        """Take over what a target says, and tell others what is new.
+        """Apply what a target announces, and publish what is new.
 
-        ``sent_at`` is when the request was sent that it answers.
+        ``sent_at`` is when the request was sent that the response belongs to.
         """
         if facts.rest_seconds:
             self._backoffs.record(incarnation, facts.rest_seconds)
         if facts.is_leaving:
             self._mark_leaving(incarnation)
-        news = self._limits.record_response(incarnation, facts, sent_at)
-        if news is not None:
-            self._apply(news)
-            self._publish((news,))
+        update = self._limits.record_response(incarnation, facts, sent_at)
+        if update is not None:
+            self._apply(update)
+            self._publish((update,))
 
-    def merge_updates(self, told: Iterable[LimitUpdate], by: str) -> None:
-        """Take over what another node knows."""
-        for news in told:
-            if self._limits.merge(news, by):
-                self._apply(news)
+    def merge_updates(
+        self, updates: Iterable[LimitUpdate], sender: str
+    ) -> None:
+        """Merge the limits that another node published."""
+        for update in updates:
+            if self._limits.merge(update, sender):
+                self._apply(update)
 
     def accepts(self, incarnation: Incarnation, rank: int = 0) -> bool:
         """Tell whether a target takes a request of this node now.
 
-        Ranks that are smaller are more urgent. What leaves is not asked for
-        here, as the fleet leaves it out.
+        Smaller ranks are more urgent. Leaving targets are not checked here, as
+        the fleet leaves them out.
         """
         if self._backoffs and self._backoffs.remaining_seconds(incarnation):
             return False
-        part = self._allotments.get(incarnation)
-        if part is None:
+        allotment = self._allotments.get(incarnation)
+        if allotment is None:
             return True
         now = self._clock()
-        self._check_sharing(incarnation, part, now)
-        wanted = part.tokens_required(rank, now)
-        return part.nodes > 0 and part.bucket.has_tokens(wanted, now)
+        self._check_sharing(incarnation, allotment, now)
+        required = allotment.tokens_required(rank, now)
+        return allotment.nodes > 0 and allotment.bucket.has_tokens(
+            required, now
+        )
 
     def may_send(self, incarnation: Incarnation) -> bool:
-        """Tell whether what was chosen for a target may still be sent."""
+        """Tell whether a request may still be sent to its chosen target."""
         return not (
             self._backoffs.remaining_seconds(incarnation)
             or self._is_leaving(incarnation)
         )
 
     def record_sent(self, incarnation: Incarnation) -> None:
-        """Count a request that goes to a target."""
-        part = self._allotments.get(incarnation)
-        if part is not None:
-            part.bucket.take(self._clock())
+        """Count a request that is sent to a target."""
+        allotment = self._allotments.get(incarnation)
+        if allotment is not None:
+            allotment.bucket.take(self._clock())
 
     def seconds_until_accepted(self, incarnation: Incarnation) -> float:
         """Return after how long a target should take a request again."""
-        rest = self._backoffs.remaining_seconds(incarnation)
-        part = self._allotments.get(incarnation)
-        if part is None:
-            return rest
-        if part.nodes:
-            return max(rest, part.bucket.seconds_to_token(self._clock()))
-        return max(rest, 1 / self._rule.share(part.limit, 1).per_second)
+        backoff = self._backoffs.remaining_seconds(incarnation)
+        allotment = self._allotments.get(incarnation)
+        if allotment is None:
+            return backoff
+        if allotment.nodes:
+            return max(
+                backoff, allotment.bucket.seconds_to_token(self._clock())
+            )
+        return max(backoff, 1 / self._rule.share(allotment.limit, 1).per_second)
 
     def share_of(self, incarnation: Incarnation) -> Share | None:
-        """Return this node's part of a target's limit, if it has one."""
-        part = self._allotments.get(incarnation)
-        if part is None or not part.nodes:
+        """Return this node's share of a target's limit, if it has one."""
+        allotment = self._allotments.get(incarnation)
+        if allotment is None or not allotment.nodes:
             return None
-        return self._rule.share(part.limit, part.nodes)
+        return self._rule.share(allotment.limit, allotment.nodes)
 
     def record_rejection(
         self, incarnations: Iterable[Incarnation], rank: int
     ) -> None:
-        """Take over that none of some targets took a request of a rank."""
+        """Record that none of some targets accepted a request of a rank."""
         self._rejections += 1
         now = self._clock()
         for incarnation in incarnations:
-            part = self._allotments.get(incarnation)
-            if part is not None:
-                part.record_rejection(rank, now)
+            allotment = self._allotments.get(incarnation)
+            if allotment is not None:
+                allotment.record_rejection(rank, now)
 
     def refresh(self, listed: Collection[Incarnation]) -> None:
-        """Look anew who sends, and repeat what others have to know."""
+        """Check which targets this node may send to; publish limits again."""
         now = self._clock()
         self._backoffs.prune()
-        for incarnation, part in self._allotments.items():
-            self._check_sharing(incarnation, part, now)
-        sends = {
+        for incarnation, allotment in self._allotments.items():
+            self._check_sharing(incarnation, allotment, now)
+        sending_to = {
             incarnation
-            for incarnation, part in self._allotments.items()
-            if part.nodes
+            for incarnation, allotment in self._allotments.items()
+            if allotment.nodes
         }
-        self._limits.prune(listed, sends)
+        self._limits.prune(listed, sending_to)
         self._allotments = {
-            incarnation: part
-            for incarnation, part in self._allotments.items()
+            incarnation: allotment
+            for incarnation, allotment in self._allotments.items()
             if self._limits.limit(incarnation) is not None
         }
-        if now - self._republished_at >= _REPEAT_SECONDS:
+        if now - self._republished_at >= _REPUBLISH_SECONDS:
             self._republished_at = now
-            told = self._limits.updates_to_repeat(sends, 2 * _REPEAT_SECONDS)
-            if told:
-                self._publish(told)
+            updates = self._limits.updates_to_republish(
+                sending_to, 2 * _REPUBLISH_SECONDS
+            )
+            if updates:
+                self._publish(updates)
 
     def counts(self) -> dict[str, int]:
-        """Return figures by name."""
+        """Return metrics sender name."""
         return {
             'targets_with_limit': len(self._allotments),
             'targets_at_rest': len(self._backoffs),
@@ -238,38 +252,42 @@
     def _make_limits(self) -> LimitRegistry:
         return LimitRegistry(self._clock)
 
-    def _apply(self, news: LimitUpdate) -> None:
-        if news.per_second is None:
-            self._allotments.pop(news.incarnation, None)
+    def _apply(self, update: LimitUpdate) -> None:
+        if update.per_second is None:
+            self._allotments.pop(update.incarnation, None)
             return
         now = self._clock()
-        part = self._allotments.get(news.incarnation)
-        if part is None:
-            self._allotments[news.incarnation] = self._new_allotment(news, now)
+        allotment = self._allotments.get(update.incarnation)
+        if allotment is None:
+            self._allotments[update.incarnation] = self._new_allotment(
+                update, now
+            )
         else:
-            part.limit = news.per_second
+            allotment.limit = update.per_second
             self._reallocate(
-                part, self._count_nodes(news.incarnation, part.limit), now
+                allotment,
+                self._count_nodes(update.incarnation, allotment.limit),
+                now,
             )
-        self._log_share(news.incarnation)
+        self._log_share(update.incarnation)
 
-    def _new_allotment(self, news: LimitUpdate, now: float) -> _Allotment:
-        limit = news.per_second or 0
-        nodes = self._count_nodes(news.incarnation, limit)
+    def _new_allotment(self, update: LimitUpdate, now: float) -> _Allotment:
+        limit = update.per_second or 0
+        nodes = self._count_nodes(update.incarnation, limit)
         share = self._rule.share(limit, max(1, nodes))
         bucket = TokenBucket(share.per_second, share.burst, now)
         return _Allotment(limit, nodes, bucket, now)
 
     def _check_sharing(
-        self, incarnation: Incarnation, part: _Allotment, now: float
+        self, incarnation: Incarnation, allotment: _Allotment, now: float
     ) -> None:
-        """Find out whether this node is among those that send."""
-        if now - part.checked_at < _LOOK_SECONDS:
+        """Check whether this node still sends to a target."""
+        if now - allotment.checked_at < _SHARING_CHECK_SECONDS:
             return
-        part.checked_at = now
-        nodes = self._count_nodes(incarnation, part.limit)
-        if nodes != part.nodes:
-            self._reallocate(part, nodes, now)
+        allotment.checked_at = now
+        nodes = self._count_nodes(incarnation, allotment.limit)
+        if nodes != allotment.nodes:
+            self._reallocate(allotment, nodes, now)
             self._log_share(incarnation)
 
     def _log_share(self, incarnation: Incarnation) -> None:
@@ -282,23 +300,25 @@
             nodes=self._allotments[incarnation].nodes,
         )
 
-    def _reallocate(self, part: _Allotment, nodes: int, now: float) -> None:
-        share = self._rule.share(part.limit, max(1, nodes))
-        if nodes and not part.nodes:
-            begins_at = now + _HANDOVER_SECONDS
-            part.bucket = TokenBucket(
+    def _reallocate(
+        self, allotment: _Allotment, nodes: int, now: float
+    ) -> None:
+        share = self._rule.share(allotment.limit, max(1, nodes))
+        if nodes and not allotment.nodes:
+            starts_at = now + _HANDOVER_SECONDS
+            allotment.bucket = TokenBucket(
                 share.per_second,
                 share.burst,
-                begins_at,
+                starts_at,
             )
         else:
-            part.bucket.set_rate(share.per_second, share.burst, now)
-        part.nodes = nodes
+            allotment.bucket.set_rate(share.per_second, share.burst, now)
+        allotment.nodes = nodes
 
     def _count_nodes(self, incarnation: Incarnation, limit: float) -> int:
         instance = self._find_instance(incarnation.id)
-        domain = '' if instance is None else instance.failure_domain
-        most = self._rule.max_nodes(limit)
+        failure_domain = '' if instance is None else instance.failure_domain
+        max_nodes = self._rule.max_nodes(limit)
         return self._count_sharing_nodes(
-            domain, f'{incarnation.id} {incarnation.born}', most
+            failure_domain, f'{incarnation.id} {incarnation.born}', max_nodes
         )
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -216,8 +216,9 @@
     Mutation(
         'requests-are-never-held',
         'quarantine/_cases.py',
-        'if begun >= _HELD_BEGUN or len(left) >= _HELD_ALL:',
-        'if not left and begun:',
+        'begun >= _HOLD_BEGUN_THRESHOLD\n'
+        '            or len(unexplained) >= _HOLD_THRESHOLD',
+        'not unexplained and begun',
         'tests.unit.test_crashing_requests.EndingRequestTest.test_streams',
     ),
     Mutation(
@@ -279,22 +280,24 @@
     Mutation(
         'limits-of-targets-are-not-kept',
         'throttling/_throttle.py',
-        'return part.nodes > 0 and part.bucket.has_tokens(wanted, now)',
+        'return allotment.nodes > 0 and allotment.bucket.has_tokens(\n'
+        '            required, now\n'
+        '        )',
         'return True',
         _LIMIT_SHARES,
     ),
     Mutation(
         'every-node-sends-to-limited-targets',
         'throttling/_throttle.py',
-        'most = self._rule.max_nodes(limit)',
-        'most = len(instance.id) * 100 if instance else 1000',
+        'max_nodes = self._rule.max_nodes(limit)',
+        'max_nodes = len(instance.id) * 100 if instance else 1000',
         _LIMIT_SHARES,
     ),
     Mutation(
         'who-takes-over-does-not-wait',
         'throttling/_throttle.py',
-        'begins_at = now + _HANDOVER_SECONDS',
-        'begins_at = now - _HANDOVER_SECONDS',
+        'starts_at = now + _HANDOVER_SECONDS',
+        'starts_at = now - _HANDOVER_SECONDS',
         _LIMIT_SHARES,
     ),
     Mutation(
