--- a/src/cranecart/grouping/__init__.py
+++ b/src/cranecart/grouping/__init__.py
@@ -1,4 +1,4 @@
-"""Form whole replicas from instances, repair them, and end them."""
+"""Form replicas from groups of instances, repair them and tear them down."""
 
 from cranecart.grouping._environment import PlacerEnvironment, PlacerScope
 from cranecart.grouping._placer import GroupPlacer
--- a/src/cranecart/grouping/_allocation.py
+++ b/src/cranecart/grouping/_allocation.py
@@ -1,8 +1,9 @@
-"""Divide a fabric domain's instances into replicas; no I/O, no clock.
+"""Allocate a fabric domain's instances to replicas; no I/O, no clock.
 
-Load answered: replicas lose members every few seconds, and what is left of a
-fabric domain always fits the smaller model. Taking what fits gave all the
-instances to it within twenty deaths, while the larger model had none left.
+Allocations are scored against an objective rather than filled greedily.
+Replicas lose members every few seconds, and what is left of a fabric domain
+always fits the smaller model: a greedy fill gave it all instances within twenty
+failures and left the larger model without any.
 """
 
 import itertools
@@ -25,15 +26,15 @@
 from cranecart.models import EngineModel
 from cranecart.ports import ListedInstance
 
-# In instances that work fills. A closed replica serves nothing for a second; a
-# step that brings less is left, as chance in the measured work would bring and
-# take it.
+# Unit: busy instances. A preempted replica serves nothing for about a second.
+# Smaller gains are ignored, since noise in the measured demand would otherwise
+# make replicas change back and forth.
 _PREEMPTION_COST = 0.12
 
 
 @attrs.frozen
 class PreemptibleReplica:
-    """A replica that serves, and could make room."""
+    """A serving replica that can be closed to make room for another."""
 
     name: str
     model: str
@@ -42,7 +43,10 @@
 
 @attrs.frozen
 class Allocation:
-    """What becomes of a fabric domain, and what that is worth."""
+    """The replicas to form and to close in a fabric domain, and their score.
+
+    ``preempted`` names the replicas to close.
+    """
 
     formed: tuple[ProposedReplica, ...]
     preempted: tuple[str, ...]
@@ -51,10 +55,10 @@
 
 @attrs.frozen
 class FabricPool:
-    """One fabric domain: who is free, what may close, how quickly it goes.
+    """The free and preemptible instances of one fabric domain.
 
-    ``load_part`` multiplies the time of loads; ``close_seconds`` is how long
-    a closing replica takes to finish what it has.
+    ``load_time_factor`` scales the load times; ``drain_seconds`` is how long a
+    closing replica takes to finish its requests.
     """
 
     candidates: tuple[Candidate, ...]
@@ -68,7 +72,7 @@
     objective: Objective,
     replica_counts: Mapping[str, float],
 ) -> Allocation:
-    """Return the division of a fabric domain that is worth most.
+    """Return the allocation of a fabric domain with the highest score.
 
     ``present`` counts the replicas of the whole deployment.
     """
@@ -103,7 +107,10 @@
     models: Sequence[EngineModel],
     preempted: Sequence[PreemptibleReplica],
 ) -> Iterator[tuple[ProposedReplica, ...]]:
-    """Yield what can be formed; where replicas close, not only theirs anew."""
+    """Yield the sets of replicas that can be formed.
+
+    If replicas are preempted, at least one replica of another model is formed.
+    """
     released = (member for replica in preempted for member in replica.members)
     candidates = [
         *pool.candidates,
@@ -116,7 +123,7 @@
 
 
 def _forms_other_model(counts: ReplicaCounts, model: str) -> bool:
-    """Tell whether a replica of another model is formed."""
+    """Return whether a replica of another model is formed."""
     return any(count for one, count in counts if one.name != model)
 
 
@@ -124,10 +131,11 @@
     preemptible: Sequence[PreemptibleReplica],
     models: Sequence[EngineModel],
 ) -> Iterator[tuple[PreemptibleReplica, ...]]:
-    """Yield no closing, and those of some replicas of one model.
+    """Yield the empty set, then sets of replicas of one model to close.
 
-    Of each model those whose members can serve another are tried first, and
-    the others not at all: they differ in nothing else.
+    Replicas of one model differ only in how many members hold a second model as
+    well. Those with most such members come first, so only prefixes of that
+    order are tried.
     """
     yield ()
     by_model: dict[str, list[PreemptibleReplica]] = {}
@@ -144,8 +152,9 @@
 def _max_preempted(model: EngineModel, models: Sequence[EngineModel]) -> int:
     """Return how many of a model's replicas one of another may need.
 
-    Two for four members beside two, but four for sixteen beside four: with
-    two at the most, no room was ever made for sixteen.
+    The limit follows from the sizes: two replicas of two members for one of
+    four, but four replicas of four for one of sixteen. A fixed limit of two
+    never made room for sixteen.
     """
     largest = max(other.size for other in models)
     return math.ceil(largest / model.size)
@@ -159,7 +168,7 @@
     models: Sequence[EngineModel],
     instances: int,
 ) -> Iterator[ReplicaCounts]:
-    """Yield how many replicas of each model could be formed together."""
+    """Yield the numbers of replicas per model that fit the instances."""
     ranges = (range(instances // model.size + 1) for model in models)
     for counts in itertools.product(*ranges):
         used = sum(
--- a/src/cranecart/grouping/_context.py
+++ b/src/cranecart/grouping/_context.py
@@ -1,4 +1,4 @@
-"""What the tasks of one placer share."""
+"""What the replica tasks of one placer share."""
 
 from collections.abc import Callable
 
@@ -13,11 +13,12 @@
 
 @attrs.frozen
 class PlacerContext:
-    """The lease, the orders, and whom to tell of what an order showed.
+    """The lease, the orders, and callbacks for what an order revealed.
 
-    ``doubt`` is told of a replica whose members should be checked, ``lost``
-    of an instance whose life has ended, ``outdated`` of a replica whose
-    epoch an instance refuses; ``is_lost`` tells what was found lost.
+    ``report_suspect`` receives a replica whose members should be checked,
+    ``report_lost`` an instance that has ended, ``report_fenced`` a replica
+    whose epoch an instance has refused. ``is_lost`` returns whether an instance
+    is considered lost.
     """
 
     lease: Lease
--- a/src/cranecart/grouping/_environment.py
+++ b/src/cranecart/grouping/_environment.py
@@ -1,4 +1,4 @@
-"""What a placer is told by the rest of its node, and where it is."""
+"""The interface between a placer and the rest of its node."""
 
 from collections.abc import Callable, Mapping
 
@@ -10,15 +10,16 @@
 
 @attrs.frozen
 class PlacerEnvironment:
-    """What a placer needs to know from the rest of its node.
-
-    ``hears_other`` tells whether another node says that it holds the duty,
-    ``is_informed`` whether list and records were read, ``has_traffic``
-    whether loads count, and ``demand`` weighs the models' requests.
-    ``is_isolated`` tells whether this node hears none of those beside it, and
-    ``is_cut`` whether its readers do not reach the store.
-    ``tell_stopped`` tells all nodes of a replica that takes nothing more,
-    why, and whether it finishes what it has.
+    """Callbacks through which a placer reads and informs its node.
+
+    ``is_held_elsewhere`` returns whether another node claims the placement
+    lease, ``is_synced`` whether the instance list and the records have been
+    read, ``has_traffic`` whether requests have arrived, so that loads have to
+    be limited, and ``demand`` the demand for each model in replicas.
+    ``is_isolated`` returns whether this node hears none of its peers,
+    ``is_store_unreachable`` whether its readers cannot reach the store.
+    ``announce_stopped`` tells all nodes that a replica accepts no more
+    requests, why, and whether it completes the running ones.
     """
 
     config: Callable[[], RouteConfig | None]
@@ -33,10 +34,10 @@
 
 @attrs.frozen
 class PlacerScope:
-    """The failure domain of a placer among how many, and its engines' stall.
+    """The failure domain of a placer, and settings that depend on it.
 
-    ``stall_seconds`` is how long a head without a member stands still
-    before it is broken.
+    ``failure_domains`` is the number of failure domains. ``stall_seconds`` is
+    how long a head that has lost a member stalls before it is broken.
     """
 
     failure_domain: str
--- a/src/cranecart/grouping/_failure_detector.py
+++ b/src/cranecart/grouping/_failure_detector.py
@@ -1,4 +1,4 @@
-"""Evidence that replicas stand still, and what was found lost by checking."""
+"""Track suspected replicas and the instances that checks found lost."""
 
 from collections.abc import Awaitable, Callable, Iterable
 
@@ -11,21 +11,21 @@
 from cranecart.logs import decision
 from cranecart.ports import Incarnation, ListedInstance
 
-# An instance that is listed this long after it was found dead is alive, as
-# a dead one's entry lapses after three heartbeats.
+# An instance that is still listed this long after it was found lost is alive:
+# the entry of a dead one lapses after three heartbeats.
 _LOST_TTL_SECONDS = 6.0
-# Two of them may have died with a replica's members.
+# Two of them may have failed together with the replica's members.
 _REFERENCE_COUNT = 3
-# The same replica is checked again at most this often.
+# Minimum interval between two checks of the same replica.
 _RECHECK_SECONDS = 0.6
 
 
 @attrs.define
 class FailureDetector:
-    """The doubts about replicas, and the instances found lost."""
+    """The suspected replicas, and the instances that were found lost."""
 
     _fleet: Fleet
-    # Told at once of a replica that has lost a member.
+    # Called at once for a replica that has lost a member.
     _on_loss: Callable[[ReplicaRecord], Awaitable[None]]
     _clock: Callable[[], float] = since_boot
     liveness: LivenessCheck = attrs.field(factory=LivenessCheck, init=False)
@@ -34,7 +34,7 @@
     _checked_at: dict[str, float] = attrs.field(factory=dict, init=False)
 
     def suspect(self, record: ReplicaRecord, evidence: str) -> None:
-        """Have a replica's members checked soon."""
+        """Schedule a check of a replica's members."""
         if record.name not in self._suspected:
             self._suspected[record.name] = record
             decision(
@@ -45,7 +45,7 @@
             )
 
     def report_lost(self, name: str, why: str) -> None:
-        """Take over that an instance's incarnation has ended."""
+        """Record that the current incarnation of an instance has ended."""
         known = self._fleet.known(name)
         incarnation = Incarnation(name) if known is None else known.incarnation
         if incarnation not in self._lost_at:
@@ -53,7 +53,7 @@
         self._lost_at[incarnation] = self._clock()
 
     def lost_instances(self) -> frozenset[str]:
-        """Return the instances that are held to be lost now."""
+        """Return the instances that are considered lost now."""
         now = self._clock()
         self._lost_at = {
             incarnation: at
@@ -68,7 +68,7 @@
         )
 
     async def check(self, records: Iterable[ReplicaRecord]) -> None:
-        """Begin to check the replicas that are doubted or have a lapse."""
+        """Start checks of suspected replicas and those with lapsed members."""
         affected = self._fleet.recorded.keys_naming(self._fleet.lapsed)
         for record in records:
             if record.key in affected:
@@ -99,10 +99,10 @@
     def _reference_instances(
         self, record: ReplicaRecord
     ) -> list[ListedInstance]:
-        """Return instances that would answer if this node's link does.
+        """Return instances that should answer if this node's link works.
 
-        Those of the same failure domain and of another fabric domain go
-        first: they are near, and rarely die with the members.
+        Instances of the same failure domain but another fabric domain come
+        first: they are near, and rarely fail together with the members.
         """
         lost = self.lost_instances().union(record.members)
         others = [
--- a/src/cranecart/grouping/_formation.py
+++ b/src/cranecart/grouping/_formation.py
@@ -1,4 +1,4 @@
-"""Bring one recorded replica to serve, straight down, as its own task."""
+"""Bring one recorded replica into service, as a task of its own."""
 
 from collections.abc import Callable
 
@@ -18,10 +18,10 @@
 from cranecart.logs import decision
 from cranecart.ports import ListedInstance, MemberPhase
 
-# How often the list is looked at while a step is awaited; the list itself
-# tells of a change within some ten milliseconds.
+# Interval between looks at the instance list while waiting for a step; the list
+# shows a change within some ten milliseconds.
 _POLL_SECONDS = 0.03
-# An order whose effect the list does not show is sent again after this.
+# An order without a visible effect in the list is sent again after this time.
 _RESEND_SECONDS = 0.6
 
 _JOINED_PHASES = frozenset(
@@ -32,7 +32,7 @@
 
 @attrs.define
 class ReplicaFormation:
-    """One forming of a replica, until it serves or is given up."""
+    """The formation of one replica, until it serves or is given up."""
 
     record: ReplicaRecord
     _fleet: Fleet
@@ -43,7 +43,7 @@
     )
 
     async def run(self) -> None:
-        """Join all members, wait until all are ready, open the head."""
+        """Join all members, wait until all are ready, then open the head."""
         started = self._clock()
         while self._is_wanted() and not self._all_members_in(_READY_PHASES):
             await self._join_missing()
@@ -87,7 +87,7 @@
         return self._phase(self.record.head) is MemberPhase.OPEN
 
     def _needs_join(self, name: str) -> bool:
-        # Asked last, as it notes the time of the order that follows.
+        # Evaluated last, because it records the time of the order that follows.
         return (
             self._phase(name) not in _JOINED_PHASES
             and not self._is_bound_elsewhere(name)
@@ -95,9 +95,9 @@
         )
 
     def _is_bound_elsewhere(self, name: str) -> bool:
-        """Tell whether an earlier replica may still serve with a member.
+        """Return whether an earlier replica may still serve with a member.
 
-        Its record goes only once its head is known to have ended.
+        The record of a replica is deleted only once its head has ended.
         """
         return any(
             record.key != self.record.key
@@ -175,7 +175,7 @@
         )
         match error:
             case OrderUnknownError():
-                # The same order again does no harm, and may be answered.
+                # Orders are idempotent: send it again without waiting.
                 self._ordered_at.pop((order, instance.id), None)
                 self._context.report_suspect(self.record, str(error))
             case TargetGoneError() | TargetClosedError():
--- a/src/cranecart/grouping/_inventory.py
+++ b/src/cranecart/grouping/_inventory.py
@@ -1,4 +1,4 @@
-"""What a placer has to work with: instances, replicas, loads under way."""
+"""Collect the instances, replicas and loads that a plan is based on."""
 
 from collections import Counter, defaultdict
 from collections.abc import Callable, Iterable, Iterator, Mapping
@@ -15,7 +15,7 @@
 from cranecart.models import ServiceProfile
 from cranecart.ports import ListedInstance
 
-# Loads before the first request take this part of their time.
+# Before the first request, loads take this fraction of their usual time.
 _STARTUP_LOAD_TIME_FACTOR = 0.1
 
 
@@ -33,7 +33,7 @@
     _stall_seconds: float
 
     def plan_input(self, profile: ServiceProfile) -> PlanInput:
-        """Return what a plan for a service is made from."""
+        """Return the input for planning a service."""
         fixed = self._fixed_replicas()
         serving = [one for one in fixed if one.service == profile.name]
         replica_counts: dict[str, float] = defaultdict(float)
@@ -57,10 +57,10 @@
         )
 
     def loads_in_progress(self) -> int:
-        """Return how many loads from the weight store are under way.
+        """Return how many loads from the weight store are in progress.
 
-        Those of members follow from all placers' records; stagings are known
-        where they were ordered only.
+        Loads of members are counted from the records of all placers; stagings
+        are known only to the placer that ordered them.
         """
         joining = sum(
             record.loads
@@ -70,10 +70,10 @@
         return joining + len(self._stager.staging(self._fleet.instances))
 
     def bound_instances(self) -> frozenset[str]:
-        """Return the members of all replicas, also of those that end.
+        """Return the members of all replicas, including those that are ending.
 
-        An instance that is being freed leaves its replica when it joins
-        anything else, and that must not happen before the head has ended.
+        A join makes an instance leave its replica, which must not happen before
+        the head of that replica has ended.
         """
         return self._orphans.members().union(
             name
@@ -82,7 +82,7 @@
         )
 
     def is_own(self, instance: ListedInstance) -> bool:
-        """Tell whether this placer gives an instance its orders."""
+        """Return whether this placer sends orders to an instance."""
         return instance.failure_domain == self._failure_domain
 
     def _may_plan(self, failure_domain: str) -> bool:
@@ -92,7 +92,7 @@
     def _discounted(
         self, profile: ServiceProfile, record: ReplicaRecord
     ) -> float:
-        """Return as how much a replica counts; one that loads serves late."""
+        """Return the weight of a replica: less than 1 while it is loading."""
         engine = profile.engine
         model = None if engine is None else engine.model(record.model)
         if model is None or not record.loads or self._fleet.is_open(record):
@@ -100,7 +100,7 @@
         return discount(model.load_seconds)
 
     def _release_delays(self) -> Iterator[tuple[str, float]]:
-        """Yield in how many seconds members of ending replicas are free."""
+        """Yield members of ending replicas and the delay until release."""
         for record in self._fleet.records.values():
             if record.state is RecordState.SERVING:
                 continue
@@ -110,11 +110,12 @@
             yield from ((name, wait) for name in record.members)
 
     def _fixed_replicas(self) -> tuple[ReplicaRecord, ...]:
-        """Return the replicas that a plan takes as they are.
+        """Return the replicas that a plan takes as given.
 
-        None in the first one: what other placers have formed by now is a part
-        of the very division that is planned. Taken as it was, two of three
-        placers came to 3 and 10 replicas where 6 and 8 were best.
+        There are none in a placer's first plan: what other placers have formed
+        by then belongs to the same allocation that is being planned. Taking it
+        as given, two of three placers formed 3 and 10 replicas where 6 and 8
+        were best.
         """
         serving = tuple(self._serving())
         has_begun = any(
@@ -133,7 +134,7 @@
         self,
         serving: Iterable[ReplicaRecord],
     ) -> Iterator[ServingMember]:
-        """Yield the own members of replicas that serve, but leaving ones."""
+        """Yield the domain's serving members that are not leaving."""
         return (
             ServingMember(instance, record.name, record.model)
             for record in serving
@@ -148,12 +149,13 @@
         service: str,
         fixed: Iterable[ReplicaRecord],
     ) -> Iterator[ListedInstance]:
-        """Yield the unused instances, also those that are being freed.
+        """Yield the unused instances, including those about to be released.
 
-        Before traffic those of all failure domains, as all placers divide
-        what there is at the same moment: each plans for all alike and forms
-        its own part. Planning each for itself, three placers gave the large
-        model 9 replicas and the small one 6, where 8 and 8 were best.
+        Before traffic starts, these are the instances of all failure domains:
+        all placers plan the whole deployment from the same input at the same
+        time, and each forms its own part. When three placers planned only for
+        themselves, the large model got 9 replicas and the small one 6, where 8
+        and 8 were best.
         """
         used = {name for one in fixed for name in one.members}
         used.update(self._failure_detector.lost_instances())
--- a/src/cranecart/grouping/_liveness.py
+++ b/src/cranecart/grouping/_liveness.py
@@ -1,7 +1,7 @@
-"""Find out which members of a replica are dead, by new connections only.
+"""Check which members of a replica are dead by opening connections.
 
-A new connection is far cheaper than a request for an instance's state, and
-its answer comes from the kernel, whatever the engine is doing.
+A connection is far cheaper than a status request, and the kernel accepts it
+whatever the engine is doing.
 """
 
 from collections.abc import Awaitable, Callable, Mapping, Sequence
@@ -16,18 +16,23 @@
 from cranecart.ports import ListedInstance
 
 # A live instance of the placer's own failure domain answers within some
-# milliseconds; with 3 of 100 packets lost, three tries fail once in 5,000.
-# They overlap, as the time until a replica is known to stand still counts.
+# milliseconds. At a packet loss of 3 in 100, three attempts all fail once in
+# 5,000. They overlap, because the check adds to the time until a stalled
+# replica is detected.
 _CONNECT_TIMEOUT_SECONDS = 0.036
 _ATTEMPTS = 3
 _ATTEMPT_INTERVAL_SECONDS = 0.01
-# A process that was not scheduled for this long trusts no clock of its own.
+# A check that overruns by more than this was delayed by this process, so its
+# time-outs prove nothing.
 _MAX_SCHEDULING_DELAY_SECONDS = 0.03
 
 
 @attrs.frozen
 class LivenessResult:
-    """Which members did not answer; ``closed`` ones have no process."""
+    """The members that did not answer.
+
+    ``closed`` instances refused the connection: no process listens there.
+    """
 
     silent: frozenset[str]
     closed: frozenset[str]
@@ -35,12 +40,12 @@
 
     @property
     def lost(self) -> frozenset[str]:
-        """Return all instances that are taken to be dead."""
+        """Return all instances that are considered dead."""
         return self.silent | self.closed
 
 
 async def _probe_instance(instance: ListedInstance) -> bool | None:
-    """Return whether it listens; ``None`` where nothing answers."""
+    """Return whether an instance listens; ``None`` if nothing answers."""
     async with curio.TaskGroup(wait=object) as attempts:
         for number in range(_ATTEMPTS):
             await attempts.spawn(
@@ -51,7 +56,11 @@
 
 @attrs.define
 class LivenessCheck:
-    """Connects to instances; each try tells whether one listens."""
+    """Probes instances with connections.
+
+    ``_probe`` returns whether an instance listens, or ``None`` without an
+    answer.
+    """
 
     _probe: Callable[
         [ListedInstance],
@@ -65,10 +74,11 @@
         members: Sequence[ListedInstance],
         reference_instances: Sequence[ListedInstance] = (),
     ) -> LivenessResult:
-        """Try all members at once; where none answers, ask the witnesses.
+        """Probe all members at once; if none answers, probe others as well.
 
-        Where nobody at all answers, this node's own link may be full or cut,
-        so that nothing is sure; the list tells later of those that died.
+        If the reference instances do not answer either, this node's own link
+        may be saturated or cut, so the result is inconclusive. The instance
+        list shows later which members have died.
         """
         self.checks += 1
         started = self._clock()
@@ -76,7 +86,7 @@
         is_any_answered = _any_answered(answers)
         took = self._clock() - started
         if not is_any_answered:
-            # Members are asked again too, as all this takes a moment.
+            # Members are probed again too, because time has passed.
             started = self._clock()
             all_answers = await self._probe_all(
                 (*members, *reference_instances)
@@ -119,7 +129,7 @@
 
 
 async def _probe_after(instance: ListedInstance, wait: float) -> bool | None:
-    """Connect once, after a wait; all tries end at the same time."""
+    """Connect once, after a delay; all attempts share one deadline."""
     await curio.sleep(wait)
     try:
         connection = await HttpConnection.open(
--- a/src/cranecart/grouping/_load_budget.py
+++ b/src/cranecart/grouping/_load_budget.py
@@ -1,4 +1,4 @@
-"""Bound the loads from the weight store that one placer begins."""
+"""Limit the rate at which one placer starts loads from the weight store."""
 
 from collections.abc import Callable
 
@@ -6,29 +6,30 @@
 
 from cranecart.clocks import since_boot
 
-# A placer's part of the store's rate that it uses; the rest is for a placer
-# that took over and does not know what was begun before.
+# Fraction of a placer's share of the store's rate that is used. The rest is
+# left for a placer that has taken over and does not know which loads were
+# started before.
 _BUDGET_SHARE = 0.8
-# Loads that may begin together after a quiet while, for a replica of three.
+# Loads that may start together after an idle period: a replica of three.
 _BURST = 3.0
 
 
 @attrs.define
 class LoadBudget:
-    """Tokens for loads, by the store's rate and the number of placers."""
+    """A token bucket for loads, refilled at a placer's share of the rate."""
 
     _clock: Callable[[], float] = since_boot
     _tokens: float = attrs.field(default=_BURST, init=False)
     _refilled_at: float | None = attrs.field(default=None, init=False)
 
     def take(self, count: int, loads_per_second: float, placers: int) -> bool:
-        """Take some loads; return whether they may begin now."""
+        """Take tokens for some loads; return whether they may start now."""
         now = self._clock()
         if self._refilled_at is not None:
             rate = _BUDGET_SHARE * loads_per_second / max(placers, 1)
             self._tokens += rate * (now - self._refilled_at)
         self._refilled_at = now
-        # More than a burst is saved only towards one larger replica.
+        # Tokens beyond the burst are kept only for one larger replica.
         self._tokens = min(max(_BURST, count), self._tokens)
         if count > self._tokens:
             return False
--- a/src/cranecart/grouping/_member_selection.py
+++ b/src/cranecart/grouping/_member_selection.py
@@ -1,4 +1,4 @@
-"""Who becomes a member of what, how soon, and what that costs; no I/O."""
+"""Select members for replicas by readiness and cost; no I/O."""
 
 from collections.abc import Sequence
 
@@ -8,27 +8,27 @@
 from cranecart.models import EngineModel
 from cranecart.ports import ListedInstance
 
-# A replica that serves later counts for less: deaths change every plan within
-# some seconds on the users' sheets.
+# Replicas that become ready later count for less, since failures change every
+# plan within some seconds in the reference deployments.
 _HORIZON_SECONDS = 6.0
-# What an instance needs that had the model last, and what a head needs to
-# open, on the users' sheets.
+# Time to join for an instance that still has the model loaded, and time for a
+# head to open, in the reference deployments.
 _JOIN_LOADED_SECONDS = 0.2
 _OPEN_SECONDS = 0.3
-# The costs are in instances that work fills. A member that joins with the
-# model on its host gives up its second model, which is loaded anew within the
-# weight store's pace: 0.4 loads a second on the users' sheets.
+# Costs are in busy instances. A member that joins with its staged model gives
+# up the model it had loaded, which later has to be loaded again within the
+# weight store's rate: 0.4 loads a second in the reference deployments.
 _SWITCH_COST = 0.04
-# A member that must load keeps others from loading.
+# A member that must load delays other loads.
 _LOAD_COST = 0.08
 
-# How many replicas of each model to form.
+# The models, each with the number of replicas to form.
 ReplicaCounts = tuple[tuple[EngineModel, int], ...]
 
 
 @attrs.frozen
 class Candidate:
-    """An instance that could become a member, in so many seconds."""
+    """An instance that could become a member after ``wait_seconds``."""
 
     instance: ListedInstance
     wait_seconds: float = 0
@@ -36,9 +36,10 @@
 
 @attrs.frozen
 class ProposedReplica:
-    """A replica to form, head first; it serves in ``ready_seconds``.
+    """A replica to form, head first, which serves after ``ready_seconds``.
 
-    ``cold`` members must load; ``switched`` ones give up one of two models.
+    ``cold_members`` have to load the model; ``switched_members`` give up one of
+    their two models.
     """
 
     model: str
@@ -50,7 +51,7 @@
 
 @attrs.frozen
 class _RankedCandidate:
-    """A candidate for one model, by how soon it could be a ready member."""
+    """A candidate for one model, with its time until it is a ready member."""
 
     seconds: float
     instance: ListedInstance
@@ -61,9 +62,10 @@
 class CandidateRanking:
     """Candidates, ranked once for each model.
 
-    Weighing a fabric domain of 37 instances asks for some twenty compositions
-    of the same candidates, and again for each closing. Sorted anew for each
-    replica, a first plan for six such domains took 38 ms; like this it is 9.
+    Scoring a fabric domain of 37 instances asks for some twenty allocations of
+    the same candidates, and again for each set of preempted replicas. Sorting
+    them anew for each replica took 38 ms for a first plan of six such domains,
+    ranking them once takes 9 ms.
     """
 
     def __init__(
@@ -106,7 +108,7 @@
         candidates,
         key=lambda one: (
             _seconds_until_ready(one, model, load_time_factor),
-            # Between those that must load, who has nothing goes first.
+            # Among instances that must load, prefer those that hold no model.
             len(models_of(one.instance)),
             one.instance.id,
         ),
@@ -139,7 +141,7 @@
     model: EngineModel,
     load_time_factor: float,
 ) -> float:
-    """Return how long an instance takes to be a ready member."""
+    """Return how long an instance takes to become a ready member."""
     instance = candidate.instance
     if model.name in instance.loaded:
         return candidate.wait_seconds + _JOIN_LOADED_SECONDS
@@ -149,14 +151,14 @@
 
 
 def discount(seconds: float) -> float:
-    """Return as how much a replica counts that serves in so many seconds."""
+    """Return the weight of a replica that is ready after a delay."""
     return _HORIZON_SECONDS / (_HORIZON_SECONDS + seconds)
 
 
 def formation_cost(
     formed: Sequence[ProposedReplica], load_time_factor: float
 ) -> float:
-    """Return what forming takes from later plans, in instances."""
+    """Return what the formation costs later plans, in busy instances."""
     cold_members = sum(one.cold_members for one in formed)
     switched_members = sum(one.switched_members for one in formed)
     return (
@@ -166,5 +168,5 @@
 
 
 def _gives_up_model(instance: ListedInstance, model: str) -> bool:
-    """Tell whether an instance will have one model where it had two."""
+    """Return whether an instance gives up the model that it has loaded."""
     return bool(instance.loaded) and model not in instance.loaded
--- a/src/cranecart/grouping/_objective.py
+++ b/src/cranecart/grouping/_objective.py
@@ -1,6 +1,6 @@
-"""What users get from so many replicas of each model; no I/O, no clock.
+"""Score numbers of replicas by how much demand they serve; no I/O.
 
-One measure decides what is formed, what is closed for it and what stays a
+The same objective decides what is formed, what is preempted and what remains a
 spare, so that no step undoes another.
 """
 
@@ -11,38 +11,39 @@
 
 from cranecart.models import EngineModel
 
-# How soon more replicas of a model are worth less: with as many as its work
-# fills, three quarters of what could be gained are, with twice as many 0.95.
-# Full replicas answer late, and one in some ten is being repaired.
+# Rate at which further replicas of a model lose value. As many replicas as the
+# demand fills give three quarters of the possible gain, twice as many 0.95:
+# full replicas answer late, and one in about ten is being repaired.
 _SATURATION = 1.5
-# The part of the time that each member keeps its replica from serving. On the
-# users' sheets each member dies once in a hundred seconds (20 of 54 in 34 s of
-# quiet days), and three seconds pass from a death to the next opening.
+# Fraction of the time for which each member makes its replica unavailable. In
+# the reference deployments each member fails once in a hundred seconds (20 of
+# 54 in 34 s of quiet days), and three seconds pass until the replica opens
+# again.
 _DOWNTIME_PER_MEMBER = 0.03
-# A model that hardly anybody asks for still wants one replica.
+# A model with hardly any requests still gets one replica.
 _MIN_DEMAND = 0.1
-# Until requests tell more, this part of all instances is taken to have work.
+# Fraction of all instances that is assumed to be busy until demand is known.
 _DEFAULT_UTILIZATION = 0.6
-# Work of this many replicas that came tells more than the declared shares.
+# Measured demand replaces the declared shares above this many replicas.
 _MIN_MEASURED_DEMAND = 0.3
 
 
 @attrs.frozen
 class Objective:
-    """Weighs divisions of a deployment's instances into replicas.
+    """Scores allocations of a deployment's instances to replicas.
 
-    ``demand`` is how many replicas of each model its work would fill. All
-    models' users count the same for the accelerators that their work takes,
-    so that what is too little is divided evenly.
+    ``demand`` is how many replicas of each model the requests would fill.
+    Demand is weighted by the accelerators that it takes, whatever the model, so
+    that a shortage is shared evenly.
     """
 
     models: tuple[EngineModel, ...]
     demand: Mapping[str, float]
 
     def value(self, replicas: Mapping[str, float]) -> float:
-        """Return the part of all work, from 0 to 1, that is served well.
+        """Return the fraction of all demand, from 0 to 1, that is served well.
 
-        Replicas may be counted in part: those that serve only later.
+        Counts may be fractional for replicas that will serve later.
         """
         served = sum(
             self._weight(one) * self._served(one, replicas)
@@ -52,7 +53,7 @@
 
     @property
     def instances_needed(self) -> float:
-        """Return how many instances all the work would fill."""
+        """Return how many instances the whole demand would fill."""
         return sum(map(self._weight, self.models))
 
     def _weight(self, model: EngineModel) -> float:
@@ -63,10 +64,10 @@
         model: EngineModel,
         replicas: Mapping[str, float],
     ) -> float:
-        """Return the part of a model's work that is served in the mean.
+        """Return the expected fraction of a model's demand that is served.
 
-        Each replica is whole for a part of the time, whatever others are, so
-        that the mean over what is whole is a product over the replicas.
+        Replicas are available independently of each other, so the expectation
+        is a product over the replicas.
         """
         gain_of_first = 1 - math.exp(-_SATURATION / self.demand[model.name])
         lost = 1 - gain_of_first / (1 + _DOWNTIME_PER_MEMBER * model.size)
@@ -78,10 +79,10 @@
     measured_demand: Mapping[str, float],
     instance_count: int,
 ) -> Objective:
-    """Build the objective from measured work, or else from declared shares.
+    """Build the objective from measured demand or from declared shares.
 
-    ``measured`` is work that comes, in replicas that it would fill, and
-    ``instances`` how many there are for all models.
+    ``measured_demand`` is in replicas; ``instance_count`` is the number of
+    instances of all models.
     """
     demand = measured_demand
     if sum(measured_demand.values()) < _MIN_MEASURED_DEMAND:
--- a/src/cranecart/grouping/_orphans.py
+++ b/src/cranecart/grouping/_orphans.py
@@ -1,7 +1,8 @@
 """Find replicas that serve without a record; no I/O.
 
-A table that comes back from a copy may lack the record of a replica, and no
-node may know it from before. Its members tell in the list what they form.
+When the table is restored from a copy, it may lack the record of a replica that
+no node remembers. The members' entries in the instance list still show which
+replica they form.
 """
 
 from collections import defaultdict
@@ -16,9 +17,9 @@
 
 # A replica that has just ended is listed for a moment longer.
 _ORPHAN_GRACE_SECONDS = 1.0
-# The list may lack members for two seconds after the table's return.
+# The list may lack members for two seconds after the table is restored.
 _INCOMPLETE_GRACE_SECONDS = 2.5
-# Longer than both; a placer that has seen so much of the list knows the rest.
+# Longer than both: by then a placer has seen every replica in the list.
 _WATCH_SECONDS = 6.0
 
 _SERVING_PHASES = frozenset((MemberPhase.OPEN, MemberPhase.CLOSING))
@@ -31,8 +32,8 @@
 class OrphanedReplicas:
     """The replicas of one failure domain that have no record.
 
-    Looked for only for a while after ``watch``, as whoever places records what
-    it forms.
+    They are searched for only for a while after ``watch``, because a placer
+    records every replica that it forms.
     """
 
     _failure_domain: str
@@ -44,11 +45,11 @@
     )
 
     def watch(self) -> None:
-        """Look for such replicas from now on."""
+        """Search for orphaned replicas from now on."""
         self._watch_until = self._clock() + _WATCH_SECONDS
 
     def members(self) -> frozenset[str]:
-        """Return the instances of such replicas; none of them is free."""
+        """Return the members of orphaned replicas, which are not free."""
         return frozenset(
             member.id
             for members in self._unrecorded_replicas().values()
@@ -56,9 +57,9 @@
         )
 
     def records_to_adopt(self, config: RouteConfig) -> list[ReplicaRecord]:
-        """Return the records of those that have stood for long enough.
+        """Return records for the orphans that have been listed long enough.
 
-        One that lacks members has to end.
+        A replica that lacks members is recorded as ending.
         """
         found = self._unrecorded_replicas()
         now = self._clock()
@@ -121,7 +122,7 @@
     members: Sequence[ListedInstance],
     config: RouteConfig,
 ) -> bool:
-    """Tell whether all members of a declared model are there."""
+    """Return whether all members of a declared model are present."""
     ranks = [one.membership.rank for one in members if one.membership]
     profile = config.services.get(members[0].service)
     engine = None if profile is None else profile.engine
--- a/src/cranecart/grouping/_placer.py
+++ b/src/cranecart/grouping/_placer.py
@@ -1,4 +1,4 @@
-"""Hold the placement duty of one failure domain, and act on it."""
+"""Hold the placement lease of one failure domain and place replicas."""
 
 import random
 
@@ -26,26 +26,27 @@
 from cranecart.ports import Orders, Table
 
 _TICK_SECONDS = 0.04
-# Without the duty there is nothing to do but to hear its holder, by beats.
+# Without the lease, a placer only has to notice the holder's heartbeats.
 _IDLE_TICK_SECONDS = 0.1
-# Well within the time for which a lease is trusted, so that one renewal may
-# fail; each renewal is a call of the store.
+# Well below the time for which a lease is trusted, so that one renewal may
+# fail; each renewal is a call to the store.
 _RENEW_SECONDS = 2.0
-# While others may not hear this node, or its last call failed, they look at the
-# lease itself and would take it over.
+# Used while the peers may not hear this node, or its last call failed: they
+# then look at the lease itself and would take it over.
 _URGENT_RENEW_SECONDS = 1.0
 # How long other nodes wait before they look at the lease again.
 _LEASE_POLL_SECONDS = 0.4
-# Where a reader of this node does not reach the store, a look hardly succeeds.
+# If a reader of this node cannot reach the store, reading the lease would
+# probably fail too.
 _UNREACHABLE_POLL_SECONDS = 3.0
-# How soon a placer tries again that could not read its rows.
+# Interval between attempts to read the records.
 _REREAD_SECONDS = 0.2
-# A process that stood still for so long may have lost the duty meanwhile.
+# A process that was stalled for this long may have lost the lease.
 _STALL_SECONDS = 1.0
 
 
 class GroupPlacer:
-    """Forms, repairs and ends the replicas of one failure domain."""
+    """Forms, repairs and tears down the replicas of one failure domain."""
 
     def __init__(
         self,
@@ -101,8 +102,8 @@
         )
         self._tasks = RecordTasks(fleet, self._make_task)
         self._fenced: dict[str, str] = {}
-        # Nodes that start together look one after the other, and the first that
-        # has the duty tells the rest.
+        # Spreads the first looks of nodes that start together: the first one to
+        # take the lease announces it to the rest.
         self._lease_checked_at = (
             since_boot() - _LEASE_POLL_SECONDS * random.random()
         )
@@ -112,20 +113,21 @@
 
     @property
     def held_failure_domain(self) -> str:
-        """Return the failure domain, if this node holds its duty.
+        """Return the failure domain if this node holds its lease, else ''.
 
-        One whose last renewal failed does not claim it, so that others look.
+        After a failed renewal the node no longer claims the lease, so that
+        others look at it.
         """
         is_confirmed = self.lease.is_held and not self._is_failing
         return self._scope.failure_domain if is_confirmed else ''
 
     async def run(self) -> None:
-        """Keep the duty if nobody else does, and act, until cancelled."""
+        """Take or renew the lease and place replicas, until cancelled."""
         while not self._stopped:
             try:
                 await self._tick()
             except (PlatformError, LeaseLostError) as error:
-                # The next tick decides afresh on what holds then.
+                # The next tick reads the current state and decides again.
                 self._note_failure(error)
             pause = _TICK_SECONDS if self.lease.is_held else _IDLE_TICK_SECONDS
             await curio.ignore_after(pause, self._wake.wait)
@@ -133,14 +135,14 @@
         await curio.Event().wait()
 
     async def hand_over(self) -> None:
-        """Give the duty up, so that another node takes it at once."""
+        """Release the lease, so that another node can take it at once."""
         self._stopped = True
         await self.lease.hand_over()
 
     async def suspect(
         self, replica_epoch: tuple[str, int], evidence: str
     ) -> None:
-        """Look at once whether a replica stands still, if that is the duty."""
+        """Check a replica for lost members if this node holds the lease."""
         if not self._may_act():
             return
         for record in self._record_store.records():
@@ -166,7 +168,7 @@
         await self._tasks.reconcile(self._record_store.records())
 
     async def _announce_loss(self, record: ReplicaRecord) -> None:
-        """Tell all nodes before anything is written down."""
+        """Tell all nodes before the new state is written to the table."""
         if record.state is RecordState.SERVING:
             self._environment.announce_stopped(
                 record, 'a member was found lost', False
@@ -209,7 +211,7 @@
             self._is_failing = False
 
     def _needs_reread(self, now: float) -> bool:
-        """Tell whether to read anew, as the table has come back from a copy."""
+        """Return whether to read again, as the table has been restored."""
         if now - self._lease_checked_at < _REREAD_SECONDS:
             return False
         return self._record_store.is_stale or not self.lease.is_of_this_era
@@ -225,7 +227,7 @@
         self._orphans.watch()
 
     def _renew_seconds(self) -> float:
-        """Return after how long the duty is to be shown to be held."""
+        """Return the interval between renewals of the lease."""
         if self._is_failing or self._environment.is_isolated():
             return _URGENT_RENEW_SECONDS
         return _RENEW_SECONDS
--- a/src/cranecart/grouping/_plan.py
+++ b/src/cranecart/grouping/_plan.py
@@ -1,4 +1,4 @@
-"""Decide which replicas to form, what closes for them, what to stage."""
+"""Decide which replicas to form and to preempt, and what to stage."""
 
 from collections import Counter, defaultdict
 from collections.abc import Mapping, Sequence
@@ -31,10 +31,10 @@
 def plan(
     plan_input: PlanInput, scope: PreemptionScope = PreemptionScope.NONE
 ) -> Plan:
-    """Divide each fabric domain, then stage what is left over.
+    """Allocate the instances of each fabric domain, then stage for spares.
 
-    At most one fabric domain's replicas are closed for others in a plan, so
-    that what that brings is seen before more is closed.
+    In one plan, replicas are preempted in at most one fabric domain, so that
+    the effect is visible before any more are closed.
     """
     if plan_input.profile.engine is None:
         return Plan()
@@ -65,10 +65,10 @@
     free: Sequence[ListedInstance],
     scope: PreemptionScope,
 ) -> Allocation:
-    """Return the part of a division that begins now.
+    """Return the part of an allocation that may start now.
 
-    Where nothing may be closed yet, replicas that need it wait, and so do the
-    free instances that they are to be formed from: taken by what fits them
+    While preemption is deferred, the replicas that depend on it wait, and so do
+    the free instances reserved for them. If smaller replicas took those
     meanwhile, fifteen survivors of sixteen became three smaller replicas.
     """
     if scope is not PreemptionScope.DEFERRED:
@@ -83,7 +83,7 @@
 
 
 def _by_fabric(plan_input: PlanInput) -> dict[str, list[ListedInstance]]:
-    """Sort the free instances into all fabric domains with instances."""
+    """Group the free instances by fabric domain, including empty groups."""
     used = (one.instance for one in plan_input.members)
     names = {one.fabric_domain for one in (*plan_input.free, *used)}
     by_fabric: dict[str, list[ListedInstance]] = {
@@ -143,7 +143,7 @@
     replicas: Sequence[NewReplica],
     preempted: tuple[str, ...],
 ) -> Plan:
-    """Say what spares and members should have on their hosts, and load."""
+    """Add which models spares and members should stage or load."""
     fabric_replica_counts = Counter(plan_input.fabric_replica_counts)
     fabric_replica_counts.update(
         (one.fabric_domain, one.model) for one in replicas
@@ -167,7 +167,7 @@
     roles: Sequence[Staging | Warming],
     plan_input: PlanInput,
 ) -> tuple[Staging, ...]:
-    """Put spares that have nothing first, and members in use last."""
+    """Put spares without any model first and members in use last."""
     stagings = [one for one in roles if isinstance(one, Staging)]
     stagings.sort(key=lambda one: one.use is StagingUse.SECOND_MODEL)
     members = ((one.instance, one.model) for one in plan_input.members)
--- a/src/cranecart/grouping/_plan_executor.py
+++ b/src/cranecart/grouping/_plan_executor.py
@@ -1,4 +1,4 @@
-"""Act on what is planned: form, stage, warm, and make room."""
+"""Carry out plans: form and preempt replicas, stage and warm models."""
 
 from collections.abc import Mapping, Sequence
 
@@ -41,7 +41,7 @@
     )
 
     def is_list_stable(self) -> bool:
-        """Tell whether the list is whole enough to plan from."""
+        """Return whether the instance list is complete enough to plan from."""
         self._stabilization.update(self._fleet.instances.values())
         return (
             self._environment.has_traffic() or self._stabilization.is_stable()
@@ -50,7 +50,7 @@
     async def set_state(
         self, record: ReplicaRecord, transition: Transition
     ) -> None:
-        """Tell all nodes of a replica's end and write it down."""
+        """Announce that a replica stops and write its new state."""
         finishes = transition.state is RecordState.CLOSING
         self._environment.announce_stopped(record, transition.reason, finishes)
         changed = attrs.evolve(
@@ -61,7 +61,7 @@
         await self._record_store.write([changed])
 
     async def execute(self, profile: ServiceProfile) -> None:
-        """Plan for a service and begin what may begin now."""
+        """Plan for a service and start what may start now."""
         engine = profile.engine
         if engine is None:
             return
@@ -80,7 +80,7 @@
                 await self._warmer.warm(warming)
 
     def _preemption_scope(self) -> PreemptionScope:
-        """Tell what may be closed; nothing while the list is incomplete."""
+        """Return where replicas may be preempted: nowhere before traffic."""
         if not self._environment.has_traffic():
             return PreemptionScope.NONE
         return self._cooldown.scope(self._fleet.records.values())
@@ -105,10 +105,11 @@
         plan_input: PlanInput,
         wanted: Plan,
     ) -> None:
-        """Record what may form now, quickest first, and what closes for it.
+        """Record the replicas to form, quickest first, and those preempted.
 
-        Both are one transaction, so that whoever places next knows what the
-        instances of a closing replica are for, and holds them for it.
+        A new replica and those that make room for it are written in one
+        transaction. The next holder of the lease then knows what the instances
+        of a closing replica are reserved for.
         """
         closing = [
             attrs.evolve(
@@ -144,7 +145,8 @@
             demand=_rounded(plan_input.objective.demand),
         )
         await self._record_store.write([*closing, record])
-        # Told only now: what could not be written would close for nothing.
+        # Announced after the write: if it failed, the replica would be closed
+        # without one that replaces it.
         for one in closing:
             self._environment.announce_stopped(one, one.reason, True)
 
--- a/src/cranecart/grouping/_plan_types.py
+++ b/src/cranecart/grouping/_plan_types.py
@@ -1,4 +1,4 @@
-"""What plans are made from and what they consist of."""
+"""The input of plans, and what they consist of."""
 
 import enum
 import functools
@@ -11,22 +11,22 @@
 from cranecart.models import EngineModel, ServiceProfile
 from cranecart.ports import ListedInstance
 
-# So that a model without replicas has a finite need.
+# Keeps the demand per replica finite for a model without replicas.
 _REPLICA_OFFSET = 0.5
 
 
 class StagingUse(enum.Enum):
-    """What a staging is for; the first matters most."""
+    """The purpose of a staging; the first one has priority."""
 
-    # A spare that could join nothing without a load.
+    # For a spare that could join no replica without a load.
     FIRST_MODEL = 'first model'
-    # A spare or member that can join a replica of one model already.
+    # For a spare or member that can already join a replica of one model.
     SECOND_MODEL = 'second model'
 
 
 @attrs.frozen
 class NewReplica:
-    """Members, head first, that should form a replica of a model.
+    """A replica that should be formed, with its members, head first.
 
     ``ready_seconds`` is what the slowest member needs to be ready.
     """
@@ -41,7 +41,7 @@
 
 @attrs.frozen
 class Staging:
-    """A model that an instance should bring to its host."""
+    """A model that should be copied to the host of an instance."""
 
     instance: ListedInstance
     model: str
@@ -67,9 +67,9 @@
 
 @attrs.frozen
 class Plan:
-    """What a failure domain's placer should begin now.
+    """What a failure domain's placer should start now.
 
-    ``closings`` name the replicas that make room for some of ``replicas``.
+    ``preempted`` names the replicas that make room for some of ``replicas``.
     """
 
     replicas: tuple[NewReplica, ...] = ()
@@ -80,7 +80,7 @@
     def restricted_to(
         self, is_wanted: Callable[[ListedInstance], bool]
     ) -> Self:
-        """Return the part of the plan that concerns some instances."""
+        """Return the part of the plan that concerns only wanted instances."""
         return attrs.evolve(
             self,
             replicas=tuple(
@@ -97,16 +97,17 @@
 
 @attrs.frozen
 class PlanInput:
-    """What a plan is made from, for one service.
-
-    ``free`` are the instances of one failure domain that no replica has that
-    goes on; ``waits`` tells in how many seconds those can join that are still
-    being freed. ``present`` counts the replicas of each model over the whole
-    deployment, ``in_fabric`` those of each fabric domain, ``measured`` is the
-    work that comes, in replicas that it would fill. ``members`` are the
-    failure domain's instances in replicas that serve, ``staging`` names the
-    models that instances are being brought, ``load_part`` multiplies the time
-    of loads now.
+    """The input of a plan for one service.
+
+    ``free`` are the instances of a failure domain that belong to no replica or
+    to one that is ending. ``release_delays`` tells after how many seconds the
+    latter can join another one. ``replica_counts`` has the number of replicas
+    of each model in the whole deployment, ``fabric_replica_counts`` the number
+    by fabric domain and model. ``measured_demand`` is in replicas that it would
+    fill. ``members`` are the failure domain's instances in serving replicas,
+    ``pending_stagings`` the models that are being copied to instances.
+    ``load_time_factor`` scales the load times; ``instance_count`` counts the
+    instances of the service.
     """
 
     profile: ServiceProfile
@@ -128,13 +129,13 @@
 
     @functools.cached_property
     def objective(self) -> Objective:
-        """Return what divisions are weighed by."""
+        """Return the objective that scores allocations."""
         return build_objective(
             self.models, self.measured_demand, self.instance_count
         )
 
     def demand_per_replica(self, model: EngineModel, replicas: float) -> float:
-        """Return the demand on each of so many replicas of a model."""
+        """Return the demand on each of a number of replicas of a model."""
         demand = self.objective.demand[model.name]
         return demand / (replicas + _REPLICA_OFFSET)
 
@@ -146,5 +147,5 @@
 
 
 def models_of(instance: ListedInstance) -> tuple[str, ...]:
-    """Return the models that an instance need not load anew."""
+    """Return the models that an instance has loaded or staged."""
     return (*instance.loaded, *instance.staged)
--- a/src/cranecart/grouping/_preemption.py
+++ b/src/cranecart/grouping/_preemption.py
@@ -1,4 +1,8 @@
-"""Which replicas may make room for others, and how often that is weighed."""
+"""Decide which replicas may be preempted, and how often to try.
+
+A preempted replica is closed so that its instances can form a replica of
+another model.
+"""
 
 import enum
 from collections import defaultdict
@@ -13,29 +17,29 @@
 from cranecart.grouping._plan_types import PlanInput, ServingMember
 
 PREEMPTION_REASON = 'another model needs its instances more'
-# What a replica's streams take to end on the users' sheets.
+# How long a replica takes to finish its streams in the reference deployments.
 DRAIN_SECONDS = 0.5
-# Within this all placers know of a replica that makes room, and of the one
-# that it makes room for; until then the need looks as great as before.
+# Time in which all placers learn of a preempted replica and of the one that it
+# makes room for; until then the demand looks unchanged.
 _COOLDOWN_SECONDS = 1.0
-# How often it is worth to compare the replicas of fabric domains in which
-# nothing is free.
+# Interval at which the replicas of fabric domains without free instances are
+# compared.
 _COMPARE_INTERVAL_SECONDS = 0.5
 
 
 class PreemptionScope(enum.Enum):
-    """Where replicas may be closed to make room for others."""
+    """Where replicas may be preempted."""
 
     NONE = 'nothing'
-    # Nothing yet, as others may just have made room; what will be closed soon
-    # keeps the free instances waiting that it is to be closed for.
+    # Preempt nothing yet, because another placer may just have done so. Free
+    # instances stay reserved for the replica that will need the preempted ones.
     DEFERRED = 'beside free instances, but later'
-    # Where instances are free, which may lack a few to form something.
+    # Only in fabric domains with free instances, which may lack a few members.
     WITH_FREE_INSTANCES = 'beside free instances'
     ANYWHERE = 'anywhere'
 
     def allows(self, has_free: bool) -> bool:
-        """Tell whether replicas of a fabric domain may be closed."""
+        """Return whether a fabric domain's replicas may be preempted."""
         if self in {
             PreemptionScope.WITH_FREE_INSTANCES,
             PreemptionScope.DEFERRED,
@@ -45,13 +49,13 @@
 
     @property
     def drain_seconds(self) -> float:
-        """Return in how many seconds a closed replica's members are free."""
+        """Return the delay until a preempted replica's members are free."""
         if self is PreemptionScope.DEFERRED:
             return _COOLDOWN_SECONDS + DRAIN_SECONDS
         return DRAIN_SECONDS
 
     def after_preemption(self) -> Self:
-        """Return what may be closed after a fabric domain made room."""
+        """Return the scope that remains after one fabric domain preempted."""
         if self is PreemptionScope.NONE:
             return self
         return type(self).DEFERRED
@@ -59,11 +63,11 @@
 
 @attrs.define
 class PreemptionCooldown:
-    """Keeps placers from all making room for the same need.
+    """Keeps placers from preempting replicas for the same demand.
 
-    The pause counts from when a replica that makes room is first seen, as what
-    it makes room for is known with it. Counted from when its record was gone,
-    one that closed for long kept all others from making room.
+    The cooldown starts when a preempted replica is first seen, since the
+    replica that it makes room for is known at the same time. Starting when its
+    record was deleted, one that closed slowly blocked all other placers.
     """
 
     _clock: Callable[[], float] = since_boot
@@ -74,7 +78,7 @@
     _compared_at: float = attrs.field(default=float('-inf'), init=False)
 
     def scope(self, records: Iterable[ReplicaRecord]) -> PreemptionScope:
-        """Return what may be closed, as others may just have made room."""
+        """Return where replicas may be preempted now."""
         now = self._clock()
         self._track(records, now)
         if now - self._preempted_at < _COOLDOWN_SECONDS:
@@ -96,7 +100,7 @@
 def preemptible_replicas(
     plan_input: PlanInput, fabric: str
 ) -> tuple[PreemptibleReplica, ...]:
-    """Return a fabric domain's replicas whose members are all present."""
+    """Return a fabric domain's serving replicas whose members are present."""
     sizes = {model.name: model.size for model in plan_input.models}
     by_replica: dict[str, list[ServingMember]] = defaultdict(list)
     for member in plan_input.members:
--- a/src/cranecart/grouping/_record_store.py
+++ b/src/cranecart/grouping/_record_store.py
@@ -1,4 +1,4 @@
-"""The records of one failure domain: read, written under its lease."""
+"""Read and write the replica records of one failure domain."""
 
 from collections.abc import Mapping, Sequence
 
@@ -16,13 +16,13 @@
 from cranecart.logs import decision
 from cranecart.ports import Put, Table, Transaction, era_of
 
-# Well below the hundred entries of a transaction.
+# Well below the limit of a hundred entries per transaction.
 _MAX_ROWS_PER_TRANSACTION = 50
 
 
 @attrs.define
 class RecordStore:
-    """What the placer of a failure domain has decided, as rows."""
+    """The replica records of a failure domain, written under its lease."""
 
     failure_domain: str
     lease: Lease
@@ -33,7 +33,7 @@
 
     @property
     def is_stale(self) -> bool:
-        """Tell whether the rows have to be read before anything is done."""
+        """Return whether the rows have to be read before anything is done."""
         return self._read_era != era_of(self.lease.version)
 
     def records(self) -> list[ReplicaRecord]:
@@ -45,14 +45,14 @@
         ]
 
     def invalidate(self) -> None:
-        """Take over that another placer may have written rows."""
+        """Require a read, because another placer may have written rows."""
         self._read_era = None
 
     async def read(self) -> None:
-        """Read all rows anew; raise ``PlatformError``.
+        """Read all rows; raise ``PlatformError``.
 
-        Where the table has come back from a copy, write what it lacks and drop
-        what it brought back; raise ``LeaseLostError`` too.
+        If the table was restored from a copy, write the records that it lacks
+        and delete those that reappeared; raise ``LeaseLostError`` too.
         """
         prefix = records_prefix(self.failure_domain)
         rows = await self._table.read_prefix(prefix)
@@ -76,8 +76,8 @@
                 Transaction((self.lease.check(),), puts),
             )
         except WriteUnknownError:
-            # Once the lease's row has changed, what has not been written
-            # never will be, so that what is read then is what counts.
+            # The renewal changes the lease's row, so a pending commit can no
+            # longer succeed and what is read afterwards is final.
             await self.lease.keep()
             await self.read()
             raise
@@ -90,7 +90,7 @@
             self._log(record, version)
 
     async def delete(self, record: ReplicaRecord) -> None:
-        """Drop a record; raise ``PlatformError`` or ``LeaseLostError``."""
+        """Delete a record; raise ``PlatformError`` or ``LeaseLostError``."""
         await self._table.commit(
             Transaction((self.lease.check(),), (), (record.key,)),
         )
@@ -99,8 +99,8 @@
     def new_record(self, new: NewReplica, loads: int) -> ReplicaRecord:
         """Return the record of a replica to form, under a new epoch.
 
-        The epoch is above every one that this placer or an earlier one has
-        used, as the lease's row was written after all of those.
+        The epoch is above all epochs that this placer or an earlier one has
+        used, because the lease's row was written after those.
         """
         self._epoch = max(self._epoch, self.lease.version) + 1
         return ReplicaRecord(
@@ -117,7 +117,7 @@
         )
 
     async def _rewrite_missing(self) -> None:
-        """Write the records that a copy lacks, or holds in an earlier state."""
+        """Write the records that a copy lacks or holds in an earlier state."""
         missing = [one for one in self.records() if self._predates_restore(one)]
         for start in range(0, len(missing), _MAX_ROWS_PER_TRANSACTION):
             await self.write(missing[start : start + _MAX_ROWS_PER_TRANSACTION])
@@ -129,7 +129,7 @@
         self,
         read: Mapping[str, ReplicaRecord | None],
     ) -> None:
-        """Drop the rows of replicas that had been given up before."""
+        """Delete the rows of replicas that had already been given up."""
         known = self._fleet.records
         resurrected = [
             key
@@ -145,7 +145,7 @@
             decision('records_set_aside', rows=resurrected)
 
     def _predates_restore(self, record: ReplicaRecord) -> bool:
-        """Tell whether a record is of before the table's last return."""
+        """Return whether a record was written before the last restore."""
         return era_of(record.version) < era_of(self.lease.version)
 
     def _log(self, record: ReplicaRecord, version: int) -> None:
--- a/src/cranecart/grouping/_record_tasks.py
+++ b/src/cranecart/grouping/_record_tasks.py
@@ -1,4 +1,4 @@
-"""One task for each record that something must be done for."""
+"""Run one task for each record that needs work."""
 
 from collections.abc import Callable
 
@@ -18,14 +18,14 @@
 
 @attrs.define
 class RecordTasks:
-    """Starts tasks for records, and another where a record's state changes."""
+    """Starts tasks for records; replaces one when the state changes."""
 
     _fleet: Fleet
     _make_task: Callable[[ReplicaRecord], ReplicaFormation | ReplicaTeardown]
     _running: dict[str, _Running] = attrs.field(factory=dict, init=False)
 
     async def reconcile(self, records: list[ReplicaRecord]) -> None:
-        """Have a task at work for each record that needs one."""
+        """Make sure that a task runs for each record that needs one."""
         for record in records:
             if await self._has_task(record) or not self._needs_task(record):
                 continue
--- a/src/cranecart/grouping/_spares.py
+++ b/src/cranecart/grouping/_spares.py
@@ -1,9 +1,9 @@
-"""Decide what each spare, and each member in use, keeps ready.
+"""Choose the models that spares and members hold ready.
 
-An instance keeps one model on its host and has one loaded, and joins a
-replica of either within two seconds. So what it has on its host is made
-another model than the loaded one: any spare, and any member whose replica has
-ended, can then join a replica of another model without a load.
+An instance has one model loaded and one staged on its host, and joins a replica
+of either within two seconds. So another model than the loaded one is staged:
+any spare, and any member whose replica has ended, can then join a replica of
+another model without a load.
 """
 
 import math
@@ -19,15 +19,15 @@
 )
 from cranecart.ports import ListedInstance
 
-# The chance that a member dies before a spare that was used is replaced: some
-# 20 of 54 instances died in 34 s of the users' quiet days, a load takes 12 s
-# or more.
+# Probability that a member fails before a used spare is replaced: some 20 of 54
+# instances failed in 34 s of quiet days in the reference deployments, and a
+# load takes 12 s or more.
 _FAILURES_PER_MEMBER = 0.1
-# Added to the replicas of a model, so that their numbers, which change every
-# second while replicas are repaired, do not outweigh a missing spare.
+# Added to a model's replicas, whose number changes every second during repairs,
+# so that such changes do not outweigh a missing spare.
 _DAMPING_REPLICAS = 1.5
 # A model without replicas in a fabric domain gets a spare there before another
-# model gets a second one, as it may be given instances again.
+# model gets a second one, as it may get instances there again.
 _MIN_REPLICAS = 0.5
 
 
@@ -38,7 +38,7 @@
     replica_counts: Mapping[str, float],
     fabric_replica_counts: Mapping[tuple[str, str], int],
 ) -> Iterable[Staging | Warming]:
-    """Warm spares for what they have; stage what none of them has."""
+    """Warm spares for models they hold; stage models that no spare holds."""
     wanted = _wanted_spares(
         plan_input, fabric, len(free), replica_counts, fabric_replica_counts
     )
@@ -90,7 +90,7 @@
     replica_counts: Mapping[str, float],
     fabric_replica_counts: Mapping[tuple[str, str], int],
 ) -> Counter[str]:
-    """Give each spare to the model for which one more is worth most."""
+    """Give each spare to the model for which one more gains most."""
     needs = {
         model.name: plan_input.demand_per_replica(
             model, replica_counts.get(model.name, 0) + _DAMPING_REPLICAS
@@ -114,7 +114,7 @@
 
 
 def _failure_probability(at_least: int, members: float) -> float:
-    """Return the chance that so many of the members or more die soon."""
+    """Return the probability of at least that many failures soon."""
     expected = _FAILURES_PER_MEMBER * members
     fewer = sum(
         expected**failures / math.factorial(failures)
--- a/src/cranecart/grouping/_stabilization.py
+++ b/src/cranecart/grouping/_stabilization.py
@@ -1,4 +1,4 @@
-"""Tell since when nothing has come to or gone from a fabric domain."""
+"""Track how long the instance list has been unchanged."""
 
 from collections import defaultdict
 from collections.abc import Callable, Iterable
@@ -9,11 +9,11 @@
 from cranecart.ports import ListedInstance
 
 # Instances that return together are listed one by one, within a heartbeat of
-# 1.2 s on both users' sheets.
+# 1.2 s in both reference deployments.
 _HEARTBEAT_QUIET_SECONDS = 1.3
-# At the first start the list grows every few milliseconds until it is whole;
-# nine instances of a fabric domain that returns come a sixth of a second
-# apart.
+# At the first start the list grows every few milliseconds until it is complete.
+# When a fabric domain of nine instances returns, they appear a sixth of a
+# second apart.
 _STARTUP_QUIET_SECONDS = 0.35
 
 
@@ -29,7 +29,7 @@
     _listed_at: dict[str, float] = attrs.field(factory=dict, init=False)
 
     def update(self, instances: Iterable[ListedInstance]) -> None:
-        """Take over which instances are listed now."""
+        """Record which instances are listed now."""
         current: dict[str, set[str]] = defaultdict(set)
         for instance in instances:
             current[instance.fabric_domain].add(instance.id)
@@ -45,17 +45,18 @@
         }
 
     def may_load(self, fabric_domain: str) -> bool:
-        """Tell whether no better member is about to be listed.
+        """Return whether no better member is likely to be listed soon.
 
-        A replica whose members must load first takes so long that it pays
-        to wait for instances that have the model already.
+        A replica with members that must load takes so long to form that waiting
+        for instances that already have the model pays off.
         """
         return self._seconds_unchanged(fabric_domain) > _HEARTBEAT_QUIET_SECONDS
 
     def may_use(self, members: Iterable[ListedInstance]) -> bool:
-        """Tell whether no member came with others that are still coming.
+        """Return whether no member belongs to a group that is still arriving.
 
-        What the first of them could form is not what all of them should.
+        What the first instances of a group could form is not what the whole
+        group should form.
         """
         now = self._clock()
         return all(
@@ -66,7 +67,7 @@
         )
 
     def is_stable(self) -> bool:
-        """Tell whether the list of a starting deployment seems complete."""
+        """Return whether the list of a starting deployment seems complete."""
         return all(
             self._seconds_unchanged(name) > _STARTUP_QUIET_SECONDS
             for name in self._instance_ids
--- a/src/cranecart/grouping/_stager.py
+++ b/src/cranecart/grouping/_stager.py
@@ -1,4 +1,4 @@
-"""Bring models to unused instances, and bound all loads."""
+"""Copy models to the hosts of unused instances and limit all loads."""
 
 from collections.abc import Callable, Mapping
 
@@ -15,10 +15,10 @@
 from cranecart.ports import Incarnation, ListedInstance, Orders
 
 # Longer than a load takes while the weight store is busy, so that the same
-# instance is not asked again meanwhile.
+# instance is not asked again in the meantime.
 _STAGE_RETRY_SECONDS = 25.0
-# Loads that second models leave to what matters more: replicas that wait for
-# them, and spares that could join nothing.
+# Load slots that second models leave to more urgent loads: replicas that wait
+# for members, and spares without any model.
 _RESERVED_LOADS = 2
 
 
@@ -45,7 +45,7 @@
         self,
         instances: Mapping[str, ListedInstance],
     ) -> Mapping[str, str]:
-        """Return the models that instances are still being brought."""
+        """Return the models that are being copied to instances."""
         now = self._clock()
         self._pending = {
             incarnation: (at, model)
@@ -65,10 +65,10 @@
         in_progress: int,
         reserve: int = 0,
     ) -> bool:
-        """Take some loads from the budget; they are free before traffic.
+        """Take loads from the budget; before traffic they are not limited.
 
-        ``loading`` is how many are under way; so many run at once that none
-        slows another, but for one replica that needs more than that.
+        ``in_progress`` counts the running loads. At most as many run at once as
+        do not slow each other down, unless a single replica needs more.
         """
         if not count or not self._has_traffic():
             return True
@@ -84,7 +84,7 @@
         staging: Staging,
         in_progress: int,
     ) -> None:
-        """Order a staging, unless it was ordered or the budget is spent."""
+        """Order a staging, unless it was ordered or the budget is used up."""
         instance = staging.instance
         order = (instance.incarnation, staging.model)
         last = self._ordered_at.get(order, float('-inf'))
@@ -126,7 +126,7 @@
     incarnation: Incarnation,
     model: str,
 ) -> bool:
-    """Tell whether the incarnation that was given an order may still carry it out."""
+    """Return whether the ordered incarnation may still stage the model."""
     return (
         instance is not None
         and instance.incarnation == incarnation
--- a/src/cranecart/grouping/_teardown.py
+++ b/src/cranecart/grouping/_teardown.py
@@ -1,11 +1,11 @@
-"""Free the members of a replica, straight down, as its own task.
+"""Release the members of a replica, as a task of its own.
 
-A member may join another replica only once the head of this one cannot serve
-any more. That is known when the head has left, when a later life of it is
-listed, when another process answers at its address, when the list calls it
+A member may join another replica only once this replica's head can no longer
+serve. That is certain when the head has left, when a later incarnation of it is
+listed, when another process answers at its address, when it is listed as
 broken, or when another member has left and the time has passed after which a
-head without a member is broken. That it takes
-no connection says little: an instance that leaves stops listening first.
+head without a member is broken. A refused connection proves little: a leaving
+instance stops listening while it still finishes its requests.
 """
 
 from collections.abc import Callable, Iterable
@@ -29,14 +29,15 @@
 from cranecart.ports import ListedInstance, MemberPhase
 
 _RETRY_SECONDS = 0.1
-# A head that was found lost is asked again this often: in case it is alive and
-# was cut off only. A dead one took an order each half second until its end.
+# Retry interval for a head that was found lost, in case it is alive and was
+# only unreachable. At half a second, a dead head was sent an order in every
+# interval until its teardown ended.
 _LOST_RETRY_SECONDS = 1.5
-# Beyond the time that engines need to find a member lost; covers the order's
-# way there and the grain in which engines look.
+# Added to the time in which engines detect a lost member; covers the delay of
+# the order and the interval at which engines check.
 _STALL_MARGIN_SECONDS = 0.3
-# What a replica may take to finish when it is closed, below the ten seconds
-# that an engine waits for its head's work.
+# How long a closed replica may take to finish, below the ten seconds for which
+# an engine waits for its head's requests.
 _DRAIN_TIMEOUT_SECONDS = 6.0
 
 _DRAINED_PHASES = frozenset((MemberPhase.READY, MemberPhase.BROKEN, None))
@@ -44,7 +45,7 @@
 
 @attrs.define
 class ReplicaTeardown:
-    """The end of one forming of a replica."""
+    """The teardown of one epoch of a replica."""
 
     record: ReplicaRecord
     _fleet: Fleet
@@ -58,7 +59,7 @@
     _lost_attempts: int = attrs.field(default=0, init=False)
 
     async def run(self) -> None:
-        """Let the replica finish if it may, free its members, and forget it."""
+        """Drain the replica, release its members and delete its record."""
         started = self._clock()
         if self.record.state is RecordState.CLOSING:
             await self._drain()
@@ -83,13 +84,13 @@
             await curio.sleep(_RETRY_SECONDS)
 
     async def _try_release_members(self) -> str:
-        """Return why the members are free, or nothing if they are not."""
+        """Return why the members are free, or '' if they are not."""
         if self._fleet.listing.has_ended(self.record.incarnations[0]):
             return 'the head lives anew'
         if self._member_left_at is None:
             self._check_ended_members()
         if self._member_left_at is None and self._is_head_unreachable():
-            # The head answers nobody, so its end is counted from here.
+            # The head answers nobody, so the time until it breaks starts here.
             await self._release_one_member()
         if self._head_phase() is MemberPhase.BROKEN:
             return 'the head is broken'
@@ -101,12 +102,12 @@
         return self._stall_reason()
 
     def _check_ended_members(self) -> None:
-        """Count from now on where a member's life is known to be over."""
+        """Start the stall timer if the incarnation of a member has ended."""
         if any(map(self._fleet.listing.has_ended, self.record.incarnations)):
             self._member_left_at = self._clock()
 
     def _head_due_for_leave(self) -> ListedInstance | None:
-        """Return the head if it is time to ask it to leave."""
+        """Return the head if it is time to order it to leave."""
         head = self._fleet.known(self.record.head)
         pause = _LOST_RETRY_SECONDS if self._is_head_unreachable() else 0
         now = self._clock()
@@ -135,16 +136,17 @@
                 self._member_left_at = self._clock()
                 return
         if not any(map(self._fleet.known, self.record.members)):
-            # Nobody is left to be freed; entries that come back are waited
-            # for as long as a head would need.
+            # Nobody is left to release. Members may be listed again, so wait as
+            # long as a head takes to break.
             self._member_left_at = self._clock()
 
     def _members_due_for_leave(self) -> list[ListedInstance]:
-        """Return the members that may take an order.
+        """Return the members that may be sent an order.
 
-        Where all were found lost it is one of them now and then: asked one
-        after the other, fifteen dark ones held the end of their replica up for
-        six seconds a round, though a later life of its head was listed.
+        If all were found lost, return only one of them, and only from time to
+        time. Ordering fifteen unreachable members in turn delayed the teardown
+        by six seconds a round, although a later incarnation of the head was
+        listed.
         """
         known = filter(None, map(self._fleet.known, self.record.members[1:]))
         lost, reachable = _partition(
@@ -166,7 +168,7 @@
         order: Callable[..., object],
         instance: ListedInstance,
     ) -> bool:
-        """Send an order; return whether it is sure to hold."""
+        """Send an order; return whether it has certainly taken effect."""
         try:
             await order(  # type: ignore[misc]
                 instance,
@@ -184,7 +186,7 @@
         return True
 
     def _had_left_already(self, instance: ListedInstance, why: str) -> bool:
-        """Tell whether a refusal means that it is a member no more."""
+        """Return whether a refusal means that it is no longer a member."""
         self._log_failure(instance, why)
         known = self._fleet.known(instance.id)
         return known is None or (
@@ -231,7 +233,7 @@
     instances: Iterable[ListedInstance],
     is_match: Callable[[ListedInstance], bool],
 ) -> tuple[list[ListedInstance], list[ListedInstance]]:
-    """Return those that something holds of, and the others."""
+    """Split instances into those that match a predicate and the others."""
     matching: list[ListedInstance] = []
     others: list[ListedInstance] = []
     for one in instances:
--- a/src/cranecart/grouping/_transitions.py
+++ b/src/cranecart/grouping/_transitions.py
@@ -1,4 +1,4 @@
-"""Judge whether a recorded replica can go on as it is; no I/O."""
+"""Decide the state transitions of recorded replicas; no I/O."""
 
 from collections.abc import Collection
 
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class Transition:
-    """The state that a replica's record should get, and why."""
+    """The new state of a replica's record, and the reason."""
 
     state: RecordState
     reason: str
@@ -23,9 +23,9 @@
     lost: Collection[str],
     config: RouteConfig,
 ) -> Transition | None:
-    """Return what must become of a replica that has not ended, if anything.
+    """Return the transition that a replica needs, if any.
 
-    One that is closing already ends sooner only if it stands still.
+    A closing replica ends early only if it has stalled.
     """
     replica_epoch = (record.name, record.epoch)
     lost_members = [name for name in record.members if name in lost]
@@ -74,7 +74,7 @@
     phase: MemberPhase | None,
 ) -> Transition | None:
     if phase is MemberPhase.CLOSING:
-        # A copy of the table shows it as it was before.
+        # A restored copy of the table may still show it as serving.
         return Transition(RecordState.CLOSING, 'the head closes')
     graceful_state = (
         RecordState.CLOSING if phase is MemberPhase.OPEN else RecordState.ENDING
--- a/src/cranecart/grouping/_warmer.py
+++ b/src/cranecart/grouping/_warmer.py
@@ -1,9 +1,9 @@
-"""Have spares load their staged model, so that a repair takes less time.
+"""Have spares load their staged model, so that repairs are quicker.
 
-An instance that belongs to a replica of the same model again is ready in a
-fifth of a second, and needs a second and more otherwise. A spare therefore
-forms a group of its own that is never opened; the join of a real replica
-replaces that membership at once.
+An instance that joins a replica of the model it already has loaded is ready in
+a fifth of a second, otherwise in a second or more. A spare therefore forms a
+group of its own, which is never opened. The join of a real replica replaces
+that membership at once.
 """
 
 from collections.abc import Callable
@@ -18,13 +18,13 @@
 from cranecart.logs import decision
 from cranecart.ports import Incarnation, Orders
 
-# Longer than an instance takes for a staged model; then the list shows it.
+# Longer than loading a staged model takes; then the list shows it.
 _WARM_RETRY_SECONDS = 4.0
 
 
 @attrs.define
 class Warmer:
-    """Sends the orders; each is repeated until the list shows its effect."""
+    """Sends the orders; repeats each one until the list shows its effect."""
 
     _lease: Lease
     _orders: Orders
@@ -57,8 +57,8 @@
             await self._orders.join(
                 instance,
                 f'spare-{instance.id}',
-                # Below the epoch of every replica that is formed from now
-                # on, so that an order carried out late cannot undo one.
+                # Below the epoch of every replica that is formed from now on,
+                # so that an order that is carried out late cannot undo a join.
                 self._lease.version,
                 warming.model,
                 (instance.id,),
--- a/src/cranecart/placement/__init__.py
+++ b/src/cranecart/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Placement and repair of whole replicas within one failure domain."""
+"""Place and repair whole replicas within one failure domain."""
 
 from cranecart.placement._actions import (
     Action,
--- a/src/cranecart/placement/_actions.py
+++ b/src/cranecart/placement/_actions.py
@@ -1,4 +1,4 @@
-"""What a plan may ask for."""
+"""The actions and orders that a plan consists of."""
 
 import attrs
 
@@ -15,7 +15,7 @@
 
 @attrs.frozen
 class ReplaceMembers:
-    """Go on with a new generation of a replica, with other members."""
+    """Start a new generation of a replica with other members."""
 
     before: ReplicaRow
     row: ReplicaRow
@@ -24,7 +24,7 @@
 
 @attrs.frozen
 class DrainReplica:
-    """Let a replica finish its work and take no more."""
+    """Let a replica finish its requests without accepting new ones."""
 
     row: ReplicaRow
     reason: str
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class RetireReplica:
-    """Dissolve a replica and set its instances free."""
+    """Dissolve a replica and release its instances."""
 
     row: ReplicaRow
     reason: str
@@ -43,7 +43,7 @@
 
 @attrs.frozen
 class Order:
-    """What an instance is told to become; no row means idle."""
+    """The replica row that an instance should follow; no row means idle."""
 
     instance: Instance
     row: ReplicaRow | None
--- a/src/cranecart/placement/_free_instances.py
+++ b/src/cranecart/placement/_free_instances.py
@@ -11,13 +11,13 @@
 
 @attrs.define
 class FreeInstances:
-    """Hands out free instances; one is handed out once."""
+    """Allocates free instances, each at most once."""
 
     _by_fabric: dict[str, list[str]]
 
     @classmethod
     def from_state(cls, state: DomainState) -> Self:
-        """Collect what is free, in the order of ids."""
+        """Collect the free instances, ordered by id."""
         by_fabric: dict[str, list[str]] = defaultdict(list)
         for name in sorted(state.instances):
             if state.is_free(name):
@@ -26,7 +26,7 @@
         return cls(by_fabric)
 
     def take(self, fabric: str, count: int) -> tuple[str, ...]:
-        """Take instances of one fabric domain, or none if too few."""
+        """Take instances of one fabric domain, or none if there are too few."""
         found = self._by_fabric.get(fabric, [])
         if len(found) < count:
             return ()
@@ -36,8 +36,8 @@
     def choose_fabric(self, size: int, prefer: Preference) -> str | None:
         """Return the fabric domain for a new replica.
 
-        To strand few accelerators, fill the tightest fit; to keep downtime
-        short, leave spares everywhere by taking the emptiest.
+        To strand few accelerators, choose the tightest fit. To keep downtime
+        short, choose the emptiest, which leaves spares everywhere.
         """
         fits = [
             (len(found), fabric)
--- a/src/cranecart/placement/_placer.py
+++ b/src/cranecart/placement/_placer.py
@@ -18,7 +18,7 @@
 from cranecart.native import PlatformClient
 from cranecart.placement._actions import Action, Order
 from cranecart.placement._plan import plan, plan_orders
-from cranecart.placement._rows import PlacementRows, prefix_of
+from cranecart.placement._rows import PlacementRows, rows_prefix
 from cranecart.placement._state import DomainState
 from cranecart.targets import EngineClient, ReportBook
 
@@ -32,7 +32,7 @@
 
 @attrs.define
 class Placer:
-    """Holds the placement duty of one failure domain when it can."""
+    """Places the replicas of one failure domain while it holds the lease."""
 
     failure_domain: str
     lease: Lease
@@ -41,22 +41,22 @@
     _engines: EngineClient
     _stopped: bool = attrs.field(default=False, init=False)
     _renewed_at: float = attrs.field(default=float('-inf'), init=False)
-    _closed_since: dict[str, float] = attrs.field(factory=dict, init=False)
+    _refusing_since: dict[str, float] = attrs.field(factory=dict, init=False)
 
     async def run(self, current: CurrentDeclarations) -> None:
-        """Keep the lease and place, until cancelled."""
+        """Keep the lease and place replicas, until cancelled."""
         while not self._stopped:
             try:
                 await self._tick(current())
             except (PlatformError, LeaseLostError) as error:
-                # The next tick reads what holds now and decides afresh.
+                # The next tick reads the current state and decides again.
                 decision('placement_waits', why=str(error))
             await curio.sleep(_TICK_SECONDS)
-        # The node ends when it is ready to, not when its placer is.
+        # Returning would end the node, which stops when it is ready to.
         await curio.Event().wait()
 
     def stop(self) -> None:
-        """Take no more duty; what was begun is finished."""
+        """Renew the lease no more; finish what was started."""
         self._stopped = True
 
     async def _tick(self, declarations: Declarations | None) -> None:
@@ -65,10 +65,10 @@
             return
         rows = await self._read_rows()
         for action in plan(self._state(declarations, rows)):
-            await self._carry_out(action, rows)
-        after = self._state(declarations, await self._read_rows())
+            await self._execute(action, rows)
+        updated_state = self._state(declarations, await self._read_rows())
         if not self._must_wait(declarations):
-            await self._send_orders(plan_orders(after))
+            await self._send_orders(plan_orders(updated_state))
 
     async def _keep_lease(self) -> None:
         now = since_boot()
@@ -77,7 +77,7 @@
             self._renewed_at = now
 
     async def _read_rows(self) -> PlacementRows:
-        prefix = prefix_of(self.failure_domain)
+        prefix = rows_prefix(self.failure_domain)
         return PlacementRows.from_rows(
             self.failure_domain,
             await self._platform.read_prefix(prefix),
@@ -93,13 +93,13 @@
             declarations.models,
             rows.decoded(),
             {name: row.value for name, row in rows.owners.items()},
-            self._engines_here(),
+            self._local_engines(),
             self._book.fresh_reports(),
             self._book.lost(),
         )
-        return attrs.evolve(state, settled=self._settled(state))
+        return attrs.evolve(state, quiesced=self._quiesced(state))
 
-    def _engines_here(self) -> dict[str, Instance]:
+    def _local_engines(self) -> dict[str, Instance]:
         return {
             name: instance
             for name, instance in self._book.instances.items()
@@ -107,20 +107,20 @@
             and instance.failure_domain == self.failure_domain
         }
 
-    def _settled(self, state: DomainState) -> frozenset[str]:
+    def _quiesced(self, state: DomainState) -> frozenset[str]:
         now = since_boot()
-        self._closed_since = {
-            name: self._closed_since.get(name, now)
+        self._refusing_since = {
+            name: self._refusing_since.get(name, now)
             for name in state.instances
-            if state.is_closed(name)
+            if state.is_refusing_requests(name)
         }
         return frozenset(
             name
-            for name, since in self._closed_since.items()
+            for name, since in self._refusing_since.items()
             if now - since > _SETTLE_SECONDS
         )
 
-    async def _carry_out(self, action: Action, rows: PlacementRows) -> None:
+    async def _execute(self, action: Action, rows: PlacementRows) -> None:
         transaction = rows.transaction(action, self.lease.check())
         await self._platform.commit(transaction)
         decision(
@@ -134,11 +134,11 @@
         )
 
     def _must_wait(self, declarations: Declarations) -> bool:
-        """Tell whether an earlier holder's orders may still be under way.
+        """Return whether an earlier holder's orders may still be in flight.
 
-        Engines that ignore fencing numbers would take them; a holder bounds
-        its orders by its trusted time, which others have waited out, plus
-        the bound of one order.
+        Engines that ignore fencing numbers would accept them. A holder stops
+        sending orders when its trusted time ends, which others have waited out,
+        and an order takes a bounded time after that.
         """
         ignored = any(
             spec.fencing is FencingSupport.IGNORED
--- a/src/cranecart/placement/_plan.py
+++ b/src/cranecart/placement/_plan.py
@@ -1,4 +1,4 @@
-"""Decide what to place, repair and retire; no I/O, no clock."""
+"""Decide which replicas to create, repair and retire; no I/O, no clock."""
 
 import itertools
 from collections.abc import Collection, Iterator, Sequence
@@ -20,26 +20,30 @@
 
 
 def plan(state: DomainState) -> list[Action]:
-    """Return the actions that bring a failure domain nearer to its models."""
+    """Return the actions that move a failure domain towards its spec."""
     free = FreeInstances.from_state(state)
     repairs = {row.id: repair(state, row, free) for row in state.ordered_rows()}
     actions = [action for action in repairs.values() if action is not None]
-    kept = [
+    remaining = [
         row
         for row in state.ordered_rows()
         if not isinstance(repairs[row.id], RetireReplica)
     ]
     for spec in state.models:
-        actions.extend(_create(state, spec, kept, free))
+        actions.extend(_create_missing(state, spec, remaining, free))
     changing = {action.row.id for action in actions}
     growing = {action.row.model for action in actions}
     excess = [
-        row for row in _excess(state, kept, growing) if row.id not in changing
+        row
+        for row in _excess(state, remaining, growing)
+        if row.id not in changing
     ]
-    actions.extend(_end(state, row) for row in excess if not row.retiring)
+    actions.extend(
+        _end_replica(state, row) for row in excess if not row.retiring
+    )
     actions.extend(
         RetireReplica(row, 'its work has ended')
-        for row in kept
+        for row in remaining
         if row.retiring and state.is_drained(row, row.members[0])
     )
     return actions
@@ -54,11 +58,11 @@
         Order(state.instances[name], member_rows.get(name))
         for name in sorted(state.instances)
         if name in state.reports
-        and not _follows(state.reports[name], member_rows.get(name))
+        and not _matches(state.reports[name], member_rows.get(name))
     ]
 
 
-def _follows(report: MemberReport, row: ReplicaRow | None) -> bool:
+def _matches(report: MemberReport, row: ReplicaRow | None) -> bool:
     if row is None:
         return not report.replica
     return (
@@ -69,15 +73,15 @@
     ) == (row.id, row.generation, row.members, row.retiring)
 
 
-def _create(
+def _create_missing(
     state: DomainState,
     spec: ModelSpec,
-    kept: Sequence[ReplicaRow],
+    remaining: Sequence[ReplicaRow],
     free: FreeInstances,
 ) -> Iterator[Action]:
     wanted = spec.replicas_in(state.failure_domain)
     present = sum(
-        row.model_key == spec.key and not row.retiring for row in kept
+        row.model_key == spec.key and not row.retiring for row in remaining
     )
     names = _new_names(state, spec)
     for number in range(present, wanted):
@@ -108,18 +112,18 @@
 
 def _excess(
     state: DomainState,
-    kept: Sequence[ReplicaRow],
+    remaining: Sequence[ReplicaRow],
     growing: Collection[str],
 ) -> Iterator[ReplicaRow]:
-    """Yield the replicas that nothing declares, as far as they may go.
+    """Yield the replicas that are no longer declared and may go.
 
-    Replicas of an earlier version stay until the later one's serve in their
-    place, or make room one at a time where there is no place for both.
+    Replicas of an earlier version stay until those of the later version serve.
+    Without room for both, they go one at a time.
     """
-    names = sorted({row.model for row in kept})
+    names = sorted({row.model for row in remaining})
     for name in names:
         specs = [spec for spec in state.models if spec.name == name]
-        rows = [row for row in kept if row.model == name]
+        rows = [row for row in remaining if row.model == name]
         yield from _excess_of_model(state, specs, rows, name in growing)
 
 
@@ -144,7 +148,7 @@
         yield from old[: max(1, len(old) - missing)]
 
 
-def _end(state: DomainState, row: ReplicaRow) -> Action:
+def _end_replica(state: DomainState, row: ReplicaRow) -> Action:
     reason = f'{row.model_key} has more replicas than declared'
     if state.is_ready(row):
         return DrainReplica(attrs.evolve(row, retiring=True), reason)
--- a/src/cranecart/placement/_repair.py
+++ b/src/cranecart/placement/_repair.py
@@ -1,4 +1,4 @@
-"""Decide what to do about a replica that is not whole any more."""
+"""Decide how to repair a replica that lost or is losing members."""
 
 from collections.abc import Sequence
 
@@ -19,7 +19,7 @@
     row: ReplicaRow,
     free: FreeInstances,
 ) -> Action | None:
-    """Return what makes a replica whole, or dissolves it, or nothing."""
+    """Return the action that repairs or dissolves a replica, if any."""
     gone = [member for member in row.members if state.is_gone(member)]
     leaving = [
         member
@@ -40,14 +40,14 @@
 
 def _replace(
     row: ReplicaRow,
-    away: Sequence[str],
+    departed: Sequence[str],
     free: FreeInstances,
 ) -> Action:
-    names = ', '.join(away)
-    spares = free.take(row.fabric_domain, len(away))
+    names = ', '.join(departed)
+    spares = free.take(row.fabric_domain, len(departed))
     if not spares:
         return RetireReplica(row, f'no spare for {names}')
-    substitutes = dict(zip(away, spares, strict=True))
+    substitutes = dict(zip(departed, spares, strict=True))
     members = tuple(substitutes.get(member, member) for member in row.members)
     return ReplaceMembers(
         row,
--- a/src/cranecart/placement/_rows.py
+++ b/src/cranecart/placement/_rows.py
@@ -1,4 +1,4 @@
-"""Rows of replicas and of who owns an instance, and their transactions."""
+"""Rows of replicas and instance owners, and their transactions."""
 
 from collections.abc import Collection, Mapping
 from typing import Self
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class PlacementRows:
-    """The rows of one failure domain as they were read together."""
+    """The rows of one failure domain, as of one read."""
 
     failure_domain: str
     replicas: Mapping[str, Row]
@@ -27,12 +27,12 @@
 
     @classmethod
     def from_rows(cls, failure_domain: str, rows: Mapping[str, Row]) -> Self:
-        """Sort the rows read behind ``prefix_of`` a failure domain."""
-        prefix = prefix_of(failure_domain)
+        """Split the rows under a failure domain's prefix by kind."""
+        prefix = rows_prefix(failure_domain)
         return cls(
             failure_domain,
-            _behind(rows, f'{prefix}replica/'),
-            _behind(rows, f'{prefix}owner/'),
+            _strip_prefix(rows, f'{prefix}replica/'),
+            _strip_prefix(rows, f'{prefix}owner/'),
         )
 
     def decoded(self) -> dict[str, ReplicaRow]:
@@ -45,8 +45,8 @@
     def transaction(self, action: Action, lease: Check) -> Transaction:
         """Return the transaction of an action.
 
-        It holds only while the lease, the replica's row and the ownership of
-        every joining instance are as they were read.
+        It commits only if the lease, the replica's row and the ownership of
+        every joining instance are unchanged since they were read.
         """
         match action:
             case CreateReplica():
@@ -75,7 +75,7 @@
         value = msgspec.json.encode(row).decode()
         owners = [self._owner_key(name) for name in sorted(joining)]
         return Transaction(
-            (lease, self._unchanged(row), *map(Check, owners)),
+            (lease, self._unchanged_check(row), *map(Check, owners)),
             (
                 Put(self._replica_key(row.id), value),
                 *(Put(key, row.id) for key in owners),
@@ -85,7 +85,7 @@
 
     def _delete(self, row: ReplicaRow, lease: Check) -> Transaction:
         return Transaction(
-            (lease, self._unchanged(row)),
+            (lease, self._unchanged_check(row)),
             (),
             (
                 self._replica_key(row.id),
@@ -93,23 +93,23 @@
             ),
         )
 
-    def _unchanged(self, row: ReplicaRow) -> Check:
-        known = self.replicas.get(row.id)
-        return Check(self._replica_key(row.id), known.version if known else 0)
+    def _unchanged_check(self, row: ReplicaRow) -> Check:
+        stored = self.replicas.get(row.id)
+        return Check(self._replica_key(row.id), stored.version if stored else 0)
 
     def _replica_key(self, name: str) -> str:
-        return f'{prefix_of(self.failure_domain)}replica/{name}'
+        return f'{rows_prefix(self.failure_domain)}replica/{name}'
 
     def _owner_key(self, name: str) -> str:
-        return f'{prefix_of(self.failure_domain)}owner/{name}'
+        return f'{rows_prefix(self.failure_domain)}owner/{name}'
 
 
-def prefix_of(failure_domain: str) -> str:
+def rows_prefix(failure_domain: str) -> str:
     """Return the prefix of all placement rows of a failure domain."""
     return f'place/{failure_domain}/'
 
 
-def _behind(rows: Mapping[str, Row], prefix: str) -> dict[str, Row]:
+def _strip_prefix(rows: Mapping[str, Row], prefix: str) -> dict[str, Row]:
     return {
         key.removeprefix(prefix): row
         for key, row in rows.items()
--- a/src/cranecart/placement/_state.py
+++ b/src/cranecart/placement/_state.py
@@ -10,12 +10,12 @@
 
 @attrs.frozen
 class DomainState:
-    """Rows of the table, and what instances say of themselves.
+    """The rows of the table, and what instances report.
 
-    ``instances`` holds the domain's engines and nobody else's; ``reports``
-    holds fresh reports only; ``lost`` names instances that have not answered
-    for long enough to be given up; ``settled`` names instances that have said
-    for long enough that they take no more work, so that all nodes know.
+    ``instances`` holds only the domain's engines; ``reports`` holds recent
+    reports only; ``lost`` names instances that have not answered for so long
+    that they are given up; ``quiesced`` names instances that have reported for
+    long enough that they accept no more requests, so that all nodes know it.
     """
 
     failure_domain: str
@@ -25,39 +25,41 @@
     instances: Mapping[str, Instance]
     reports: Mapping[str, MemberReport]
     lost: frozenset[str] = frozenset()
-    settled: frozenset[str] = frozenset()
+    quiesced: frozenset[str] = frozenset()
 
     def ordered_rows(self) -> list[ReplicaRow]:
         """Return the rows by id, so that equal states give equal plans."""
         return [self.rows[name] for name in sorted(self.rows)]
 
     def leader_report(self, row: ReplicaRow) -> MemberReport | None:
-        """Return what a replica's leader says, if it answers."""
+        """Return the report of a replica's leader, if there is one."""
         return self.reports.get(row.members[0])
 
-    def is_closed(self, instance_id: str) -> bool:
-        """Tell whether an instance takes no more work, but still lives."""
+    def is_refusing_requests(self, instance_id: str) -> bool:
+        """Return whether a live instance accepts no more requests."""
         instance = self.instances.get(instance_id)
         report = self.reports.get(instance_id)
-        listed = instance is not None and instance.leaving
-        said = report is not None and (report.draining or report.retiring)
-        return listed or said
+        is_listed_leaving = instance is not None and instance.leaving
+        is_reported = report is not None and (
+            report.draining or report.retiring
+        )
+        return is_listed_leaving or is_reported
 
     def is_leaving(self, instance_id: str) -> bool:
-        """Tell whether an instance goes away, by the list or its word."""
+        """Return whether an instance is listed or reported as leaving."""
         instance = self.instances.get(instance_id)
         report = self.reports.get(instance_id)
-        listed = instance is not None and instance.leaving
-        return listed or (report is not None and report.draining)
+        is_listed_leaving = instance is not None and instance.leaving
+        return is_listed_leaving or (report is not None and report.draining)
 
     def is_gone(self, instance_id: str) -> bool:
-        """Tell whether an instance was lost or left the list."""
+        """Return whether an instance was lost or is no longer listed."""
         return instance_id in self.lost or instance_id not in self.instances
 
     def is_free(self, instance_id: str) -> bool:
-        """Tell whether an instance may join a replica.
+        """Return whether an instance may join a replica.
 
-        It must have let go of what it did before, by its own word.
+        It must have reported that it has left its earlier replica.
         """
         report = self.reports.get(instance_id)
         if report is None or report.state is not MemberState.IDLE:
@@ -69,20 +71,20 @@
         )
 
     def is_ready(self, row: ReplicaRow) -> bool:
-        """Tell whether all members say that they serve this generation."""
-        found = [self.reports.get(member) for member in row.members]
+        """Return whether all members report that they serve this generation."""
+        member_reports = [self.reports.get(member) for member in row.members]
         return all(
             report is not None
             and report.state is MemberState.READY
             and report.generation == row.generation
-            for report in found
+            for report in member_reports
         )
 
-    def is_drained(self, row: ReplicaRow, closed: str) -> bool:
-        """Tell whether work ended after an instance closed for all nodes."""
+    def is_drained(self, row: ReplicaRow, instance_id: str) -> bool:
+        """Return whether no work is left since an instance was closed."""
         report = self.leader_report(row)
         return (
-            closed in self.settled
+            instance_id in self.quiesced
             and report is not None
             and report.running + report.queued == 0
         )
--- a/tests/unit/test_placement_plan.py
+++ b/tests/unit/test_placement_plan.py
@@ -118,7 +118,7 @@
         reports['e02'] = attrs.evolve(reports['e02'], draining=True)
         reports['e00'] = attrs.evolve(reports['e00'], running=3)
         state = attrs.evolve(
-            state, reports=reports, settled=frozenset(('e02',))
+            state, reports=reports, quiesced=frozenset(('e02',))
         )
         self.assertEqual(plan(state), [])
         reports['e00'] = attrs.evolve(reports['e00'], running=0)
