--- a/src/cranecart/clients/_gateway.py
+++ b/src/cranecart/clients/_gateway.py
@@ -166,7 +166,7 @@
                     lambda: call.identity,
                     runner,
                 ) as watch:
-                    answer = await self._engines.start(replica, call)
+                    answer = await self._engines.start_completion(replica, call)
                     watch.record_begun()
                     return await _read_completion(call, answer)
 
--- a/src/cranecart/clients/_relay.py
+++ b/src/cranecart/clients/_relay.py
@@ -91,7 +91,7 @@
         self, replica: ServingReplica, watch: AttemptProgress
     ) -> None:
         self._counter.restart()
-        answer = await self._engines.start(
+        answer = await self._engines.start_completion(
             replica,
             self._call,
             self._counter.tokens,
--- a/src/cranecart/node/_control.py
+++ b/src/cranecart/node/_control.py
@@ -15,7 +15,7 @@
 from cranecart.rollout import CurrentConfig, Follower, History
 from cranecart.settings import NodeSettings
 from cranecart.signals import raise_first_error
-from cranecart.targets import EngineClient, ReportBook
+from cranecart.targets import EngineClient, ReportRegistry
 
 
 @attrs.frozen
@@ -34,7 +34,7 @@
         cls,
         settings: NodeSettings,
         platform: PlatformClient,
-        book: ReportBook,
+        reports: ReportRegistry,
         config: CurrentConfig,
         source: random.Random,
     ) -> Self:
@@ -45,7 +45,7 @@
             settings.failure_domain,
             Lease(duty, settings.node_id, platform),
             platform,
-            book,
+            reports,
             EngineClient(),
         )
         follower = Follower(config, history, platform, source)
--- a/src/cranecart/node/_demand_sharing.py
+++ b/src/cranecart/node/_demand_sharing.py
@@ -4,7 +4,7 @@
 
 from cranecart.gossip import Entry, GossipProtocol, Members, Topic
 from cranecart.limits import LimitShares
-from cranecart.targets import Summary
+from cranecart.targets import DomainSummary
 
 _TELL_TICKS = 10
 _REFRESH_TICKS = 200
@@ -42,7 +42,7 @@
                 # Counted from the moment it is known, before it tells more.
                 self._shares.add_sources([entry.key.subject])
 
-    def take_summary(self, summary: Summary) -> None:
+    def take_summary(self, summary: DomainSummary) -> None:
         """Take over the demand of another failure domain."""
         domain = summary.failure_domain
         if domain != self._members.info.failure_domain and summary.versions:
--- a/src/cranecart/node/_node.py
+++ b/src/cranecart/node/_node.py
@@ -24,13 +24,13 @@
 from cranecart.settings import NodeSettings
 from cranecart.signals import StopSignal, raise_first_error, stop_signal
 from cranecart.targets import (
-    Directory,
     EngineClient,
-    InstanceFollower,
-    Probe,
+    InstanceListPoller,
     Prober,
-    ReportBook,
+    ProbeResult,
+    ReportRegistry,
     ServiceClient,
+    TargetDirectory,
 )
 
 _LATENESS_SECONDS = 0.1
@@ -52,11 +52,13 @@
         self._started_at = since_boot()
         self._metrics = Metrics()
         self._config = CurrentConfig()
-        self._book = ReportBook(settings.node_id)
+        self._reports = ReportRegistry(settings.node_id)
         source = random.Random(f'{settings.seed}{settings.node_id}')
         self._platform = PlatformClient(settings.platform)
         platform = self._platform
-        self._directory = Directory(settings.failure_domain, self._book)
+        self._directory = TargetDirectory(
+            settings.failure_domain, self._reports
+        )
         shares = LimitShares()
         self._peering = Peering.from_settings(
             settings,
@@ -68,13 +70,13 @@
         self._control = Control.from_settings(
             settings,
             platform,
-            self._book,
+            self._reports,
             self._config,
             source,
         )
-        self._instances = InstanceFollower(platform, None, self._take_list)
+        self._instances = InstanceListPoller(platform, None, self._take_list)
         self._prober = Prober(
-            self._book,
+            self._reports,
             self._peering.state.probed,
             source,
             self._publish_probe,
@@ -84,7 +86,7 @@
             shares,
             TokenRateLimiter(shares.share),
         )
-        self._guard = self._peering.make_guard(self._book)
+        self._guard = self._peering.make_guard(self._reports)
         gateway = Gateway(
             self._config.declarations,
             Router(
@@ -167,7 +169,7 @@
             ],
         )
 
-    def _publish_probe(self, instance_id: str, probe: Probe) -> None:
+    def _publish_probe(self, instance_id: str, probe: ProbeResult) -> None:
         body = msgspec.to_builtins(probe)
         self._peering.peers.publish(Topic.REPORT, instance_id, body)
 
@@ -180,7 +182,9 @@
         }
         for name, number in counts.items():
             self._metrics.control.set(number, {'what': name})
-        self._metrics.serving_replicas.set(len(self._book.serving()))
+        self._metrics.serving_replicas.set(
+            len(self._reports.serving_replicas())
+        )
         self._metrics.config_version.set(self._config.release.version)
         return self._metrics.text()
 
@@ -191,7 +195,7 @@
         domain = self._settings.failure_domain
         late = since_boot() - self._started_at > _INFORMED_SECONDS
         self._informed = (
-            self._informed or late or self._book.is_informed(domain)
+            self._informed or late or self._reports.is_informed(domain)
         )
         return self._informed
 
@@ -206,7 +210,7 @@
             tuple(self._directory.service_ids()),
             dict(self._peering.members.live_members()),
             {
-                **self._directory.versions(),
+                **self._directory.versions_by_domain(),
                 self._settings.failure_domain: self._peering.state.versions(),
             },
             self._admission.in_progress,
--- a/src/cranecart/node/_peering.py
+++ b/src/cranecart/node/_peering.py
@@ -31,7 +31,7 @@
 from cranecart.rollout import CurrentConfig
 from cranecart.settings import NodeSettings
 from cranecart.signals import raise_first_error
-from cranecart.targets import Directory, ReportBook
+from cranecart.targets import ReportRegistry, TargetDirectory
 from cranecart.transport import PeerTransport
 
 _MILLISECONDS = 1000
@@ -50,7 +50,7 @@
     def from_settings(
         cls,
         settings: NodeSettings,
-        directory: Directory,
+        directory: TargetDirectory,
         config: CurrentConfig,
         shares: LimitShares,
         source: random.Random,
@@ -73,7 +73,7 @@
         state = SharedState(
             members,
             store,
-            directory.book,
+            directory.reports,
             directory,
             config,
             DemandSharing(members, shares),
@@ -90,16 +90,18 @@
                     state.replace_instances,
                 ),
             ),
-            GossipCallbacks(state.take_entry, directory.book.forget_shared),
+            GossipCallbacks(
+                state.take_entry, directory.reports.discard_remote_observations
+            ),
             source,
         )
         return cls(members, peers, state, link)
 
-    def make_guard(self, book: ReportBook) -> RequestGuard:
+    def make_guard(self, reports: ReportRegistry) -> RequestGuard:
         """Build what holds requests that end targets, told by all nodes."""
 
         def is_expected(runner: Runner) -> bool:  # noqa: WPS430
-            listed = book.instances.get(runner.incarnation.id)
+            listed = reports.instances.get(runner.incarnation.id)
             return listed is None or listed.leaving
 
         guard = RequestGuard(
--- a/src/cranecart/node/_shared_state.py
+++ b/src/cranecart/node/_shared_state.py
@@ -21,7 +21,13 @@
 from cranecart.node._demand_sharing import DemandSharing
 from cranecart.quarantine import CaseUpdate
 from cranecart.rollout import CurrentConfig, Release
-from cranecart.targets import Directory, Probe, Reach, ReportBook, Summary
+from cranecart.targets import (
+    DomainSummary,
+    ProbeOutcome,
+    ProbeResult,
+    ReportRegistry,
+    TargetDirectory,
+)
 
 _TICK_SECONDS = 0.1
 _SUMMARY_TICKS = 10
@@ -41,8 +47,8 @@
 
     _members: Members
     _store: EntryStore
-    _book: ReportBook
-    _directory: Directory
+    _reports: ReportRegistry
+    _directory: TargetDirectory
     _config: CurrentConfig
     _demand_sharing: DemandSharing
     # Told what other nodes know of requests that end targets, and who says so.
@@ -50,7 +56,7 @@
         default=lambda _news, _sender: None,
         init=False,
     )
-    _summary: Summary | None = attrs.field(default=None, init=False)
+    _summary: DomainSummary | None = attrs.field(default=None, init=False)
     _live: frozenset[str] = attrs.field(factory=frozenset, init=False)
     _counting: frozenset[str] = attrs.field(factory=frozenset, init=False)
     _seen_live: dict[str, float] = attrs.field(factory=dict, init=False)
@@ -70,13 +76,13 @@
 
     def replace_instances(self, instances: Iterable[Instance]) -> None:
         """Take over a new list, and what was said of those new on it."""
-        self._book.replace_instances(instances)
+        self._reports.replace_instances(instances)
         self._choose_probed()
         self._retake_reports(self._counting)
 
     def listed(self) -> list[Instance]:
         """Return the list of instances, empty until there is one."""
-        return list(self._book.instances.values())
+        return list(self._reports.instances.values())
 
     def stop(self) -> None:
         """Tell others that this node is about to stop."""
@@ -88,8 +94,8 @@
             case Topic.REPORT:
                 self._take_report(entry)
             case Topic.SUMMARY:
-                summary = msgspec.convert(entry.body, Summary)
-                self._directory.note(summary)
+                summary = msgspec.convert(entry.body, DomainSummary)
+                self._directory.record_summary(summary)
                 self._demand_sharing.take_summary(summary)
             case Topic.CASE:
                 news = msgspec.convert(entry.body, CaseUpdate)
@@ -149,7 +155,7 @@
         domain = self._members.info.failure_domain
         self._probed = [
             name
-            for name, instance in self._book.instances.items()
+            for name, instance in self._reports.instances.items()
             if instance.failure_domain == domain
             and self._members.node_id
             in choose_nodes(name, self._live, _PROBERS_PER_INSTANCE)
@@ -173,7 +179,7 @@
         if counting != self._counting:
             returned = counting - self._counting
             self._counting = counting
-            self._book.replace_live_nodes(counting)
+            self._reports.replace_live_nodes(counting)
             # What was found in doubtful times has to be taken in again.
             self._retake_reports(returned)
 
@@ -215,11 +221,11 @@
         origin = entry.key.origin
         if origin not in self._counting or origin == self._members.node_id:
             return
-        probe = msgspec.convert(entry.body, Probe)
+        probe = msgspec.convert(entry.body, ProbeResult)
         match probe.reach:
-            case Reach.ANSWERED if probe.report:
-                self._book.note(probe.report, origin)
-            case Reach.SILENT:
-                self._book.note_unreachable(name, origin)
+            case ProbeOutcome.ANSWERED if probe.report:
+                self._reports.record_report(probe.report, origin)
+            case ProbeOutcome.SILENT:
+                self._reports.record_unreachable(name, origin)
             case _:
-                self._book.withdraw(name, origin)
+                self._reports.remove_observation(name, origin)
--- a/src/cranecart/placement/_placer.py
+++ b/src/cranecart/placement/_placer.py
@@ -20,7 +20,7 @@
 from cranecart.placement._plan import plan, plan_orders
 from cranecart.placement._rows import PlacementRows, rows_prefix
 from cranecart.placement._state import DomainState
-from cranecart.targets import EngineClient, ReportBook
+from cranecart.targets import EngineClient, ReportRegistry
 
 _TICK_SECONDS = 0.5
 _RENEW_SECONDS = 2.0
@@ -37,7 +37,7 @@
     failure_domain: str
     lease: Lease
     _platform: PlatformClient
-    _book: ReportBook
+    _reports: ReportRegistry
     _engines: EngineClient
     _stopped: bool = attrs.field(default=False, init=False)
     _renewed_at: float = attrs.field(default=float('-inf'), init=False)
@@ -94,15 +94,15 @@
             rows.decoded(),
             {name: row.value for name, row in rows.owners.items()},
             self._local_engines(),
-            self._book.fresh_reports(),
-            self._book.lost(),
+            self._reports.fresh_reports(),
+            self._reports.lost_instances(),
         )
         return attrs.evolve(state, quiesced=self._quiesced(state))
 
     def _local_engines(self) -> dict[str, Instance]:
         return {
             name: instance
-            for name, instance in self._book.instances.items()
+            for name, instance in self._reports.instances.items()
             if instance.kind is InstanceKind.ENGINE
             and instance.failure_domain == self.failure_domain
         }
@@ -153,11 +153,11 @@
 
     async def _send_order(self, order: Order) -> None:
         members = order.row.members if order.row else ()
-        known = self._book.instances
+        known = self._reports.instances
         if not self.lease.is_held or not known.keys() >= set(members):
             return
         try:
-            report = await self._engines.order(
+            report = await self._engines.send_order(
                 order.instance,
                 order.row,
                 tuple(str(known[member].address) for member in members),
--- a/src/cranecart/selection/_router.py
+++ b/src/cranecart/selection/_router.py
@@ -18,9 +18,9 @@
 from cranecart.selection._policies import Policy, PrefixAffinity, choose
 from cranecart.targets import (
     CompletionCall,
-    Directory,
     ServiceCall,
     ServingReplica,
+    TargetDirectory,
 )
 
 
@@ -28,7 +28,7 @@
 class Router:
     """Routes the calls of one node, counting its own calls in flight."""
 
-    _directory: Directory
+    _directory: TargetDirectory
     _random: random.Random
     _policy: Policy = attrs.field(factory=PrefixAffinity)
     _ejection: OutlierEjection = attrs.field(
--- a/src/cranecart/targets/__init__.py
+++ b/src/cranecart/targets/__init__.py
@@ -1,31 +1,38 @@
 """Targets as peers: model engines and plain services."""
 
-from cranecart.targets._assemble import ServingReplica, assemble
-from cranecart.targets._book import ReportBook
 from cranecart.targets._calls import Call, CompletionCall, ServiceCall
-from cranecart.targets._directory import Directory, Summary
+from cranecart.targets._complete_replicas import (
+    ServingReplica,
+    complete_replicas,
+)
+from cranecart.targets._directory import DomainSummary, TargetDirectory
 from cranecart.targets._engine import EngineAnswer, EngineClient
-from cranecart.targets._instances import InstanceFollower
-from cranecart.targets._prober import PROBE_SECONDS, Prober
-from cranecart.targets._reports import Probe, Reach, is_material
+from cranecart.targets._instance_poller import InstanceListPoller
+from cranecart.targets._prober import PROBE_INTERVAL_SECONDS, Prober
+from cranecart.targets._report_registry import ReportRegistry
+from cranecart.targets._reports import (
+    ProbeOutcome,
+    ProbeResult,
+    is_significant_change,
+)
 from cranecart.targets._service import ServiceClient
 
 __all__ = (
-    'PROBE_SECONDS',
+    'PROBE_INTERVAL_SECONDS',
     'Call',
     'CompletionCall',
-    'Directory',
+    'TargetDirectory',
     'EngineAnswer',
     'EngineClient',
-    'InstanceFollower',
-    'Probe',
+    'InstanceListPoller',
+    'ProbeResult',
     'Prober',
-    'Reach',
-    'ReportBook',
+    'ProbeOutcome',
+    'ReportRegistry',
     'ServiceCall',
     'ServiceClient',
     'ServingReplica',
-    'Summary',
-    'assemble',
-    'is_material',
+    'DomainSummary',
+    'complete_replicas',
+    'is_significant_change',
 )
--- a/src/cranecart/targets/_calls.py
+++ b/src/cranecart/targets/_calls.py
@@ -30,7 +30,7 @@
         return max(0, self.deadline - since_boot())
 
     @property
-    def path_named(self) -> str:
+    def request_target(self) -> str:
         """Return what is asked for, beside the body."""
         return ''
 
@@ -41,12 +41,12 @@
             self.organisation,
             '',
             '',
-            self.path_named,
+            self.request_target,
             self.body,
         )
 
     @property
-    def trace_headers(self) -> dict[str, str]:
+    def metadata_headers(self) -> dict[str, str]:
         """Return the headers that let a target tell calls apart."""
         headers = {
             'x-request-id': self.request_id,
@@ -81,6 +81,6 @@
     content_type: str = ''
 
     @property
-    def path_named(self) -> str:
+    def request_target(self) -> str:
         """Return the service, the method and the path."""
         return f'{self.service} {self.method} {self.path}'
--- a/src/cranecart/targets/_assemble.py
+++ b/src/cranecart/targets/_complete_replicas.py
@@ -34,7 +34,7 @@
 _Group = tuple[str, int, tuple[str, ...]]
 
 
-def assemble(
+def complete_replicas(
     instances: Mapping[str, Instance],
     reports: Mapping[str, MemberReport],
 ) -> Iterator[ServingReplica]:
@@ -44,14 +44,14 @@
     itself that it is ready for this replica, generation and order of members.
     As an instance reports one replica only, no instance can be in two.
     """
-    claimed: dict[_Group, set[str]] = defaultdict(set)
+    ready_members: dict[_Group, set[str]] = defaultdict(set)
     for name, report in reports.items():
         if _can_serve(instances.get(name), report):
             group = (report.replica, report.generation, report.members)
-            claimed[group].add(name)
-    for (_replica, _generation, members), present in claimed.items():
-        if members and present == set(members):
-            yield _serving(instances[members[0]], reports[members[0]])
+            ready_members[group].add(name)
+    for (_replica, _generation, members), ready in ready_members.items():
+        if members and ready == set(members):
+            yield _serving_replica(instances[members[0]], reports[members[0]])
 
 
 def _can_serve(instance: Instance | None, report: MemberReport) -> bool:
@@ -64,7 +64,7 @@
     )
 
 
-def _serving(leader: Instance, report: MemberReport) -> ServingReplica:
+def _serving_replica(leader: Instance, report: MemberReport) -> ServingReplica:
     return ServingReplica(
         report.replica,
         report.generation,
--- a/src/cranecart/targets/_directory.py
+++ b/src/cranecart/targets/_directory.py
@@ -10,17 +10,17 @@
 from cranecart.clocks import since_boot
 from cranecart.declarations import DomainVersions
 from cranecart.instances import Instance
-from cranecart.targets._assemble import ServingReplica
-from cranecart.targets._book import ReportBook
+from cranecart.targets._complete_replicas import ServingReplica
+from cranecart.targets._report_registry import ReportRegistry
 
 Target = TypeVar('Target', ServingReplica, Instance)
 
-SUMMARY_SECONDS = 8.0
-_MAX_PER_NAME = 4
+SUMMARY_TTL_SECONDS = 8.0
+_MAX_TARGETS_PER_NAME = 4
 
 
 @attrs.frozen
-class Summary:
+class DomainSummary:
     """A few targets of a failure domain, for calls from other domains."""
 
     failure_domain: str
@@ -31,18 +31,18 @@
 
 
 @attrs.define
-class Directory:
+class TargetDirectory:
     """All targets that a node may send to."""
 
     failure_domain: str
-    book: ReportBook
+    reports: ReportRegistry
     _clock: Callable[[], float] = since_boot
-    _summaries: dict[str, tuple[float, Summary]] = attrs.field(
+    _summaries: dict[str, tuple[float, DomainSummary]] = attrs.field(
         factory=dict,
         init=False,
     )
 
-    def note(self, summary: Summary) -> None:
+    def record_summary(self, summary: DomainSummary) -> None:
         """Take over what another failure domain says of itself."""
         if summary.failure_domain != self.failure_domain:
             now = self._clock()
@@ -50,53 +50,57 @@
 
     def replicas(self) -> list[ServingReplica]:
         """Return the whole replicas, those of other domains last."""
-        far = (summary.replicas for summary in self._fresh())
-        return [*self.book.serving(), *itertools.chain.from_iterable(far)]
+        remote = (summary.replicas for summary in self._fresh())
+        return [
+            *self.reports.serving_replicas(),
+            *itertools.chain.from_iterable(remote),
+        ]
 
     def services(self, name: str) -> list[Instance]:
         """Return the instances of a plain service, near ones first."""
-        far = itertools.chain.from_iterable(
+        remote = itertools.chain.from_iterable(
             summary.services for summary in self._fresh()
         )
         return [
-            *self.book.services(name),
-            *(instance for instance in far if instance.service == name),
+            *self.reports.service_instances(name),
+            *(instance for instance in remote if instance.service == name),
         ]
 
     def service_ids(self) -> list[str]:
         """Return the ids of all service instances that take work."""
-        far = itertools.chain.from_iterable(
+        remote = itertools.chain.from_iterable(
             summary.services for summary in self._fresh()
         )
-        return [*self.book.open_services(), *(one.id for one in far)]
+        return [*self.reports.open_service_ids(), *(one.id for one in remote)]
 
     def summary(
         self,
         versions: DomainVersions | None = None,
         demand: Mapping[str, int] | None = None,
-    ) -> Summary:
+    ) -> DomainSummary:
         """Return what other failure domains should know of this one."""
-        open_services = [
-            self.book.instances[name] for name in self.book.open_services()
+        open_service_ids = [
+            self.reports.instances[name]
+            for name in self.reports.open_service_ids()
         ]
-        near = [
+        local = [
             instance
-            for instance in open_services
+            for instance in open_service_ids
             if instance.failure_domain == self.failure_domain
         ]
         least_loaded = sorted(
-            self.book.serving(),
+            self.reports.serving_replicas(),
             key=lambda one: (one.running + one.queued) / one.slots,
         )
-        return Summary(
+        return DomainSummary(
             self.failure_domain,
-            tuple(_first_of_each(least_loaded, attrgetter('model'))),
-            tuple(_first_of_each(near, attrgetter('service'))),
+            tuple(_first_per_name(least_loaded, attrgetter('model'))),
+            tuple(_first_per_name(local, attrgetter('service'))),
             versions,
             demand or {},
         )
 
-    def versions(self) -> dict[str, DomainVersions]:
+    def versions_by_domain(self) -> dict[str, DomainVersions]:
         """Return how far the other failure domains have come."""
         return {
             summary.failure_domain: summary.versions
@@ -104,19 +108,19 @@
             if summary.versions is not None
         }
 
-    def _fresh(self) -> list[Summary]:
+    def _fresh(self) -> list[DomainSummary]:
         now = self._clock()
         return [
             summary
-            for at, summary in self._summaries.values()
-            if now - at < SUMMARY_SECONDS
+            for received_at, summary in self._summaries.values()
+            if now - received_at < SUMMARY_TTL_SECONDS
         ]
 
 
-def _first_of_each(
+def _first_per_name(
     targets: Iterable[Target],
     name: Callable[[Target], str],
 ) -> Iterator[Target]:
     groups = itertools.groupby(sorted(targets, key=name), name)
     for _name, group in groups:
-        yield from itertools.islice(group, _MAX_PER_NAME)
+        yield from itertools.islice(group, _MAX_TARGETS_PER_NAME)
--- a/src/cranecart/targets/_engine.py
+++ b/src/cranecart/targets/_engine.py
@@ -26,12 +26,12 @@
     exchange,
 )
 from cranecart.instances import Instance, MemberReport, ReplicaRow
-from cranecart.targets._assemble import ServingReplica
 from cranecart.targets._calls import CompletionCall
+from cranecart.targets._complete_replicas import ServingReplica
 
 # A new holder of the placement duty waits this long after the lease has
 # run out, so that no order of the earlier holder is still on its way.
-ORDER_SECONDS = 1.0
+ORDER_TIMEOUT_SECONDS = 1.0
 _COMPLETIONS = '/v1/chat/completions'
 _NOT_RUN = 'not run'
 
@@ -123,7 +123,7 @@
 
     pool: HttpConnectionPool = attrs.field(factory=HttpConnectionPool)
 
-    async def order(
+    async def send_order(
         self,
         instance: Instance,
         row: ReplicaRow | None,
@@ -137,14 +137,14 @@
             '/orders',
             body=msgspec.json.encode(message),
         )
-        response = await ask(instance, request, ORDER_SECONDS)
+        response = await send_request(instance, request, ORDER_TIMEOUT_SECONDS)
         if not response.is_success:
             raise TargetRefusedError(
                 f'{instance.id} refused order {fencing}: {response.status}',
             )
         return read_report(instance, response)
 
-    async def start(
+    async def start_completion(
         self,
         replica: ServingReplica,
         call: CompletionCall,
@@ -162,9 +162,9 @@
         try:
             head = await curio.timeout_after(
                 call.seconds_left,
-                _ask_head,
+                _send_and_read_head,
                 connection,
-                _completion(replica, call, resume_token),
+                _completion_request(replica, call, resume_token),
             )
             _check_head(replica, call, head)
         except TaskTimeout as error:
@@ -192,7 +192,7 @@
         return await HttpConnection.open(replica.leader)
 
 
-async def _ask_head(
+async def _send_and_read_head(
     connection: HttpConnection,
     request: Request,
 ) -> ResponseHead:
@@ -200,7 +200,7 @@
     return await connection.read_head()
 
 
-def _completion(
+def _completion_request(
     replica: ServingReplica,
     call: CompletionCall,
     resume_token: int,
@@ -213,7 +213,7 @@
             'x-replica': replica.id,
             'x-generation': str(replica.generation),
             'x-resume-token': str(resume_token),
-            **call.trace_headers,
+            **call.metadata_headers,
         },
         call.body,
     )
@@ -231,19 +231,22 @@
         raise TargetRefusedError(f'{replica.id} refused: {head.status}')
     if not head.is_success:
         raise TargetBrokenError(f'{replica.id} answered {head.status}')
-    told = (head.headers.get('x-replica'), head.headers.get('x-generation'))
-    if told != (replica.id, str(replica.generation)):
+    answered_by = (
+        head.headers.get('x-replica'),
+        head.headers.get('x-generation'),
+    )
+    if answered_by != (replica.id, str(replica.generation)):
         raise TargetBrokenError(f'{replica.id} answered as another replica')
 
 
-async def ask(
+async def send_request(
     instance: Instance,
     request: Request,
-    seconds: float,
+    timeout_seconds: float,
 ) -> Response:
     """Exchange one message with an instance; raise ``TargetError``."""
     try:
-        return await exchange(instance.address, request, seconds)
+        return await exchange(instance.address, request, timeout_seconds)
     except ConnectFailedError as error:
         raise TargetNotReachedError(str(error)) from error
     except HttpError as error:
--- a/src/cranecart/targets/_instances.py
+++ b/src/cranecart/targets/_instance_poller.py
@@ -11,17 +11,17 @@
 from cranecart.native import PlatformClient
 
 _LOG = logging.getLogger(__name__)
-_POLL_SECONDS = 1.0
+_POLL_INTERVAL_SECONDS = 1.0
 _UNKNOWN_VERSION = -1
 
 
 @attrs.define
-class InstanceFollower:
+class InstanceListPoller:
     """Polls the list; an unchanged list costs one small answer."""
 
     _platform: PlatformClient
     _failure_domain: str | None
-    _changed: Callable[[Sequence[Instance]], None]
+    _on_change: Callable[[Sequence[Instance]], None]
     _version: int = attrs.field(default=_UNKNOWN_VERSION, init=False)
 
     async def run(self) -> None:
@@ -31,7 +31,7 @@
                 await self._poll()
             except PlatformError as error:
                 _LOG.debug('the instance list is away: %s', error)
-            await curio.sleep(_POLL_SECONDS)
+            await curio.sleep(_POLL_INTERVAL_SECONDS)
 
     async def _poll(self) -> None:
         listed = await self._platform.instances(
@@ -40,4 +40,4 @@
         )
         self._version = listed.version
         if listed.instances is not None:
-            self._changed(listed.instances)
+            self._on_change(listed.instances)
--- a/src/cranecart/targets/_probe_link.py
+++ b/src/cranecart/targets/_probe_connection.py
@@ -22,9 +22,9 @@
 )
 from cranecart.targets._engine import read_report
 
-_ANSWER_SECONDS = 0.8
+_ANSWER_TIMEOUT_SECONDS = 0.8
 _NOT_MODIFIED = 304
-_PATH = '/status'
+_STATUS_PATH = '/status'
 
 
 @attrs.frozen
@@ -33,7 +33,7 @@
 
 
 @attrs.define
-class ProbeLink:
+class ProbeConnection:
     """Asks for a report, or whether it is still the same.
 
     The connection stays open between probes: that saves most of a probe's
@@ -41,14 +41,14 @@
     """
 
     _connection: HttpConnection | None = attrs.field(default=None, init=False)
-    _tag: str = attrs.field(default='', init=False)
+    _etag: str = attrs.field(default='', init=False)
     _report: MemberReport | None = attrs.field(default=None, init=False)
 
     async def fetch(self, instance: Instance) -> MemberReport:
         """Return the instance's report; raise ``TargetError``."""
         try:
             return await curio.timeout_after(
-                _ANSWER_SECONDS,
+                _ANSWER_TIMEOUT_SECONDS,
                 self._fetch,
                 instance,
             )
@@ -59,7 +59,7 @@
             await self.close()
             raise
 
-    async def idle(self, seconds: float) -> None:
+    async def sleep(self, seconds: float) -> None:
         """Wait, but not on once the other end has closed."""
         if self._connection is None:
             await curio.sleep(seconds)
@@ -72,7 +72,7 @@
         """Close the connection and forget what it told."""
         connection = self._connection
         self._connection = None
-        self._tag = ''
+        self._etag = ''
         if connection is not None:
             await connection.close()
 
@@ -86,15 +86,15 @@
         if response.status == _NOT_MODIFIED and self._report is not None:
             return self._report
         self._report = _decode(instance, response)
-        self._tag = response.headers.get('etag', '')
+        self._etag = response.headers.get('etag', '')
         return self._report
 
     async def _ask(self, instance: Instance) -> Response:
         if self._connection is None:
             self._connection = await HttpConnection.open(instance.address)
         connection = self._connection
-        headers = {'if-none-match': self._tag} if self._tag else {}
-        await connection.send(Request('GET', _PATH, headers))
+        headers = {'if-none-match': self._etag} if self._etag else {}
+        await connection.send(Request('GET', _STATUS_PATH, headers))
         head = await connection.read_head()
         body = await connection.read_body()
         if connection.is_reusable:
--- a/src/cranecart/targets/_prober.py
+++ b/src/cranecart/targets/_prober.py
@@ -10,35 +10,39 @@
 from cranecart.clocks import since_boot
 from cranecart.exceptions import TargetError
 from cranecart.instances import MemberReport
-from cranecart.targets._book import ReportBook
-from cranecart.targets._probe_link import ProbeLink
-from cranecart.targets._reports import Probe, Reach, is_material
+from cranecart.targets._probe_connection import ProbeConnection
+from cranecart.targets._report_registry import ReportRegistry
+from cranecart.targets._reports import (
+    ProbeOutcome,
+    ProbeResult,
+    is_significant_change,
+)
 
 _LOG = logging.getLogger(__name__)
 # A process that dies is noticed at once, by its closed connection; the
 # period counts for those that hang or whose machine is gone.
-PROBE_SECONDS = 2.0
+PROBE_INTERVAL_SECONDS = 2.0
 _TICK_SECONDS = 0.25
-_FIRST_SECONDS = 0.3
-_JITTER = 0.2
+_MAX_INITIAL_DELAY_SECONDS = 0.3
+_JITTER_FRACTION = 0.2
 _HANDOVER_SECONDS = 3.0
-_MAX_PER_SECOND = 300
+_MAX_PROBES_PER_SECOND = 300
 
 
 @attrs.define
 class Prober:
     """Probes the instances that this node answers for."""
 
-    _book: ReportBook
-    _mine: Callable[[], Collection[str]]
+    _reports: ReportRegistry
+    _assigned: Callable[[], Collection[str]]
     _random: random.Random
-    _noted: Callable[[str, Probe], None]
+    _publish: Callable[[str, ProbeResult], None]
     _tasks: dict[str, curio.Task] = attrs.field(factory=dict, init=False)
-    _told: dict[str, MemberReport | None] = attrs.field(
+    _last_published: dict[str, MemberReport | None] = attrs.field(
         factory=dict,
         init=False,
     )
-    _unwanted_since: dict[str, float] = attrs.field(
+    _unassigned_since: dict[str, float] = attrs.field(
         factory=dict,
         init=False,
     )
@@ -46,23 +50,23 @@
     async def run(self) -> None:
         """Start and stop probes as instances and nodes come and go."""
         while True:
-            self._book.tick()
-            wanted = set(self._mine())
-            self._drop_crashed()
-            for name in wanted - self._tasks.keys():
+            self._reports.tick()
+            assigned = set(self._assigned())
+            self._discard_crashed()
+            for name in assigned - self._tasks.keys():
                 self._tasks[name] = await curio.spawn(
                     self._probe,
                     name,
                     daemon=True,
                 )
-            for name in self._no_longer_wanted(wanted):
+            for name in self._handed_over(assigned):
                 await self._tasks.pop(name).cancel()
-                self._told.pop(name, None)
-                self._book.withdraw(name)
-                self._noted(name, Probe(Reach.NOT_ASKED))
+                self._last_published.pop(name, None)
+                self._reports.remove_observation(name)
+                self._publish(name, ProbeResult(ProbeOutcome.NOT_ASKED))
             await curio.sleep(_TICK_SECONDS)
 
-    def _drop_crashed(self) -> None:
+    def _discard_crashed(self) -> None:
         """Forget probes that ended by themselves; they are begun anew."""
         crashed = [
             name for name, task in self._tasks.items() if task.terminated
@@ -71,53 +75,59 @@
             task = self._tasks.pop(name)
             _LOG.error('the probe of %s crashed', name, exc_info=task.exception)
 
-    def _no_longer_wanted(self, wanted: Collection[str]) -> list[str]:
+    def _handed_over(self, assigned: Collection[str]) -> list[str]:
         """Return whose probing may end, as others have taken over by now."""
         now = since_boot()
-        self._unwanted_since = {
-            name: self._unwanted_since.get(name, now)
+        self._unassigned_since = {
+            name: self._unassigned_since.get(name, now)
             for name in self._tasks
-            if name not in wanted
+            if name not in assigned
         }
         return [
             name
-            for name, since in self._unwanted_since.items()
+            for name, since in self._unassigned_since.items()
             if now - since > _HANDOVER_SECONDS
         ]
 
     async def _probe(self, name: str) -> None:
-        await curio.sleep(self._random.random() * _FIRST_SECONDS)
-        link = ProbeLink()
+        await curio.sleep(self._random.random() * _MAX_INITIAL_DELAY_SECONDS)
+        connection = ProbeConnection()
         try:
             while True:
-                await self._probe_once(name, link)
-                jitter = 1 + _JITTER * (self._random.random() - 1 / 2)
-                await link.idle(self._interval() * jitter)
+                await self._probe_once(name, connection)
+                jitter = 1 + _JITTER_FRACTION * (self._random.random() - 1 / 2)
+                await connection.sleep(self._interval() * jitter)
         finally:
-            await link.close()
+            await connection.close()
 
     def _interval(self) -> float:
         # A node cut off from all others asks every instance itself, and
         # then more slowly, though still within the time a report counts.
-        return max(PROBE_SECONDS, len(self._tasks) / _MAX_PER_SECOND)
+        return max(
+            PROBE_INTERVAL_SECONDS, len(self._tasks) / _MAX_PROBES_PER_SECOND
+        )
 
-    async def _probe_once(self, name: str, link: ProbeLink) -> None:
-        instance = self._book.instances.get(name)
+    async def _probe_once(self, name: str, connection: ProbeConnection) -> None:
+        instance = self._reports.instances.get(name)
         if instance is None:
             return
         try:
-            report = await link.fetch(instance)
+            report = await connection.fetch(instance)
         except TargetError as error:
             _LOG.debug('%s did not answer: %s', name, error)
-            self._book.note_unreachable(name)
-            self._tell(name, None)
+            self._reports.record_unreachable(name)
+            self._publish_change(name, None)
         else:
-            self._book.note(report)
-            self._tell(name, report)
+            self._reports.record_report(report)
+            self._publish_change(name, report)
 
-    def _tell(self, name: str, report: MemberReport | None) -> None:
+    def _publish_change(self, name: str, report: MemberReport | None) -> None:
         """Let other nodes hear of the first report and of changes."""
-        if name not in self._told or is_material(self._told[name], report):
-            self._told[name] = report
-            reach = Reach.SILENT if report is None else Reach.ANSWERED
-            self._noted(name, Probe(reach, report))
+        if name not in self._last_published or is_significant_change(
+            self._last_published[name], report
+        ):
+            self._last_published[name] = report
+            outcome = (
+                ProbeOutcome.SILENT if report is None else ProbeOutcome.ANSWERED
+            )
+            self._publish(name, ProbeResult(outcome, report))
--- a/src/cranecart/targets/_assembly.py
+++ b/src/cranecart/targets/_replica_index.py
@@ -10,13 +10,16 @@
 import attrs
 
 from cranecart.instances import Instance, MemberReport
-from cranecart.targets._assemble import ServingReplica, assemble
+from cranecart.targets._complete_replicas import (
+    ServingReplica,
+    complete_replicas,
+)
 
 _Group = tuple[str, int, tuple[str, ...]]
 
 
 @attrs.define
-class Assembly:
+class ReplicaIndex:
     """The reports that count, by instance, and the replicas they make."""
 
     _reports: dict[str, MemberReport] = attrs.field(factory=dict, init=False)
@@ -24,7 +27,7 @@
         factory=lambda: defaultdict(set),
         init=False,
     )
-    _whole: dict[_Group, ServingReplica] = attrs.field(
+    _complete: dict[_Group, ServingReplica] = attrs.field(
         factory=dict,
         init=False,
     )
@@ -34,9 +37,9 @@
         """Return the reports that count, by instance."""
         return self._reports
 
-    def whole(self) -> list[ServingReplica]:
+    def complete(self) -> list[ServingReplica]:
         """Return the replicas all of whose members are ready for them."""
-        return list(self._whole.values())
+        return list(self._complete.values())
 
     def update(
         self,
@@ -45,18 +48,20 @@
         instances: Mapping[str, Instance],
     ) -> None:
         """Take over what counts of an instance now, or that nothing does."""
-        before = self._reports.pop(name, None)
+        previous = self._reports.pop(name, None)
         if report is not None:
             self._reports[name] = report
-        changed = {_group(one) for one in (before, report) if one is not None}
+        changed = {
+            _group_of(one) for one in (previous, report) if one is not None
+        }
         for group in changed:
-            if report is not None and _group(report) == group:
+            if report is not None and _group_of(report) == group:
                 self._groups[group].add(name)
             else:
                 self._groups[group].discard(name)
-            self._judge(group, instances)
+            self._refresh_group(group, instances)
 
-    def _judge(
+    def _refresh_group(
         self,
         group: _Group,
         instances: Mapping[str, Instance],
@@ -65,12 +70,12 @@
         if not present:
             self._groups.pop(group)
         reports = {name: self._reports[name] for name in present}
-        found = list(assemble(instances, reports))
+        found = list(complete_replicas(instances, reports))
         if found:
-            self._whole[group] = found[0]
+            self._complete[group] = found[0]
         else:
-            self._whole.pop(group, None)
+            self._complete.pop(group, None)
 
 
-def _group(report: MemberReport) -> _Group:
+def _group_of(report: MemberReport) -> _Group:
     return (report.replica, report.generation, report.members)
--- a/src/cranecart/targets/_reports.py
+++ b/src/cranecart/targets/_reports.py
@@ -6,10 +6,10 @@
 
 from cranecart.instances import MemberReport
 
-_LOAD_STEPS = 4
+_LOAD_STEP_COUNT = 4
 
 
-class Reach(enum.Enum):
+class ProbeOutcome(enum.Enum):
     """What came of asking an instance."""
 
     ANSWERED = 'answered'
@@ -18,34 +18,36 @@
 
 
 @attrs.frozen
-class Probe:
+class ProbeResult:
     """What a node found of an instance, or that it asks it no more."""
 
-    reach: Reach
+    reach: ProbeOutcome
     report: MemberReport | None = None
 
 
-def essence(report: MemberReport | None) -> MemberReport | None:
+def without_load(report: MemberReport | None) -> MemberReport | None:
     """Return what nodes must agree on; the load may differ."""
     if report is None:
         return None
     return attrs.evolve(report, running=0, queued=0, slots=0, fencing=0)
 
 
-def is_material(
-    before: MemberReport | None,
-    after: MemberReport | None,
+def is_significant_change(
+    previous: MemberReport | None,
+    current: MemberReport | None,
 ) -> bool:
     """Tell whether other nodes should hear of a change of report."""
-    if before is None or after is None:
-        return before is not after
-    return essence(before) != essence(after) or (
-        _load_step(before) != _load_step(after)
+    if previous is None or current is None:
+        return previous is not current
+    return without_load(previous) != without_load(current) or (
+        _load_step(previous) != _load_step(current)
     )
 
 
 def _load_step(report: MemberReport) -> int:
     """Return the load in quarters of the slots, so that few changes count."""
     return (
-        _LOAD_STEPS * (report.running + report.queued) // max(1, report.slots)
+        _LOAD_STEP_COUNT
+        * (report.running + report.queued)
+        // max(1, report.slots)
     )
--- a/src/cranecart/targets/_service.py
+++ b/src/cranecart/targets/_service.py
@@ -34,7 +34,7 @@
             call.path,
             {
                 'content-type': call.content_type or 'application/json',
-                **call.trace_headers,
+                **call.metadata_headers,
             },
             call.body,
         )
--- a/tests/unit/test_assemble.py
+++ b/tests/unit/test_assemble.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 
 from cranecart.instances import MemberReport, MemberState, ReplicaRow
-from cranecart.targets import ReportBook, assemble
-from cranecart.targets._assembly import Assembly
+from cranecart.targets import ReportRegistry, complete_replicas
+from cranecart.targets._replica_index import ReplicaIndex
 from tests.lib.worlds import DOMAIN, make_instances, ready_reports
 
 _INSTANCES = make_instances(6)
@@ -49,7 +49,7 @@
         reports: dict[str, MemberReport],
     ) -> None:
         """Every member says ready, for this replica and generation."""
-        for replica in assemble(_INSTANCES, reports):
+        for replica in complete_replicas(_INSTANCES, reports):
             for member in replica.members:
                 report = reports[member]
                 self.assertEqual(report.state, MemberState.READY)
@@ -65,7 +65,7 @@
         """Whatever instances say, none serves in two replicas."""
         members = Counter(
             member
-            for replica in assemble(_INSTANCES, reports)
+            for replica in complete_replicas(_INSTANCES, reports)
             for member in replica.members
         )
         self.assertTrue(all(count == 1 for count in members.values()))
@@ -80,16 +80,18 @@
         steps: list[dict[str, MemberReport]],
     ) -> None:
         """After any changes in any order."""
-        assembly = Assembly()
+        index = ReplicaIndex()
         for reports in steps:
             for name in _NAMES:
-                assembly.update(name, reports.get(name), _INSTANCES)
-            expected = {one.key for one in assemble(_INSTANCES, reports)}
+                index.update(name, reports.get(name), _INSTANCES)
+            expected = {
+                one.key for one in complete_replicas(_INSTANCES, reports)
+            }
             self.assertEqual(
-                {one.key for one in assembly.whole()},
+                {one.key for one in index.complete()},
                 expected,
             )
-            self.assertEqual(dict(assembly.reports), reports)
+            self.assertEqual(dict(index.reports), reports)
 
 
 class ReportBookTest(unittest.TestCase):
@@ -98,55 +100,61 @@
     def setUp(self) -> None:
         """Make a book with a whole replica and a clock to turn."""
         self.now = 100.0
-        self.book = ReportBook('own', lambda: self.now)
-        self.book.replace_instances(_INSTANCES.values())
+        self.reports = ReportRegistry('own', lambda: self.now)
+        self.reports.replace_instances(_INSTANCES.values())
         self.row = ReplicaRow('r', 'm', 'v1', 1, ('e00', 'e01'), DOMAIN, 'f0')
         for report in ready_reports(self.row).values():
-            self.book.note(report)
+            self.reports.record_report(report)
 
     def test_fresh_reports_make_a_replica(self) -> None:
         """All members have just said that they are ready."""
-        self.assertEqual([one.id for one in self.book.serving()], ['r'])
+        self.assertEqual(
+            [one.id for one in self.reports.serving_replicas()], ['r']
+        )
 
     def test_one_silent_member_ends_it(self) -> None:
         """A single unreachable member makes the whole replica absent."""
-        self.book.note_unreachable('e01')
-        self.assertEqual(self.book.serving(), [])
+        self.reports.record_unreachable('e01')
+        self.assertEqual(self.reports.serving_replicas(), [])
 
     def test_old_reports_do_not_count(self) -> None:
         """After a pause of this process nothing serves until asked anew."""
-        self.book.tick()
+        self.reports.tick()
         self.now += 10
-        self.assertEqual(self.book.serving(), [])
-        self.book.tick()
-        self.assertEqual(self.book.serving(), [])
+        self.assertEqual(self.reports.serving_replicas(), [])
+        self.reports.tick()
+        self.assertEqual(self.reports.serving_replicas(), [])
 
     def test_own_pause_loses_nobody(self) -> None:
         """Time that this process slept through is no instance's silence."""
-        self.book.tick()
+        self.reports.tick()
         self.now += 60
-        self.assertTrue(self.book.tick())
-        self.assertEqual(self.book.lost(), frozenset())
+        self.assertTrue(self.reports.tick())
+        self.assertEqual(self.reports.lost_instances(), frozenset())
 
     def test_silence_loses_an_instance(self) -> None:
         """Silence while this process was awake counts."""
         for _ in range(50):
-            self.book.tick()
+            self.reports.tick()
             self.now += 0.25
-        self.assertEqual(self.book.lost(), frozenset(_NAMES))
+        self.assertEqual(self.reports.lost_instances(), frozenset(_NAMES))
 
     def test_a_node_that_asks_no_more_speaks_no_more(self) -> None:
         """What it found before must not stand against what others find."""
-        self.book.replace_live_nodes(['other'])
-        self.book.note(MemberReport('e01'), 'other')
-        self.assertEqual(self.book.serving(), [])
-        self.book.withdraw('e01', 'other')
-        self.assertEqual([one.id for one in self.book.serving()], ['r'])
+        self.reports.replace_live_nodes(['other'])
+        self.reports.record_report(MemberReport('e01'), 'other')
+        self.assertEqual(self.reports.serving_replicas(), [])
+        self.reports.remove_observation('e01', 'other')
+        self.assertEqual(
+            [one.id for one in self.reports.serving_replicas()], ['r']
+        )
 
     def test_a_doubt_counts_for_a_while(self) -> None:
         """Another node's failure closes the gate until the rest confirm."""
-        self.book.note_unreachable('e01', 'other')
-        self.assertEqual(self.book.serving(), [])
+        self.reports.record_unreachable('e01', 'other')
+        self.assertEqual(self.reports.serving_replicas(), [])
         self.now += 4.1
-        self.book.tick()
-        self.assertEqual([one.id for one in self.book.serving()], ['r'])
+        self.reports.tick()
+        self.assertEqual(
+            [one.id for one in self.reports.serving_replicas()], ['r']
+        )
--- a/tests/unit/test_uneven_connections.py
+++ b/tests/unit/test_uneven_connections.py
@@ -370,5 +370,5 @@
             deadline=time.monotonic() + 2,
             model='m',
         )
-        async with await client.start(replica, call) as answer:
+        async with await client.start_completion(replica, call) as answer:
             await answer.read_body()
--- a/tools/bench/_probe.py
+++ b/tools/bench/_probe.py
@@ -5,7 +5,7 @@
 import time
 from pathlib import Path
 
-from cranecart.targets import PROBE_SECONDS
+from cranecart.targets import PROBE_INTERVAL_SECONDS
 from tools.cluster_control import wait_until
 from tools.local_cluster import ClusterOptions, LocalCluster
 
@@ -33,7 +33,7 @@
             payload = _probe(address.host, address.port)
     return {
         'bytes': payload + _PACKETS * _PACKET_BYTES,
-        'per_second': 1 / PROBE_SECONDS,
+        'per_second': 1 / PROBE_INTERVAL_SECONDS,
     }
 
 
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -72,9 +72,9 @@
     ),
     Mutation(
         'part-of-the-members-is-enough',
-        'targets/_assemble.py',
-        'present == set(members)',
-        'members[0] in present',
+        'targets/_complete_replicas.py',
+        'ready == set(members)',
+        'members[0] in ready',
         'tests.functional.test_replicas.ReplicasTest'
         '.test_platform_away_while_a_member_dies',
     ),
@@ -87,9 +87,9 @@
     ),
     Mutation(
         'ex-probers-still-speak',
-        'targets/_views.py',
-        'self._views.pop(node_id, None)',
-        'self._views.get(node_id)',
+        'targets/_observations.py',
+        'self._observations.pop(node_id, None)',
+        'self._observations.get(node_id)',
         'tests.unit.test_assemble',
     ),
     Mutation(
@@ -108,7 +108,7 @@
     ),
     Mutation(
         'leaving-is-not-heeded',
-        'targets/_assemble.py',
+        'targets/_complete_replicas.py',
         'and not report.draining',
         '',
         'tests.functional.test_leaving.LeavingTest'
