--- a/src/cranecart/fleet/_fleet.py
+++ b/src/cranecart/fleet/_fleet.py
@@ -5,8 +5,8 @@
 import attrs
 
 from cranecart.clocks import since_boot
-from cranecart.fleet._listing import Listing
-from cranecart.fleet._recorded import Forming, Recorded
+from cranecart.fleet._listing import InstanceList
+from cranecart.fleet._recorded import ReplicaEpoch, ReplicaRecords
 from cranecart.fleet._records import RecordState, ReplicaRecord
 from cranecart.logs import decision
 from cranecart.ports import Incarnation, ListedInstance, MemberPhase
@@ -35,7 +35,7 @@
         return self.head.incarnation
 
     @property
-    def forming(self) -> Forming:
+    def replica_epoch(self) -> ReplicaEpoch:
         """Return what tells this forming of the replica from others."""
         return (self.replica, self.epoch)
 
@@ -44,7 +44,7 @@
 
 
 @attrs.define
-class Heads:
+class ServingHeads:
     """The replicas that serve, by service and model.
 
     Only those are looked at anew whose record or members have changed.
@@ -98,33 +98,35 @@
     or only cut off from the platform, and its replica may still work.
     """
 
-    listing: Listing = attrs.field(factory=Listing)
-    recorded: Recorded = attrs.field(factory=Recorded, init=False)
-    _stopped: dict[Forming, str] = attrs.field(factory=dict, init=False)
-    _closing: dict[Forming, str] = attrs.field(factory=dict, init=False)
-    _heads: Heads = attrs.field(factory=Heads, init=False)
+    instance_list: InstanceList = attrs.field(factory=InstanceList)
+    replica_records: ReplicaRecords = attrs.field(
+        factory=ReplicaRecords, init=False
+    )
+    _stopped: dict[ReplicaEpoch, str] = attrs.field(factory=dict, init=False)
+    _closing: dict[ReplicaEpoch, str] = attrs.field(factory=dict, init=False)
+    _heads: ServingHeads = attrs.field(factory=ServingHeads, init=False)
     # Keys of records that have to be looked at before heads are told.
     _changed: set[str] = attrs.field(factory=set, init=False)
 
     @property
     def instances(self) -> Mapping[str, ListedInstance]:
         """Return the listed instances by id."""
-        return self.listing.instances
+        return self.instance_list.instances
 
     @property
     def lapsed(self) -> Mapping[str, ListedInstance]:
         """Return members whose entries went lately, by id."""
-        return self.listing.lapsed
+        return self.instance_list.lapsed
 
     @property
     def records(self) -> Mapping[str, ReplicaRecord]:
         """Return the recorded replicas by the keys of their rows."""
-        return self.recorded.records
+        return self.replica_records.records
 
-    def take_instances(
+    def apply_instances(
         self,
         items: Mapping[str, ListedInstance | None],
-        is_whole: bool,
+        is_complete: bool,
         kept_until: float = 0,
     ) -> None:
         """Take over changed entries of the platform's list.
@@ -132,78 +134,82 @@
         Many that are missing at once are kept until ``kept_until``.
         """
         touched = set(items)
-        if is_whole:
+        if is_complete:
             touched.update(self.instances)
-        self._begin_lives(self.listing.take(items, is_whole, kept_until))
-        self._changed |= self.recorded.keys_naming(touched)
+        self._begin_lives(
+            self.instance_list.take(items, is_complete, kept_until)
+        )
+        self._changed |= self.replica_records.keys_with_members(touched)
 
-    def restore_instances(self, items: Mapping[str, ListedInstance]) -> None:
+    def apply_restored_instances(
+        self, items: Mapping[str, ListedInstance]
+    ) -> None:
         """Take over a list of a store that has come back from a copy."""
-        anew = self.listing.restore(items, since_boot())
+        anew = self.instance_list.restore(items, since_boot())
         self._begin_lives(anew)
-        self._changed |= self.recorded.keys_naming(items)
+        self._changed |= self.replica_records.keys_with_members(items)
 
-    def settle_lives(self) -> None:
+    def process_timeouts(self) -> None:
         """Believe entries that have stood, or been missed, for long."""
         now = since_boot()
-        self._changed |= self.recorded.keys_naming(
+        self._changed |= self.replica_records.keys_with_members(
             (
-                *self.listing.lapse_missing(now),
-                *self.listing.admit_awaited(now),
+                *self.instance_list.expire_missing(now),
+                *self.instance_list.accept_unconfirmed(now),
             ),
         )
-        anew = self.listing.settle_lives()
+        anew = self.instance_list.confirm_restarts()
         self._begin_lives(anew)
-        self._changed |= self.recorded.keys_naming(anew)
+        self._changed |= self.replica_records.keys_with_members(anew)
 
-    def take_records(
+    def apply_records(
         self,
         items: Mapping[str, ReplicaRecord | None],
-        is_whole: bool,
+        is_complete: bool,
         era: int = 0,
     ) -> None:
         """Take over changed rows of replicas, by the keys of their rows."""
-        self._changed.update(self.recorded.take(items, is_whole, era))
+        self._changed.update(self.replica_records.take(items, is_complete, era))
         self._forget()
 
-    def stop(self, forming: Forming, reason: str) -> bool:
+    def mark_stopped(self, replica_epoch: ReplicaEpoch, reason: str) -> bool:
         """Take over that a replica stands still; return whether it is news.
 
         Nothing more is sent to it, and what it has goes on elsewhere.
         """
-        if forming in self._stopped:
+        if replica_epoch in self._stopped:
             return False
-        self._stopped[forming] = reason
-        self._tell('replica_stopped', forming, reason)
+        self._stopped[replica_epoch] = reason
+        self._tell('replica_stopped', replica_epoch, reason)
         return True
 
-    def close(self, forming: Forming, reason: str) -> bool:
+    def mark_closing(self, replica_epoch: ReplicaEpoch, reason: str) -> bool:
         """Take over that a replica finishes; return whether it is news.
 
         Nothing more is sent to it, and what it has ends there.
         """
-        if forming in self._closing:
+        if replica_epoch in self._closing:
             return False
-        self._closing[forming] = reason
-        self._tell('replica_closing', forming, reason)
+        self._closing[replica_epoch] = reason
+        self._tell('replica_closing', replica_epoch, reason)
         return True
 
-    def is_stopped(self, forming: Forming) -> bool:
+    def is_stopped(self, replica_epoch: ReplicaEpoch) -> bool:
         """Tell whether a replica is known to have stopped."""
-        return forming in self._stopped
+        return replica_epoch in self._stopped
 
-    def known(self, name: str) -> ListedInstance | None:
+    def find_instance(self, name: str) -> ListedInstance | None:
         """Return an instance, also one whose entry has gone lately."""
-        return self.listing.known(name)
+        return self.instance_list.find_instance(name)
 
-    def failure_domain_of(self, forming: Forming) -> str:
+    def failure_domain_of(self, replica_epoch: ReplicaEpoch) -> str:
         """Return the failure domain whose placer a replica has, if known."""
-        record = self.recorded.of(forming)
+        record = self.replica_records.of(replica_epoch)
         return '' if record is None else record.failure_domain
 
     def is_open(self, record: ReplicaRecord) -> bool:
         """Tell whether the list shows a replica's head open."""
-        head = self.known(record.head)
+        head = self.find_instance(record.head)
         phase = head and head.phase_in(record.name, record.epoch)
         return phase is MemberPhase.OPEN
 
@@ -212,9 +218,9 @@
         self._look()
         return self._heads.of_model((service, model))
 
-    def plain(self, service: str) -> tuple[ListedInstance, ...]:
+    def available(self, service: str) -> tuple[ListedInstance, ...]:
         """Return the instances of a plain service that take requests."""
-        return self.listing.plain(service)
+        return self.instance_list.available(service)
 
     def all_heads(self) -> Iterable[ServingHead]:
         """Return all whole replicas that take requests."""
@@ -227,10 +233,12 @@
         Streams leave them at once, and not only once they have been silent.
         """
         for name in names:
-            for record in list(self.recorded.naming_one(name)):
-                if any(map(self.listing.is_superseded, record.incarnations)):
-                    forming = (record.name, record.epoch)
-                    self.stop(forming, f'{name} lives anew')
+            for record in list(self.replica_records.records_with_member(name)):
+                if any(
+                    map(self.instance_list.is_superseded, record.incarnations)
+                ):
+                    replica_epoch = (record.name, record.epoch)
+                    self.mark_stopped(replica_epoch, f'{name} lives anew')
 
     def _look(self) -> None:
         """Bring up to date which replicas serve."""
@@ -250,33 +258,40 @@
         self._changed.clear()
 
     def _is_serving(self, record: ReplicaRecord) -> bool:
-        forming = (record.name, record.epoch)
+        replica_epoch = (record.name, record.epoch)
         head = self.instances.get(record.head)
         if record.state is not RecordState.SERVING or head is None:
             return False
-        if forming in self._stopped or forming in self._closing:
+        if replica_epoch in self._stopped or replica_epoch in self._closing:
             return False
-        return head.phase_in(*forming) is MemberPhase.OPEN and all(
-            _is_present(self.known(name), forming) for name in record.members
+        return head.phase_in(*replica_epoch) is MemberPhase.OPEN and all(
+            _is_present(self.find_instance(name), replica_epoch)
+            for name in record.members
         )
 
     def _forget(self) -> None:
         for told in (self._stopped, self._closing):
-            for forming in list(told):
-                if not self.recorded.is_recorded(forming):
-                    told.pop(forming)
-        self.listing.forget_lapsed(self.recorded.naming)
-
-    def _tell(self, event: str, forming: Forming, reason: str) -> None:
-        decision(event, replica=forming[0], epoch=forming[1], why=reason)
-        record = self.recorded.of(forming)
+            for replica_epoch in list(told):
+                if not self.replica_records.is_recorded(replica_epoch):
+                    told.pop(replica_epoch)
+        self.instance_list.forget_lapsed(self.replica_records.keys_by_member)
+
+    def _tell(
+        self, event: str, replica_epoch: ReplicaEpoch, reason: str
+    ) -> None:
+        decision(
+            event, replica=replica_epoch[0], epoch=replica_epoch[1], why=reason
+        )
+        record = self.replica_records.of(replica_epoch)
         if record is not None:
             self._changed.add(record.key)
 
 
-def _is_present(member: ListedInstance | None, forming: Forming) -> bool:
+def _is_present(
+    member: ListedInstance | None, replica_epoch: ReplicaEpoch
+) -> bool:
     return (
         member is not None
         and not member.leaving
-        and member.phase_in(*forming) in _PRESENT
+        and member.phase_in(*replica_epoch) in _PRESENT
     )
--- a/src/cranecart/fleet/_follower.py
+++ b/src/cranecart/fleet/_follower.py
@@ -18,15 +18,15 @@
     PlatformUnavailableError,
     ReadRenewedError,
 )
-from cranecart.fleet._held_items import HeldItems
+from cranecart.fleet._held_items import ItemCache
 from cranecart.fleet._news import (
     Extent,
-    Feeding,
+    ItemsConsumer,
     News,
-    RestoredTaker,
-    Taker,
+    RestoredItemsConsumer,
+    UpdateSharing,
 )
-from cranecart.fleet._path import StorePath
+from cranecart.fleet._path import StoreReachability
 from cranecart.logs import decision
 from cranecart.ports import Source, era_of
 
@@ -34,7 +34,7 @@
 
 # How long one read waits for changes, nearly the longest that stores allow, as
 # each costs; a read that hangs is made up for by other nodes.
-LONG_WAIT_SECONDS = 28.0
+LONG_POLL_SECONDS = 28.0
 # A reader whose path to the store has not shown to be good for two waits, less
 # what two reads overlap, is not relied on.
 _PROVEN_WAITS = 1.8
@@ -75,13 +75,13 @@
 
     name: str
     _source: Source[Item]
-    _take: Taker[Item]
+    _take: ItemsConsumer[Item]
     _random: random.Random
     _gap_seconds: float = 0
-    _feeding: Feeding[Item] | None = None
+    _sharing: UpdateSharing[Item] | None = None
     _clock: Callable[[], float] = since_boot
-    _path: StorePath = attrs.field(factory=StorePath)
-    _take_restored: RestoredTaker[Item] | None = None
+    _path: StoreReachability = attrs.field(factory=StoreReachability)
+    _apply_restored: RestoredItemsConsumer[Item] | None = None
     _version: int = attrs.field(default=-1, init=False)
     _changed_version: int = attrs.field(default=-1, init=False)
     _is_whole: bool = attrs.field(default=False, init=False)
@@ -92,7 +92,7 @@
     _fresh_at: float | None = attrs.field(default=None, init=False)
     _filled_at: float = attrs.field(default=0, init=False)
     _started_at: float | None = attrs.field(default=None, init=False)
-    _held: HeldItems[Item] = attrs.field(factory=HeldItems, init=False)
+    _held: ItemCache[Item] = attrs.field(factory=ItemCache, init=False)
     _check_at: float = attrs.field(default=float('inf'), init=False)
 
     @property
@@ -101,23 +101,23 @@
         return self._version >= 0
 
     @property
-    def is_proven(self) -> bool:
+    def has_recent_read(self) -> bool:
         """Tell whether this node has read so lately that others may rely."""
         window = _PROVEN_WAITS * self._wait_seconds
         return self._clock() - self._read_at < window
 
     @property
-    def changed_version(self) -> int:
+    def last_change_version(self) -> int:
         """Return the version of the last change that was taken over."""
         return self._changed_version
 
     @property
-    def is_lost(self) -> bool:
+    def is_unreachable(self) -> bool:
         """Tell whether the last reading failed."""
         return self._is_lost
 
     @property
-    def filled_at(self) -> float:
+    def repopulated_at(self) -> float:
         """Return when the source holds all again; zero if it does now."""
         return self._filled_at if self._clock() < self._filled_at else 0
 
@@ -137,7 +137,7 @@
             else:
                 await self._rest(started)
 
-    def take_news(self, news: News[Item]) -> None:
+    def apply_update(self, news: News[Item]) -> None:
         """Take over what another node has read, if nothing is between."""
         self._note_fresh()
         if not self._is_whole or news.version < self._version:
@@ -156,9 +156,9 @@
     def _wait_seconds(self) -> float:
         if self._is_lost:
             return _PROBE_SECONDS
-        if self._feeding is None:
-            return LONG_WAIT_SECONDS
-        return self._feeding.wait_seconds
+        if self._sharing is None:
+            return LONG_POLL_SECONDS
+        return self._sharing.wait_seconds
 
     async def _read(self) -> None:
         if self._is_whole and self._clock() < self._check_at:
@@ -177,8 +177,8 @@
         differences = self._held.differences(snapshot.items)
         self._take_all(snapshot.version, snapshot.items, extent)
         # At a start each node reads for itself.
-        if earlier >= 0 and self._feeding is not None:
-            self._feeding.pass_on(
+        if earlier >= 0 and self._sharing is not None:
+            self._sharing.publish(
                 News(
                     earlier,
                     snapshot.version,
@@ -191,11 +191,11 @@
     def _extent(self, version: int) -> Extent:
         """Return what a whole reading holds."""
         if not self.is_informed:
-            return Extent.WHOLE
+            return Extent.COMPLETE
         is_filling = self._clock() < self._check_at < float('inf')
         if is_filling or era_of(version) > era_of(self._version):
             return Extent.RESTORED
-        return Extent.WHOLE
+        return Extent.COMPLETE
 
     def _take_all(
         self,
@@ -209,7 +209,7 @@
         self._is_whole = True
         self._held.replace(items)
         if 0 <= earlier and era_of(earlier) < era_of(version):
-            if self._take_restored is not None:
+            if self._apply_restored is not None:
                 self._check_at = self._clock() + _FILLING_SECONDS
             decision(
                 'source_restored',
@@ -218,14 +218,14 @@
                 version=version,
                 items=len(items),
             )
-        elif extent is Extent.WHOLE or earlier < 0:
+        elif extent is Extent.COMPLETE or earlier < 0:
             self._check_at = float('inf')
             self._take(items, True)
             return
-        if self._take_restored is None:
+        if self._apply_restored is None:
             self._take(items, False)
         else:
-            self._take_restored(items)
+            self._apply_restored(items)
 
     async def _read_changes(self) -> None:
         since = self._version
@@ -251,8 +251,8 @@
         if not changes.items:
             return
         self._take_changes(changes.version, changes.items)
-        if self._feeding is not None:
-            self._feeding.pass_on(
+        if self._sharing is not None:
+            self._sharing.publish(
                 News(min(earlier, since), changes.version, changes.items),
             )
 
@@ -279,21 +279,21 @@
         rest = self._gap(started) - (self._clock() - started)
         if rest > 0:
             await curio.sleep(rest)
-        if self._feeding is not None:
-            await self._leave_to_others(self._feeding, started)
+        if self._sharing is not None:
+            await self._leave_to_others(self._sharing, started)
 
     def _gap(self, now: float) -> float:
         if self._started_at is None:
             self._started_at = now
-        if self._feeding is None:
+        if self._sharing is None:
             return self._gap_seconds
-        gap = max(self._gap_seconds, self._feeding.gap_seconds())
+        gap = max(self._gap_seconds, self._sharing.gap_seconds())
         is_starting = now - self._started_at < _START_SECONDS
         return max(gap, _START_GAP_SECONDS) if is_starting else gap
 
     async def _leave_to_others(
         self,
-        feeding: Feeding[Item],
+        sharing: UpdateSharing[Item],
         started: float,
     ) -> None:
         """Wait while another node reads, or may be about to."""
@@ -302,7 +302,7 @@
         was_fed = False
         while await self._be_fed():
             was_fed = True
-            await self._meet_feeder(_TURN_SECONDS * feeding.turn())
+            await self._meet_feeder(_TURN_SECONDS * sharing.turn())
         if was_fed:
             # Others rely on this node from now on.
             await self._path.renew()
@@ -320,24 +320,26 @@
         """
         was_fed = False
         behind_since: float | None = None
-        announced = self._announced()
-        while announced is not None:
+        announced_version = self._announced()
+        while announced_version is not None:
             was_fed = True
             self._note_fresh()
             if self._clock() > self._check_at + _BEHIND_SECONDS:
                 return False
-            if announced <= self._version:
+            if announced_version <= self._version:
                 behind_since = None
             elif behind_since is None:
                 behind_since = self._clock()
             elif self._clock() - behind_since > _BEHIND_SECONDS:
                 return False
             await curio.sleep(_FED_LOOK_SECONDS)
-            announced = self._announced()
+            announced_version = self._announced()
         return was_fed
 
     def _announced(self) -> int | None:
-        return None if self._feeding is None else self._feeding.announced()
+        return (
+            None if self._sharing is None else self._sharing.announced_version()
+        )
 
     def _note_fresh(self) -> None:
         """Take over that somebody's path to the source is good now."""
@@ -355,4 +357,4 @@
             await self._path.renew()
         spread = 1 + self._random.uniform(-_JITTER, _JITTER)
         await self._path.wait(self.name, self._pause * spread)
-        self._pause = min(self._path.longest_pause, self._pause * 2)
+        self._pause = min(self._path.max_retry_seconds, self._pause * 2)
--- a/src/cranecart/fleet/_held_items.py
+++ b/src/cranecart/fleet/_held_items.py
@@ -9,7 +9,7 @@
 
 
 @attrs.define
-class HeldItems(Generic[Item]):
+class ItemCache(Generic[Item]):
     """Items by key, and what makes others of them.
 
     In changes ``None`` stands for an item that is gone.
--- a/src/cranecart/fleet/_listing.py
+++ b/src/cranecart/fleet/_listing.py
@@ -4,8 +4,8 @@
 
 import attrs
 
-from cranecart.fleet._lives import LifeBook, Told
-from cranecart.fleet._remembered import AwaitedEntries, RememberedLives
+from cranecart.fleet._lives import IncarnationMatch, IncarnationTracker
+from cranecart.fleet._remembered import RecentIncarnations, UnconfirmedEntries
 from cranecart.logs import decision
 from cranecart.ports import Incarnation, ListedInstance
 
@@ -17,14 +17,14 @@
 
 
 @attrs.define
-class Listing:
+class InstanceList:
     """Listed instances, and those whose entries went lately.
 
     Instances are kept by service as well, as a plain service of five is asked
     for with each of its requests beside a thousand others.
     """
 
-    _lives: LifeBook = attrs.field(factory=LifeBook)
+    _lives: IncarnationTracker = attrs.field(factory=IncarnationTracker)
     instances: dict[str, ListedInstance] = attrs.field(
         factory=dict,
         init=False,
@@ -33,13 +33,17 @@
     # Instances that are kept for a while though their entries went.
     _missing: dict[str, float] = attrs.field(factory=dict, init=False)
     # Lives that leave, by their entry or their own word.
-    _leaving: RememberedLives = attrs.field(
-        factory=RememberedLives,
+    _leaving: RecentIncarnations = attrs.field(
+        factory=RecentIncarnations,
         init=False,
     )
     # Lives whose entries have gone.
-    _gone: RememberedLives = attrs.field(factory=RememberedLives, init=False)
-    _awaited: AwaitedEntries = attrs.field(factory=AwaitedEntries, init=False)
+    _gone: RecentIncarnations = attrs.field(
+        factory=RecentIncarnations, init=False
+    )
+    _awaited: UnconfirmedEntries = attrs.field(
+        factory=UnconfirmedEntries, init=False
+    )
     _of_service: dict[str, dict[str, ListedInstance]] = attrs.field(
         factory=dict,
         init=False,
@@ -52,7 +56,7 @@
     def take(
         self,
         items: Mapping[str, ListedInstance | None],
-        is_whole: bool,
+        is_complete: bool,
         kept_until: float = 0,
     ) -> list[str]:
         """Take over changed entries; return the ids that live anew.
@@ -61,14 +65,14 @@
         entries are gone, their instances are kept until then.
         """
         gone = {name for name, item in items.items() if item is None}
-        if is_whole:
+        if is_complete:
             gone.update(self.instances.keys() - items.keys())
         gone &= self.instances.keys() - self._missing.keys()
         if kept_until and self._are_many(gone):
             gone -= self._keep(gone, kept_until)
         for name in gone:
             self._lapse(name)
-        if is_whole:
+        if is_complete:
             self._awaited.keep_only(items)
         else:
             self._awaited.drop(items)
@@ -101,14 +105,14 @@
         self._awaited.hold(awaited, now)
         return anew
 
-    def admit_awaited(self, now: float) -> list[str]:
+    def accept_unconfirmed(self, now: float) -> list[str]:
         """Take over awaited entries that have stood; return their ids."""
         due = self._awaited.take_due(now)
         for item in due:
             self._take_entry(item)
         return [item.id for item in due]
 
-    def leave(self, incarnation: Incarnation) -> bool:
+    def mark_leaving(self, incarnation: Incarnation) -> bool:
         """Remember that a life says that it leaves; tell if it is news.
 
         Its entry may tell it later, or never; it counts from when the entry is
@@ -121,7 +125,7 @@
 
     def is_leaving(self, incarnation: Incarnation) -> bool:
         """Tell whether a life leaves, by its own word or its entry."""
-        known = self.known(incarnation.id)
+        known = self.find_instance(incarnation.id)
         is_listed = (
             known is not None
             and known.leaving
@@ -129,24 +133,24 @@
         )
         return is_listed or incarnation in self._leaving
 
-    def settle_lives(self) -> list[str]:
+    def confirm_restarts(self) -> list[str]:
         """Believe entries that have stood; return the ids that live anew."""
         settled = self._lives.take_settled()
         for entry in settled:
-            known = self.known(entry.id)
+            known = self.find_instance(entry.id)
             if known is not None:
                 self._lives.end(known, entry)
                 self._begin_life(known, entry)
         return [entry.id for entry in settled]
 
-    def lapse_missing(self, now: float) -> list[str]:
+    def expire_missing(self, now: float) -> list[str]:
         """Let go instances that were missed for long; return their ids."""
         due = [name for name, until in self._missing.items() if until <= now]
         for name in due:
             self._lapse(name)
         return due
 
-    def known(self, name: str) -> ListedInstance | None:
+    def find_instance(self, name: str) -> ListedInstance | None:
         """Return an instance, also one whose entry has gone lately."""
         return self.instances.get(name) or self.lapsed.get(name)
 
@@ -156,7 +160,7 @@
 
     def is_superseded(self, incarnation: Incarnation) -> bool:
         """Tell whether another life of an instance is known than this."""
-        known = self.known(incarnation.id)
+        known = self.find_instance(incarnation.id)
         if known is None or not incarnation.born:
             return False
         return known.incarnation.is_another(incarnation)
@@ -167,19 +171,19 @@
         Whether a birth that went back is later is only likely: members that
         wait for this life's end go on waiting.
         """
-        known = self.known(incarnation.id)
+        known = self.find_instance(incarnation.id)
         is_later = known is not None and known.born > incarnation.born
         return is_later and self.is_superseded(incarnation)
 
-    def of_service(self, service: str) -> Iterator[ListedInstance]:
+    def all_of_service(self, service: str) -> Iterator[ListedInstance]:
         """Yield the listed instances of a service."""
         yield from self._of_service.get(service, {}).values()
 
-    def plain(self, service: str) -> tuple[ListedInstance, ...]:
+    def available(self, service: str) -> tuple[ListedInstance, ...]:
         """Return the instances of a service that are not leaving."""
         found = self._plain.get(service)
         if found is None:
-            every = self.of_service(service)
+            every = self.all_of_service(service)
             found = tuple(one for one in every if not one.leaving)
             self._plain[service] = found
         return found
@@ -212,17 +216,17 @@
 
     def _take_entry(self, entry: ListedInstance) -> bool:
         """Take over an entry; return whether its instance lives anew."""
-        known = self.known(entry.id)
+        known = self.find_instance(entry.id)
         if known is None:
             self._put(entry)
             return False
         match self._lives.told(known, entry):
-            case Told.SAME:
+            case IncarnationMatch.SAME:
                 self._put(_with_memory(known, entry))
-            case Told.ANEW:
+            case IncarnationMatch.NEWER:
                 self._begin_life(known, entry)
                 return True
-            case Told.LATE | Told.UNSURE as told:
+            case IncarnationMatch.STALE | IncarnationMatch.UNCERTAIN as told:
                 decision(
                     'entry_put_off',
                     instance=entry.id,
--- a/src/cranecart/fleet/_lives.py
+++ b/src/cranecart/fleet/_lives.py
@@ -24,21 +24,21 @@
 _MOST_IDS = 512
 
 
-class Told(enum.Enum):
+class IncarnationMatch(enum.Enum):
     """What an entry says of an instance that is known."""
 
     # The life that is known, or nothing that speaks against it.
     SAME = 'same'
     # Another life has begun, so that the known one has ended.
-    ANEW = 'anew'
+    NEWER = 'anew'
     # A late word of a life that has ended.
-    LATE = 'late'
+    STALE = 'late'
     # An earlier birth that was never heard of: either of the two.
-    UNSURE = 'unsure'
+    UNCERTAIN = 'unsure'
 
 
 @attrs.define
-class LifeBook:
+class IncarnationTracker:
     """The lives that have ended, and the entries that nobody is sure of."""
 
     _clock: Callable[[], float] = since_boot
@@ -50,21 +50,23 @@
         init=False,
     )
 
-    def told(self, known: ListedInstance, entry: ListedInstance) -> Told:
+    def told(
+        self, known: ListedInstance, entry: ListedInstance
+    ) -> IncarnationMatch:
         """Take over an entry of a known instance; return what it says."""
         waiting = self._unsure.pop(entry.id, None)
         if not entry.incarnation.is_another(known.incarnation):
-            return Told.SAME
+            return IncarnationMatch.SAME
         if entry.incarnation in self._ended.get(entry.id, ()):
-            return Told.LATE
+            return IncarnationMatch.STALE
         if entry.born > known.born:
             self._end(known.incarnation)
-            return Told.ANEW
+            return IncarnationMatch.NEWER
         since = self._clock()
         if waiting is not None and waiting[0].incarnation == entry.incarnation:
             since = waiting[1]
         self._unsure[entry.id] = (entry, since)
-        return Told.UNSURE
+        return IncarnationMatch.UNCERTAIN
 
     def forget(self, name: str) -> None:
         """Take over that an instance's entry has gone."""
--- a/src/cranecart/fleet/_news.py
+++ b/src/cranecart/fleet/_news.py
@@ -10,13 +10,13 @@
 
 # Where others depend on what a node reads, each answer shows that its path to
 # the store is good.
-RELAY_WAIT_SECONDS = 0.5
+SHARED_POLL_SECONDS = 0.5
 
 # Takes items by key, ``None`` for one that is gone, and whether the items
 # are everything that there is.
-Taker = Callable[[Mapping[str, Item | None], bool], None]
+ItemsConsumer = Callable[[Mapping[str, Item | None], bool], None]
 # Takes all items of a store that has come back from a copy.
-RestoredTaker = Callable[[Mapping[str, Item]], None]
+RestoredItemsConsumer = Callable[[Mapping[str, Item]], None]
 
 
 class Extent(enum.Enum):
@@ -28,7 +28,7 @@
     # may be there all the same.
     RESTORED = 'restored'
     # Everything that there is.
-    WHOLE = 'whole'
+    COMPLETE = 'whole'
 
 
 @attrs.frozen
@@ -48,7 +48,7 @@
 
 
 @attrs.frozen
-class Feeding(Generic[Item]):
+class UpdateSharing(Generic[Item]):
     """How a follower is spared from reading, and spares others.
 
     ``announced`` returns the version of the last change that a node with a
@@ -59,8 +59,8 @@
     that go on reading once the reader is gone.
     """
 
-    announced: Callable[[], int | None]
-    pass_on: Callable[[News[Item]], None]
-    wait_seconds: float = RELAY_WAIT_SECONDS
+    announced_version: Callable[[], int | None]
+    publish: Callable[[News[Item]], None]
+    wait_seconds: float = SHARED_POLL_SECONDS
     gap_seconds: Callable[[], float] = float
     turn: Callable[[], int] = int
--- a/src/cranecart/fleet/_path.py
+++ b/src/cranecart/fleet/_path.py
@@ -26,7 +26,7 @@
 
 
 @attrs.define
-class StorePath:
+class StoreReachability:
     """A node's way to the store; ``is_fed`` tells whether others read it."""
 
     _is_fed: Callable[[], bool] = attrs.field(default=bool)
@@ -34,12 +34,12 @@
     _renewed: curio.Event = attrs.field(factory=curio.Event, init=False)
 
     @property
-    def is_lost(self) -> bool:
+    def is_unreachable(self) -> bool:
         """Tell whether the last that was heard of the store is a failure."""
         return bool(self._asking)
 
     @property
-    def longest_pause(self) -> float:
+    def max_retry_seconds(self) -> float:
         """Return the most seconds between two tries of the one that asks."""
         return _FED_PAUSE_SECONDS if self._is_fed() else _LONGEST_PAUSE_SECONDS
 
--- a/src/cranecart/fleet/_recorded.py
+++ b/src/cranecart/fleet/_recorded.py
@@ -11,7 +11,7 @@
 # Keys of dropped rows that are remembered; a feed is never further behind.
 _MOST_DROPPED = 256
 
-Forming = tuple[str, int]
+ReplicaEpoch = tuple[str, int]
 # No replica that closes or ends serves again under the same name.
 _PROGRESS = MappingProxyType(
     {
@@ -23,18 +23,18 @@
 
 
 @attrs.define
-class Recorded:
+class ReplicaRecords:
     """Records by the keys of their rows, by member, and by forming."""
 
     records: dict[str, ReplicaRecord] = attrs.field(factory=dict, init=False)
-    naming: dict[str, set[str]] = attrs.field(factory=dict, init=False)
-    _keys: dict[Forming, str] = attrs.field(factory=dict, init=False)
+    keys_by_member: dict[str, set[str]] = attrs.field(factory=dict, init=False)
+    _keys: dict[ReplicaEpoch, str] = attrs.field(factory=dict, init=False)
     _dropped: dict[str, None] = attrs.field(factory=dict, init=False)
 
     def take(
         self,
         items: Mapping[str, ReplicaRecord | None],
-        is_whole: bool,
+        is_complete: bool,
         era: int = 0,
     ) -> list[str]:
         """Take over changed rows; return the keys of what has changed.
@@ -44,7 +44,7 @@
         lacks it: what becomes of it is for its placer to decide.
         """
         gone = [key for key, record in items.items() if record is None]
-        if is_whole:
+        if is_complete:
             gone.extend(
                 key
                 for key in self.records.keys() - items.keys()
@@ -69,27 +69,29 @@
         for oldest in list(self._dropped)[:-_MOST_DROPPED]:
             self._dropped.pop(oldest)
 
-    def of(self, forming: Forming) -> ReplicaRecord | None:
+    def of(self, replica_epoch: ReplicaEpoch) -> ReplicaRecord | None:
         """Return the record of one forming of a replica."""
-        return self.records.get(self._keys.get(forming, ''))
+        return self.records.get(self._keys.get(replica_epoch, ''))
 
-    def keys_naming(self, names: Iterable[str]) -> set[str]:
+    def keys_with_members(self, names: Iterable[str]) -> set[str]:
         """Return the keys of records that have one of these as a member."""
-        return set().union(*(self.naming.get(name, ()) for name in names))
+        return set().union(
+            *(self.keys_by_member.get(name, ()) for name in names)
+        )
 
-    def naming_one(self, name: str) -> Iterator[ReplicaRecord]:
+    def records_with_member(self, name: str) -> Iterator[ReplicaRecord]:
         """Yield the records that have an instance as a member."""
-        return (self.records[key] for key in self.naming.get(name, ()))
+        return (self.records[key] for key in self.keys_by_member.get(name, ()))
 
-    def has_known(self, key: str) -> bool:
+    def has_seen(self, key: str) -> bool:
         """Tell whether there is or was a record under a key."""
         return key in self.records or key in self._dropped
 
-    def is_recorded(self, forming: Forming) -> bool:
+    def is_recorded(self, replica_epoch: ReplicaEpoch) -> bool:
         """Tell whether there is a record of one forming of a replica."""
-        return forming in self._keys
+        return replica_epoch in self._keys
 
-    def is_forming(self, service: str, model: str) -> bool:
+    def is_starting(self, service: str, model: str) -> bool:
         """Tell whether a replica of a model is recorded that is not open."""
         return any(
             record.service == service
@@ -103,7 +105,7 @@
         self.records[record.key] = record
         self._keys[record.name, record.epoch] = record.key
         for name in record.members:
-            self.naming.setdefault(name, set()).add(record.key)
+            self.keys_by_member.setdefault(name, set()).add(record.key)
 
     def _unname(self, key: str) -> None:
         record = self.records.pop(key, None)
@@ -111,9 +113,9 @@
             return
         self._keys.pop((record.name, record.epoch), None)
         for name in set(record.members):
-            self.naming[name].discard(key)
-            if not self.naming[name]:
-                self.naming.pop(name)
+            self.keys_by_member[name].discard(key)
+            if not self.keys_by_member[name]:
+                self.keys_by_member.pop(name)
 
     def _is_news(self, key: str, record: ReplicaRecord) -> bool:
         known = self.records.get(key)
--- a/src/cranecart/fleet/_records.py
+++ b/src/cranecart/fleet/_records.py
@@ -84,7 +84,7 @@
     return f'{RECORDS_TABLE}/{RECORDS_PART}/{_REPLICA}{failure_domain}/'
 
 
-def lease_duty(failure_domain: str) -> str:
+def placement_duty(failure_domain: str) -> str:
     """Return the duty of placing there; its row is in the records' part."""
     return f'{RECORDS_PART}/{failure_domain}'
 
--- a/src/cranecart/fleet/_remembered.py
+++ b/src/cranecart/fleet/_remembered.py
@@ -14,7 +14,7 @@
 
 
 @attrs.define
-class RememberedLives:
+class RecentIncarnations:
     """The last lives of which something was heard, so many at most."""
 
     _lives: dict[Incarnation, None] = attrs.field(factory=dict, init=False)
@@ -35,7 +35,7 @@
 
 
 @attrs.define
-class AwaitedEntries:
+class UnconfirmedEntries:
     """Entries that had gone, and that a copy of the store brought back.
 
     They count again once they are written, or have not been dropped for as long
--- a/src/cranecart/grouping/_failure_detector.py
+++ b/src/cranecart/grouping/_failure_detector.py
@@ -46,7 +46,7 @@
 
     def report_lost(self, name: str, why: str) -> None:
         """Record that the current incarnation of an instance has ended."""
-        known = self._fleet.known(name)
+        known = self._fleet.find_instance(name)
         incarnation = Incarnation(name) if known is None else known.incarnation
         if incarnation not in self._lost_at:
             decision('instance_lost', instance=name, why=why)
@@ -64,12 +64,14 @@
         return frozenset(
             incarnation.id
             for incarnation in self._lost_at
-            if not self._fleet.listing.is_superseded(incarnation)
+            if not self._fleet.instance_list.is_superseded(incarnation)
         )
 
     async def check(self, records: Iterable[ReplicaRecord]) -> None:
         """Start checks of suspected replicas and those with lapsed members."""
-        affected = self._fleet.recorded.keys_naming(self._fleet.lapsed)
+        affected = self._fleet.replica_records.keys_with_members(
+            self._fleet.lapsed
+        )
         for record in records:
             if record.key in affected:
                 self._suspected.setdefault(record.name, record)
@@ -85,7 +87,7 @@
         return is_recheck_due and record.state is RecordState.SERVING
 
     async def _check(self, record: ReplicaRecord) -> None:
-        members = [self._fleet.known(name) for name in record.members]
+        members = [self._fleet.find_instance(name) for name in record.members]
         checked = await self.liveness.check(
             [member for member in members if member is not None],
             self._reference_instances(record),
--- a/src/cranecart/grouping/_formation.py
+++ b/src/cranecart/grouping/_formation.py
@@ -75,7 +75,7 @@
         )
 
     def _phase(self, name: str) -> MemberPhase | None:
-        instance = self._fleet.known(name)
+        instance = self._fleet.find_instance(name)
         if instance is None:
             return None
         return instance.phase_in(self.record.name, self.record.epoch)
@@ -101,7 +101,7 @@
         """
         return any(
             record.key != self.record.key
-            for record in self._fleet.recorded.naming_one(name)
+            for record in self._fleet.replica_records.records_with_member(name)
         )
 
     def _is_due(self, order: str, name: str) -> bool:
--- a/src/cranecart/grouping/_inventory.py
+++ b/src/cranecart/grouping/_inventory.py
@@ -53,7 +53,12 @@
             self._stager.staging(self._fleet.instances),
             dict(self._release_delays()),
             1 if self._has_traffic() else _STARTUP_LOAD_TIME_FACTOR,
-            sum(1 for _one in self._fleet.listing.of_service(profile.name)),
+            sum(
+                1
+                for _one in self._fleet.instance_list.all_of_service(
+                    profile.name
+                )
+            ),
         )
 
     def loads_in_progress(self) -> int:
@@ -162,7 +167,7 @@
         used.update(self._orphans.members())
         return (
             instance
-            for instance in self._fleet.listing.of_service(service)
+            for instance in self._fleet.instance_list.all_of_service(service)
             if instance.id not in used
             and self._may_plan(instance.failure_domain)
             and not instance.leaving
--- a/src/cranecart/grouping/_orphans.py
+++ b/src/cranecart/grouping/_orphans.py
@@ -90,7 +90,7 @@
         groups: dict[_ReplicaEpoch, list[_RankedInstance]] = defaultdict(list)
         for instance, membership in self._memberships():
             key = record_key(self._failure_domain, membership.replica)
-            if not self._fleet.recorded.has_known(key):
+            if not self._fleet.replica_records.has_seen(key):
                 replica_epoch = (membership.replica, membership.epoch)
                 groups[replica_epoch].append((membership.rank, instance))
         sorted_groups = {
--- a/src/cranecart/grouping/_record_store.py
+++ b/src/cranecart/grouping/_record_store.py
@@ -59,8 +59,8 @@
         read = {key: record_from_row(row) for key, row in rows.items()}
         for record in self.records():
             if record.key not in rows and not self._predates_restore(record):
-                self._fleet.take_records({record.key: None}, False)
-        self._fleet.take_records(
+                self._fleet.apply_records({record.key: None}, False)
+        self._fleet.apply_records(
             {key: one for key, one in read.items() if one is not None},
             False,
         )
@@ -81,7 +81,7 @@
             await self.lease.keep()
             await self.read()
             raise
-        self._fleet.take_records(
+        self._fleet.apply_records(
             {one.key: attrs.evolve(one, version=version) for one in records},
             False,
         )
@@ -94,7 +94,7 @@
         await self._table.commit(
             Transaction((self.lease.check(),), (), (record.key,)),
         )
-        self._fleet.take_records({record.key: None}, False)
+        self._fleet.apply_records({record.key: None}, False)
 
     def new_record(self, new: NewReplica, loads: int) -> ReplicaRecord:
         """Return the record of a replica to form, under a new epoch.
--- a/src/cranecart/grouping/_teardown.py
+++ b/src/cranecart/grouping/_teardown.py
@@ -85,7 +85,7 @@
 
     async def _try_release_members(self) -> str:
         """Return why the members are free, or '' if they are not."""
-        if self._fleet.listing.has_ended(self.record.incarnations[0]):
+        if self._fleet.instance_list.has_ended(self.record.incarnations[0]):
             return 'the head lives anew'
         if self._member_left_at is None:
             self._check_ended_members()
@@ -103,24 +103,29 @@
 
     def _check_ended_members(self) -> None:
         """Start the stall timer if the incarnation of a member has ended."""
-        if any(map(self._fleet.listing.has_ended, self.record.incarnations)):
+        if any(
+            map(self._fleet.instance_list.has_ended, self.record.incarnations)
+        ):
             self._member_left_at = self._clock()
 
     def _head_due_for_leave(self) -> ListedInstance | None:
         """Return the head if it is time to order it to leave."""
-        head = self._fleet.known(self.record.head)
+        head = self._fleet.find_instance(self.record.head)
         pause = _LOST_RETRY_SECONDS if self._is_head_unreachable() else 0
         now = self._clock()
         if head is None or now - self._head_asked_at < pause:
             return None
-        if self._fleet.listing.is_superseded(self.record.incarnations[0]):
+        if self._fleet.instance_list.is_superseded(self.record.incarnations[0]):
             return None
         self._head_asked_at = now
         return head
 
     def _is_head_unreachable(self) -> bool:
         name = self.record.head
-        return self._context.is_lost(name) or self._fleet.known(name) is None
+        return (
+            self._context.is_lost(name)
+            or self._fleet.find_instance(name) is None
+        )
 
     def _stall_reason(self) -> str:
         if self._member_left_at is None:
@@ -135,7 +140,7 @@
             if await self._order(self._context.orders.leave, member):
                 self._member_left_at = self._clock()
                 return
-        if not any(map(self._fleet.known, self.record.members)):
+        if not any(map(self._fleet.find_instance, self.record.members)):
             # Nobody is left to release. Members may be listed again, so wait as
             # long as a head takes to break.
             self._member_left_at = self._clock()
@@ -148,7 +153,9 @@
         by six seconds a round, although a later incarnation of the head was
         listed.
         """
-        known = filter(None, map(self._fleet.known, self.record.members[1:]))
+        known = filter(
+            None, map(self._fleet.find_instance, self.record.members[1:])
+        )
         lost, reachable = _partition(
             known, lambda one: self._context.is_lost(one.id)
         )
@@ -188,7 +195,7 @@
     def _had_left_already(self, instance: ListedInstance, why: str) -> bool:
         """Return whether a refusal means that it is no longer a member."""
         self._log_failure(instance, why)
-        known = self._fleet.known(instance.id)
+        known = self._fleet.find_instance(instance.id)
         return known is None or (
             known.phase_in(self.record.name, self.record.epoch) is None
         )
@@ -204,7 +211,7 @@
         )
 
     def _head_phase(self) -> MemberPhase | None:
-        head = self._fleet.known(self.record.head)
+        head = self._fleet.find_instance(self.record.head)
         if head is None:
             return None
         return head.phase_in(self.record.name, self.record.epoch)
--- a/src/cranecart/grouping/_transitions.py
+++ b/src/cranecart/grouping/_transitions.py
@@ -31,7 +31,7 @@
     lost_members = [name for name in record.members if name in lost]
     if lost_members:
         return Transition(RecordState.ENDING, f'lost {", ".join(lost_members)}')
-    is_superseded = fleet.listing.is_superseded
+    is_superseded = fleet.instance_list.is_superseded
     restarted = [
         incarnation.id
         for incarnation in record.incarnations
@@ -41,10 +41,12 @@
         return Transition(
             RecordState.ENDING, f'{", ".join(restarted)} lives anew'
         )
-    unknown = [name for name in record.members if fleet.known(name) is None]
+    unknown = [
+        name for name in record.members if fleet.find_instance(name) is None
+    ]
     if unknown:
         return Transition(RecordState.ENDING, f'unlisted {", ".join(unknown)}')
-    head = fleet.known(record.head)
+    head = fleet.find_instance(record.head)
     phase = None if head is None else head.phase_in(*replica_epoch)
     if phase is MemberPhase.BROKEN:
         return Transition(RecordState.ENDING, 'the head is broken')
@@ -59,7 +61,7 @@
 
 def _departed_members(record: ReplicaRecord, fleet: Fleet) -> list[str]:
     replica_epoch = (record.name, record.epoch)
-    members = {name: fleet.known(name) for name in record.members}
+    members = {name: fleet.find_instance(name) for name in record.members}
     return [
         name
         for name, member in members.items()
@@ -79,7 +81,7 @@
     graceful_state = (
         RecordState.CLOSING if phase is MemberPhase.OPEN else RecordState.ENDING
     )
-    members = (fleet.known(name) for name in record.members)
+    members = (fleet.find_instance(name) for name in record.members)
     leaving = [one.id for one in members if one is not None and one.leaving]
     if leaving:
         return Transition(graceful_state, f'{", ".join(leaving)} leaves')
--- a/src/cranecart/routing/_router.py
+++ b/src/cranecart/routing/_router.py
@@ -245,7 +245,7 @@
         self.throttle.record_sent(head.incarnation)
         return Target(
             head.head,
-            head.forming,
+            head.replica_epoch,
             self.load(head.id),
             'deferred: too late for its objective'
             if choice.is_deferred
@@ -292,7 +292,9 @@
         return self.forecast_errors.expected(incarnation, model, self._clock())
 
     def _no_replica(self, request: RoutingRequest) -> NoReplicaError:
-        forms = self._fleet.recorded.is_forming(request.service, request.model)
+        forms = self._fleet.replica_records.is_starting(
+            request.service, request.model
+        )
         expected_seconds = _FORMING_SECONDS if forms else _NO_REPLICA_SECONDS
         return NoReplicaError(
             f'no complete replica of {request.model!r} is serving',
@@ -300,7 +302,7 @@
         )
 
     def _choose_instance(self, request: RoutingRequest) -> Target:
-        eligible = _eligible(self._fleet.plain(request.service), request)
+        eligible = _eligible(self._fleet.available(request.service), request)
         if not eligible:
             raise NoReplicaError(
                 f'no instance of {request.service!r} is serving',
@@ -373,7 +375,7 @@
     model: str,
 ) -> Sequence[ServingHead | ListedInstance]:
     if config.engine(service) is None:
-        return fleet.plain(service)
+        return fleet.available(service)
     return fleet.heads(service, model)
 
 
--- a/src/cranecart/serving/_holding.py
+++ b/src/cranecart/serving/_holding.py
@@ -38,7 +38,7 @@
             return listed is None or listed.leaving
 
         def has_ended(incarnation: Incarnation) -> bool:  # noqa: WPS430
-            known = fleet.known(incarnation.id)
+            known = fleet.find_instance(incarnation.id)
             if known is None:
                 return True
             if incarnation.id in fleet.instances:
@@ -59,7 +59,7 @@
 
     async def keep(self) -> None:
         """Repeat what is new, forget what is old, write what must last."""
-        self.guard.refresh(self._fleet.listing.incarnations())
+        self.guard.refresh(self._fleet.instance_list.incarnations())
         if self.rows.has_pending_writes:
             # The store may be slow: nothing else is kept waiting for it.
             await curio.spawn(self.rows.write, daemon=True)
--- a/src/cranecart/serving/_knowledge.py
+++ b/src/cranecart/serving/_knowledge.py
@@ -8,13 +8,13 @@
 import curio
 
 from cranecart.fleet import (
-    LONG_WAIT_SECONDS,
-    Feeding,
+    LONG_POLL_SECONDS,
     Fleet,
     News,
     ReplicaRecord,
     SourceFollower,
-    StorePath,
+    StoreReachability,
+    UpdateSharing,
     record_from_row,
 )
 from cranecart.mesh import (
@@ -59,7 +59,7 @@
     _declarations: SourceFollower[RouteConfig]
     _instances: SourceFollower[ListedInstance]
     _records: SourceFollower[Row]
-    path: StorePath
+    path: StoreReachability
 
     @classmethod
     def from_surroundings(
@@ -78,7 +78,9 @@
         small nodes for seconds.
         """
         mesh = taker.mesh
-        path = StorePath(lambda: mesh.announced_version(_LIST) is not None)
+        path = StoreReachability(
+            lambda: mesh.announced_version(_LIST) is not None
+        )
         return cls(
             mesh,
             SourceFollower(
@@ -102,9 +104,9 @@
                 taker.take,
                 source,
                 _RECORDS_GAP_SECONDS,
-                _feeding(mesh, _RECORDS, RecordNews),
+                _sharing(mesh, _RECORDS, RecordNews),
                 path=path,
-                take_restored=taker.restore,
+                apply_restored=taker.restore,
             ),
             path,
         )
@@ -116,24 +118,24 @@
 
     def take_list_news(self, news: News[ListedInstance]) -> None:
         """Take over what another node has read of the list."""
-        self._instances.take_news(news)
+        self._instances.apply_update(news)
 
     def take_record_news(self, news: News[Row]) -> None:
         """Take over what another node has read of the records."""
-        self._records.take_news(news)
+        self._records.apply_update(news)
 
     def announced(self) -> dict[str, int]:
         """Return the last changes of the sources that this node reads.
 
         That it reads the list shows that its path to the store is good.
         """
-        if not self._instances.is_proven:
+        if not self._instances.has_recent_read:
             return {}
         followers = (self._instances, self._records)
         return {
-            follower.name: follower.changed_version
+            follower.name: follower.last_change_version
             for follower in followers
-            if follower.is_informed and not follower.is_lost
+            if follower.is_informed and not follower.is_unreachable
         }
 
     async def run(self) -> None:
@@ -160,34 +162,34 @@
         What it lacks counts on, and is written again by whoever knows it.
         """
         self.mesh.take_peers(peers_from_rows(items), False)
-        self.fleet.take_records(_records_of(items), False)
+        self.fleet.apply_records(_records_of(items), False)
         self.held.restore(items)
         if self.registry is not None:
             self.registry.restore(items)
 
-    def take(self, items: Mapping[str, Row | None], is_whole: bool) -> None:
+    def take(self, items: Mapping[str, Row | None], is_complete: bool) -> None:
         """Take over changed rows, or all of them."""
-        self.mesh.take_peers(peers_from_rows(items), is_whole)
+        self.mesh.take_peers(peers_from_rows(items), is_complete)
         versions = (0 if row is None else row.version for row in items.values())
         era = era_of(max(versions, default=0))
-        self.fleet.take_records(_records_of(items), is_whole, era)
-        self.held.apply(items, is_whole)
+        self.fleet.apply_records(_records_of(items), is_complete, era)
+        self.held.apply(items, is_complete)
 
 
 def _list_follower(
     taker: RowTaker,
     instances: Source[ListedInstance],
     source: random.Random,
-    path: StorePath,
+    path: StoreReachability,
     leaving_seconds: float,
 ) -> SourceFollower[ListedInstance]:
     mesh = taker.mesh
 
     def take_list(  # noqa: WPS430
         items: Mapping[str, ListedInstance | None],
-        is_whole: bool,
+        is_complete: bool,
     ) -> None:
-        taker.fleet.take_instances(items, is_whole, follower.filled_at)
+        taker.fleet.apply_instances(items, is_complete, follower.repopulated_at)
 
     follower = SourceFollower(
         _LIST,
@@ -196,25 +198,25 @@
         source,
         _LIST_GAP_SECONDS,
         attrs.evolve(
-            _feeding(mesh, _LIST, ListNews),
+            _sharing(mesh, _LIST, ListNews),
             wait_seconds=leaving_seconds * _LEAVING_PART,
             gap_seconds=lambda: 0 if mesh.has_traffic() else _EARLY_GAP_SECONDS,
         ),
         path=path,
-        take_restored=taker.fleet.restore_instances,
+        apply_restored=taker.fleet.apply_restored_instances,
     )
     return follower
 
 
-def _feeding(
+def _sharing(
     mesh: Mesh,
     source: str,
     message: Callable[[str, News[Item]], SourceNews],
-) -> Feeding[Item]:
-    return Feeding(
+) -> UpdateSharing[Item]:
+    return UpdateSharing(
         lambda: mesh.announced_version(source),
         lambda news: mesh.publish_news(message(mesh.local.node_id, news)),
-        LONG_WAIT_SECONDS,
+        LONG_POLL_SECONDS,
         turn=mesh.state.roster.takeover_rank,
     )
 
--- a/src/cranecart/serving/_making.py
+++ b/src/cranecart/serving/_making.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from cranecart.fleet import Fleet, note_leaving
+from cranecart.fleet import Fleet, mark_leaving
 from cranecart.http import Address, ServerLimits
 from cranecart.mesh import (
     Leaving,
@@ -80,7 +80,7 @@
     """Return what keeps to the words of targets, shared with other nodes."""
 
     def leave(incarnation: Incarnation) -> None:  # noqa: WPS430
-        if note_leaving(fleet, incarnation, 'an answer'):
+        if mark_leaving(fleet, incarnation, 'an answer'):
             read_mesh().publish(
                 Leaving(node_id, incarnation.id, incarnation.born)
             )
@@ -92,8 +92,8 @@
             name,
             most,
         ),
-        fleet.known,
+        fleet.find_instance,
         lambda told: read_mesh().publish(TargetLimits(node_id, list(told))),
         leave,
-        fleet.listing.is_leaving,
+        fleet.instance_list.is_leaving,
     )
--- a/src/cranecart/serving/_node.py
+++ b/src/cranecart/serving/_node.py
@@ -6,7 +6,7 @@
 
 from cranecart.clocks import SuspensionWatch, since_boot
 from cranecart.demand import DemandMeter
-from cranecart.fleet import Fleet, ReplicaRecord, note_leaving
+from cranecart.fleet import Fleet, ReplicaRecord, mark_leaving
 from cranecart.forwarding import (
     RoutedCall,
     RoutedGateway,
@@ -184,7 +184,7 @@
             lambda told: self._router.throttle.merge_updates(
                 told.limits, told.sender
             ),
-            lambda told: note_leaving(
+            lambda told: mark_leaving(
                 self._fleet, told.incarnation, told.sender
             ),
         )
@@ -241,8 +241,8 @@
                 self._take_settings()
             if turn % _FIGURES_TURNS == 0:
                 decision('figures', **self._counts())
-            self._fleet.settle_lives()
-            listed = self._fleet.listing.incarnations()
+            self._fleet.process_timeouts()
+            listed = self._fleet.instance_list.incarnations()
             await self._connections.close_expired(listed)
             self._router.forecast_errors.prune(listed)
             self._router.throttle.refresh(listed)
@@ -343,21 +343,21 @@
 
     async def _tell_suspect(
         self,
-        forming: tuple[str, int],
+        replica_epoch: tuple[str, int],
         evidence: str,
     ) -> None:
         self._mesh.send_to_placer(
-            self._fleet.failure_domain_of(forming),
-            Suspect(self._live.current.node_id, *forming, evidence),
+            self._fleet.failure_domain_of(replica_epoch),
+            Suspect(self._live.current.node_id, *replica_epoch, evidence),
         )
-        await self._placing.suspect(forming, evidence)
+        await self._placing.suspect(replica_epoch, evidence)
 
     def _hear_stopped(self, message: Stopped) -> bool:
-        forming = (message.replica, message.epoch)
+        replica_epoch = (message.replica, message.epoch)
         if message.finishes:
-            return self._fleet.close(forming, message.reason)
-        return self._fleet.stop(forming, message.reason)
+            return self._fleet.mark_closing(replica_epoch, message.reason)
+        return self._fleet.mark_stopped(replica_epoch, message.reason)
 
     async def _hear_suspect(self, message: Suspect) -> None:
-        forming = (message.replica, message.epoch)
-        await self._placing.suspect(forming, message.evidence)
+        replica_epoch = (message.replica, message.epoch)
+        await self._placing.suspect(replica_epoch, message.evidence)
--- a/src/cranecart/serving/_placement.py
+++ b/src/cranecart/serving/_placement.py
@@ -1,7 +1,7 @@
 """Make this node's placer. Importing this loads all that placement needs."""
 
 from cranecart.duties import Lease, LeaseTimes
-from cranecart.fleet import lease_duty
+from cranecart.fleet import placement_duty
 from cranecart.grouping import GroupPlacer, PlacerEnvironment, PlacerScope
 from cranecart.ports import Table
 from cranecart.serving._placing import PlacerParts
@@ -31,7 +31,7 @@
         mesh.demand,
         parts.tell_stopped,
         mesh.state.roster.is_isolated,
-        lambda: parts.knowledge.path.is_lost,
+        lambda: parts.knowledge.path.is_unreachable,
     )
     table = parts.surroundings.table
     return GroupPlacer(
@@ -46,7 +46,7 @@
 
 def _lease(settings: ServingSettings, table: Table) -> Lease:
     return Lease(
-        lease_duty(settings.failure_domain),
+        placement_duty(settings.failure_domain),
         settings.node_id,
         table,
         LeaseTimes(_TRUSTED_SECONDS, _TAKEOVER_SECONDS, _PATIENT_SECONDS),
--- a/src/cranecart/serving/_placing.py
+++ b/src/cranecart/serving/_placing.py
@@ -87,10 +87,12 @@
         if self._placer is not None:
             await self._placer.hand_over()
 
-    async def suspect(self, forming: tuple[str, int], evidence: str) -> None:
+    async def suspect(
+        self, replica_epoch: tuple[str, int], evidence: str
+    ) -> None:
         """Look at once whether a replica stands still, if that is the duty."""
         if self._placer is not None:
-            await self._placer.suspect(forming, evidence)
+            await self._placer.suspect(replica_epoch, evidence)
 
     async def _wait_until_serving(self) -> None:
         latest = since_boot() + _LATEST_SECONDS
--- a/tests/lib/crashing_targets.py
+++ b/tests/lib/crashing_targets.py
@@ -275,7 +275,7 @@
             if known.partition('-')[0] == target.name
         ]
         gone = dict.fromkeys(earlier)
-        node.fleet.take_instances({**gone, name: anew}, False)
+        node.fleet.apply_instances({**gone, name: anew}, False)
         record = ReplicaRecord(
             replica,
             1,
@@ -286,8 +286,8 @@
             (name,),
             births=(target.incarnations,),
         )
-        node.fleet.take_records({record.key: record}, False)
-        node.guard.refresh(node.fleet.listing.incarnations())
+        node.fleet.apply_records({record.key: record}, False)
+        node.guard.refresh(node.fleet.instance_list.incarnations())
 
 
 async def ask_in_turn(
--- a/tests/lib/fake_engines.py
+++ b/tests/lib/fake_engines.py
@@ -116,7 +116,7 @@
         """Let a replica serve; note it if not all members are ready."""
         self._receive(head, 'open')
         for name in self._members[replica, epoch]:
-            member = self.fleet.known(name)
+            member = self.fleet.find_instance(name)
             if member is None or member.phase_in(replica, epoch) is None:
                 self.violations.append(f'{replica} opened without {name}')
         self._set_phase(head.id, replica, epoch, MemberPhase.OPEN)
@@ -150,7 +150,7 @@
     ) -> None:
         """End a membership."""
         self._receive(instance, 'leave')
-        current = self.fleet.known(instance.id) or instance
+        current = self.fleet.find_instance(instance.id) or instance
         if current.phase_in(replica, epoch) is None:
             raise OrderRefusedError('it is no member')
         self.interrupted += current.phase_in(replica, epoch) in _WORKING_PHASES
@@ -171,14 +171,14 @@
 
     def restart(self, name: str, born: int) -> None:
         """Kill an instance and start it under its id: it has nothing."""
-        known = self.fleet.known(name)
+        known = self.fleet.find_instance(name)
         assert known is not None
         self._epochs.pop(name, None)
-        for forming, members in self._members.items():
+        for replica_epoch, members in self._members.items():
             if name in members:
-                self._member_left_at.setdefault(forming, time.monotonic())
+                self._member_left_at.setdefault(replica_epoch, time.monotonic())
             if members[0] == name:
-                self._ended.add(forming)
+                self._ended.add(replica_epoch)
         self._publish(
             attrs.evolve(known, born=born, membership=None, loaded=()),
         )
@@ -204,25 +204,29 @@
 
     def _check_not_serving_elsewhere(self, name: str, replica: str) -> None:
         bound = [
-            forming
-            for forming, members in self._members.items()
-            if name in members and forming[0] != replica
+            replica_epoch
+            for replica_epoch, members in self._members.items()
+            if name in members and replica_epoch[0] != replica
         ]
         self.violations.extend(
-            f'{name} joined {replica}, had {forming[0]}'
-            for forming in bound
-            if self._may_serve(forming)
+            f'{name} joined {replica}, had {replica_epoch[0]}'
+            for replica_epoch in bound
+            if self._may_serve(replica_epoch)
         )
 
-    def _may_serve(self, forming: tuple[str, int]) -> bool:
-        head = self._members[forming][0]
-        known = self.fleet.known(head)
-        if known is None or head in self.terminated or forming in self._ended:
+    def _may_serve(self, replica_epoch: tuple[str, int]) -> bool:
+        head = self._members[replica_epoch][0]
+        known = self.fleet.find_instance(head)
+        if (
+            known is None
+            or head in self.terminated
+            or replica_epoch in self._ended
+        ):
             return False
-        left_at = self._member_left_at.get(forming, float('inf'))
+        left_at = self._member_left_at.get(replica_epoch, float('inf'))
         if time.monotonic() - left_at > self.stall_seconds:
             return False
-        return known.phase_in(*forming) in _WORKING_PHASES
+        return known.phase_in(*replica_epoch) in _WORKING_PHASES
 
     def _set_phase(
         self,
@@ -239,4 +243,4 @@
         self._publish(attrs.evolve(current, membership=membership))
 
     def _publish(self, instance: ListedInstance) -> None:
-        self.fleet.take_instances({instance.id: instance}, False)
+        self.fleet.apply_instances({instance.id: instance}, False)
--- a/tests/lib/fake_targets.py
+++ b/tests/lib/fake_targets.py
@@ -15,7 +15,7 @@
     Fleet,
     RecordState,
     ReplicaRecord,
-    note_leaving,
+    mark_leaving,
 )
 from cranecart.forwarding import RoutedGateway, Sender, TargetConnectionPool
 from cranecart.http import (
@@ -284,7 +284,7 @@
             name: instance(name, target.address, service)
             for name, target in self._listening.items()
         }
-        self.fleet.take_instances(instances, True)
+        self.fleet.apply_instances(instances, True)
         records = (
             ReplicaRecord(
                 name,
@@ -298,7 +298,7 @@
             )
             for name in instances
         )
-        self.fleet.take_records({one.key: one for one in records}, True)
+        self.fleet.apply_records({one.key: one for one in records}, True)
         source = random.Random(seed)
         # Instances that all nodes were told to pass over.
         self.told_broken: list[str] = []
@@ -381,17 +381,17 @@
         """List a target at an address where nothing listens."""
         known = self.fleet.instances[name]
         gone = attrs.evolve(known, address=Address(known.address.host, 1))
-        self.fleet.take_instances({name: gone}, False)
+        self.fleet.apply_instances({name: gone}, False)
 
     def _gate(self) -> TargetThrottle:
         return TargetThrottle(
             lambda domain, name, most: self.sharing_node_count(
                 domain, name, most
             ),
-            self.fleet.known,
+            self.fleet.find_instance,
             lambda told: self.tell_limits(told),
             self._leave,
-            self.fleet.listing.is_leaving,
+            self.fleet.instance_list.is_leaving,
         )
 
     def _has_ended(self, incarnation: Incarnation) -> bool:
@@ -399,7 +399,7 @@
         return known is None or known.incarnation.is_another(incarnation)
 
     def _leave(self, incarnation: Incarnation) -> None:
-        if note_leaving(self.fleet, incarnation, 'an answer'):
+        if mark_leaving(self.fleet, incarnation, 'an answer'):
             self.tell_leaving(incarnation)
 
     async def _note_evidence(
--- a/tests/lib/return_storm.py
+++ b/tests/lib/return_storm.py
@@ -203,7 +203,7 @@
 
     def _unsettled(self, rig: StoreRig, ready: set[str]) -> Iterator[str]:
         for node in rig.nodes.values():
-            known = {one.id for one in node.fleet.plain(SERVICE)}
+            known = {one.id for one in node.fleet.available(SERVICE)}
             if known != ready:
                 yield f'{node.name} takes {known ^ ready} otherwise'
             if node.version != self._version:
@@ -243,7 +243,7 @@
                 yield node
 
     def _check_leaving(self, node: RigNode, now: float) -> None:
-        taking = {one.id for one in node.fleet.plain(SERVICE)}
+        taking = {one.id for one in node.fleet.available(SERVICE)}
         for target in self._targets:
             is_due = now - target.acked_at > _LEAVING_SECONDS
             if target.state == 'draining' and is_due and target.name in taking:
--- a/tests/lib/store_rig.py
+++ b/tests/lib/store_rig.py
@@ -18,7 +18,7 @@
     RECORDS_PART,
     RECORDS_TABLE,
     Fleet,
-    note_leaving,
+    mark_leaving,
 )
 from cranecart.http import Address, Request, Response
 from cranecart.mesh import (
@@ -158,7 +158,9 @@
             mesh.local.source_versions = knowledge.announced()
 
         events = MeshCallbacks(
-            lambda told: fleet.stop((told.replica, told.epoch), told.reason),
+            lambda told: fleet.mark_stopped(
+                (told.replica, told.epoch), told.reason
+            ),
             _no_suspect,
             lambda _told: False,
             lambda news: knowledge.take_list_news(news),
@@ -169,7 +171,7 @@
             renew_own,
             lambda _told: None,
             lambda _told: None,
-            lambda told: note_leaving(fleet, told.incarnation, told.sender),
+            lambda told: mark_leaving(fleet, told.incarnation, told.sender),
         )
         domain = f'd{int(name.rpartition("-")[2]) % _DOMAINS}'
         local = LocalState(name, _peer_address(name), domain)
@@ -213,7 +215,7 @@
         while True:
             self.mesh.message_sender.send_beat(include_silent=turn % 8 == 0)
             self.mesh.message_sender.ask_for_config()
-            self.fleet.settle_lives()
+            self.fleet.process_timeouts()
             turn += 1
             await curio.sleep(_BEAT_SECONDS)
 
@@ -312,13 +314,13 @@
         return not any(
             one.id == name
             for node in self.nodes.values()
-            for one in node.fleet.plain(SERVICE)
+            for one in node.fleet.available(SERVICE)
         )
 
     def all_take(self, name: str) -> bool:
         """Tell whether every node would send requests to an instance."""
         return all(
-            name in {one.id for one in node.fleet.plain(SERVICE)}
+            name in {one.id for one in node.fleet.available(SERVICE)}
             for node in self.nodes.values()
         )
 
--- a/tests/lib/throttling_targets.py
+++ b/tests/lib/throttling_targets.py
@@ -10,7 +10,7 @@
 import curio
 
 from cranecart.exceptions import HttpError
-from cranecart.fleet import note_leaving
+from cranecart.fleet import mark_leaving
 from cranecart.ports import Incarnation
 from cranecart.throttling import LimitUpdate
 from tests.lib.fake_targets import (
@@ -228,7 +228,7 @@
 
     def _tell_leaving(self, teller: int, incarnation: Incarnation) -> None:
         for node in self._others(teller):
-            note_leaving(node.fleet, incarnation, f'node-{teller}')
+            mark_leaving(node.fleet, incarnation, f'node-{teller}')
 
     def _others(self, teller: int) -> list[GatewayWorld]:
         return self.nodes[:teller] + self.nodes[teller + 1 :]
--- a/tests/platform/test_other_writers.py
+++ b/tests/platform/test_other_writers.py
@@ -143,11 +143,11 @@
     store.put('servers', '', 'i1', dict(_ENTRY))
     store.put('servers', '', 'odd', {**_ENTRY, 'state': 'resting'})
     snapshot = await source.snapshot()
-    fleet.take_instances(snapshot.items, True)
+    fleet.apply_instances(snapshot.items, True)
     store.put('servers', '', 'odd', [1, 2])
     store.put('servers', '', 'later', {**_ENTRY, 'slots': 'many'})
     changes = await source.changes(snapshot.version, 1)
-    fleet.take_instances(changes.items, False)
+    fleet.apply_instances(changes.items, False)
     await task.cancel()
 
 
--- a/tests/unit/test_broken_plain_instances.py
+++ b/tests/unit/test_broken_plain_instances.py
@@ -51,7 +51,7 @@
     def test_the_others_are_full(self) -> None:
         """Rather than refusing, the one that is passed over is tried."""
         world = GatewayWorld(_whole, _whole, service=PLAIN)
-        first, second = world.fleet.plain(PLAIN)
+        first, second = world.fleet.available(PLAIN)
         world.router.eject_reported(second.incarnation)
         call = RoutingRequest(CONFIG, CONFIG.routes[0], PLAIN, '', 0, 2)
         for _held in range(first.slots * 3):
--- a/tests/unit/test_follower.py
+++ b/tests/unit/test_follower.py
@@ -8,7 +8,7 @@
 import curio
 
 from cranecart.exceptions import HistoryLostError, PlatformUnavailableError
-from cranecart.fleet import Extent, Feeding, News, SourceFollower
+from cranecart.fleet import Extent, News, SourceFollower, UpdateSharing
 from cranecart.http import Address
 from cranecart.mesh import ListNews, decode_mesh_message, encode_mesh_message
 from cranecart.ports import Changes, Snapshot, version_in
@@ -64,9 +64,9 @@
 class Held(dict[str, str]):
     """What a follower has told."""
 
-    def take(self, items: dict[str, str | None], is_whole: bool) -> None:
+    def take(self, items: dict[str, str | None], is_complete: bool) -> None:
         """Take items over."""
-        if is_whole:
+        if is_complete:
             self.clear()
         for key, text in items.items():
             if text is None:
@@ -89,12 +89,12 @@
         self.reader = self._follower(
             self.source,
             self.first,
-            Feeding(lambda: None, self._pass_on),
+            UpdateSharing(lambda: None, self._pass_on),
         )
         self.fed = self._follower(
             self.source,
             self.second,
-            Feeding(
+            UpdateSharing(
                 self._announced,
                 lambda _news: None,
                 turn=lambda: self.turn,
@@ -105,7 +105,7 @@
         self,
         source: FakeSource,
         held: Held,
-        feeding: Feeding[str],
+        feeding: UpdateSharing[str],
     ) -> SourceFollower[str]:
         return SourceFollower(
             'a source',
@@ -117,11 +117,11 @@
         )
 
     def _announced(self) -> int | None:
-        return self.reader.changed_version if self.feeds else None
+        return self.reader.last_change_version if self.feeds else None
 
     def _pass_on(self, news: News[str]) -> None:
         if not self.loses_news:
-            self.fed.take_news(news)
+            self.fed.apply_update(news)
 
 
 class FollowerTest(unittest.TestCase):
@@ -174,15 +174,15 @@
             FakeSource(),
             held.take,  # type: ignore[arg-type]
             random.Random(1),
-            take_restored=lambda items: restored.append(dict(items)),
+            apply_restored=lambda items: restored.append(dict(items)),
         )
-        follower._take_all(9, {'a': '1'}, Extent.WHOLE)
+        follower._take_all(9, {'a': '1'}, Extent.COMPLETE)
         later = version_in(1, 5)
         differences = {'a': None, 'b': '2'}
-        follower.take_news(News(9, later, differences, Extent.WHOLE, 9))
+        follower.apply_update(News(9, later, differences, Extent.COMPLETE, 9))
         self.assertEqual(held, {'a': '1'})
         self.assertEqual(restored, [{'b': '2'}])
-        follower.take_news(News(later, later, {}, Extent.WHOLE, later))
+        follower.apply_update(News(later, later, {}, Extent.COMPLETE, later))
         self.assertEqual(held, {'b': '2'})
 
     def test_differences_after_first_readings_of_other_versions(self) -> None:
@@ -194,8 +194,8 @@
             held.take,  # type: ignore[arg-type]
             random.Random(1),
         )
-        follower._take_all(9, {'a': '1'}, Extent.WHOLE)
-        follower.take_news(News(7, 12, {'b': '2'}, Extent.WHOLE, 10))
+        follower._take_all(9, {'a': '1'}, Extent.COMPLETE)
+        follower.apply_update(News(7, 12, {'b': '2'}, Extent.COMPLETE, 10))
         self.assertEqual(held, {'a': '1', 'b': '2'})
 
     def test_differences_from_something_else(self) -> None:
@@ -207,12 +207,12 @@
             held.take,  # type: ignore[arg-type]
             random.Random(1),
         )
-        follower._take_all(9, {'a': '1'}, Extent.WHOLE)
-        follower.take_news(News(10, 12, {'b': '2'}, Extent.WHOLE, 11))
+        follower._take_all(9, {'a': '1'}, Extent.COMPLETE)
+        follower.apply_update(News(10, 12, {'b': '2'}, Extent.COMPLETE, 11))
         self.assertEqual(held, {'a': '1'})
-        follower.take_news(News(6, 12, {'b': '2'}, Extent.WHOLE, 8))
+        follower.apply_update(News(6, 12, {'b': '2'}, Extent.COMPLETE, 8))
         self.assertEqual(held, {'a': '1'})
-        follower.take_news(News(9, 12, {'b': '2'}, Extent.WHOLE, 9))
+        follower.apply_update(News(9, 12, {'b': '2'}, Extent.COMPLETE, 9))
         self.assertEqual(held, {'a': '1', 'b': '2'})
 
     def test_news_over_the_wire(self) -> None:
@@ -268,8 +268,8 @@
         before = pair.source.reads
         self.assertLess(before, 8)
         pair.source.put('a', '2')
-        news = News(pair.reader.changed_version, 2, {'a': '2'})
-        pair.fed.take_news(news)
+        news = News(pair.reader.last_change_version, 2, {'a': '2'})
+        pair.fed.apply_update(news)
         await curio.sleep(0.2)
         self.assertEqual(pair.second, {'a': '2'})
         self.assertEqual(pair.source.reads, before)
--- a/tests/unit/test_forwarding.py
+++ b/tests/unit/test_forwarding.py
@@ -161,7 +161,7 @@
         other.script = _whole_stream
         await curio.sleep(0.1)
         started = time.monotonic()
-        world.fleet.stop((used.name, 1), 'a test says so')
+        world.fleet.mark_stopped((used.name, 1), 'a test says so')
         answer = await asking.join()
         self.took = time.monotonic() - started
         self.assertEqual(answer.body, _EVENTS)
--- a/tests/unit/test_grouping.py
+++ b/tests/unit/test_grouping.py
@@ -47,7 +47,7 @@
         self.demand: dict[str, float] = {}
         self.placer = self.make_placer('one')
         names = [f'i{number}' for number in range(9)]
-        self.fleet.take_instances(
+        self.fleet.apply_instances(
             {one: listed(one, self.address) for one in names},
             True,
         )
@@ -201,12 +201,12 @@
         testbed = self.testbed
         testbed.has_traffic = True
         everything = dict(testbed.fleet.instances)
-        testbed.fleet.take_instances({}, True)
+        testbed.fleet.apply_instances({}, True)
         running = await curio.spawn(testbed.placer.run)
         for number, instance in enumerate(everything.values()):
             model = BIG.name if number < 4 else SMALL.name
             staged = attrs.evolve(instance, staged=(model,))
-            testbed.fleet.take_instances({instance.id: staged}, False)
+            testbed.fleet.apply_instances({instance.id: staged}, False)
             await curio.sleep(0.1)
         await until(lambda: len(testbed.heads()) >= 2)
         await running.cancel()
@@ -253,9 +253,9 @@
             testbed.fleet.instances[big.members[1]],
             address=address,
         )
-        testbed.fleet.take_instances({member.id: member}, False)
+        testbed.fleet.apply_instances({member.id: member}, False)
         started = time.monotonic()
-        await testbed.placer.suspect(big.forming, 'silent for 0.1 s')
+        await testbed.placer.suspect(big.replica_epoch, 'silent for 0.1 s')
         while not testbed.stopped:
             await curio.sleep(0.001)
         took = time.monotonic() - started
@@ -279,7 +279,7 @@
                 loaded=(),
                 staged=(SMALL.name,),
             )
-            testbed.fleet.take_instances({name: spare}, False)
+            testbed.fleet.apply_instances({name: spare}, False)
         testbed.lose(big.id)
         await curio.sleep(_STALL_SECONDS / 2)
         await running.cancel()
@@ -337,7 +337,7 @@
         leaver = testbed.fleet.instances[big.members[1]]
         leaving = attrs.evolve(leaver, leaving=True)
         testbed.engines.work_seconds = 0.4
-        testbed.fleet.take_instances({leaver.id: leaving}, False)
+        testbed.fleet.apply_instances({leaver.id: leaving}, False)
         await until(lambda: self._is_replaced(big))
         await running.cancel()
 
@@ -360,7 +360,7 @@
         }
         return (
             bool(heads)
-            and heads[0].forming != old.forming
+            and heads[0].replica_epoch != old.replica_epoch
             and states == {RecordState.SERVING}
         )
 
@@ -382,7 +382,7 @@
             name: attrs.evolve(one, staged=(BIG.name, SMALL.name))
             for name, one in testbed.fleet.instances.items()
         }
-        testbed.fleet.take_instances(staged, True)
+        testbed.fleet.apply_instances(staged, True)
         running = await curio.spawn(testbed.placer.run)
         await until(lambda: len(testbed.heads()) == 2)
         testbed.table.down = True
--- a/tests/unit/test_grouping_faults.py
+++ b/tests/unit/test_grouping_faults.py
@@ -86,13 +86,13 @@
                 testbed.lose(name)
             case 'gone' if instance is not None:
                 testbed.engines.terminated.add(name)
-                testbed.fleet.take_instances({name: None}, False)
+                testbed.fleet.apply_instances({name: None}, False)
                 testbed.placer.failure_detector.report_lost(
                     name, 'a test says so'
                 )
             case 'leaving' if instance is not None:
                 leaving = attrs.evolve(instance, leaving=True)
-                testbed.fleet.take_instances({name: leaving}, False)
+                testbed.fleet.apply_instances({name: leaving}, False)
             case 'unanswered':
                 testbed.engines.dropping_answers.add(name)
             case 'store':
@@ -101,7 +101,7 @@
                 fresh = listed(
                     f'n{len(testbed.fleet.instances)}', testbed.address
                 )
-                testbed.fleet.take_instances({fresh.id: fresh}, False)
+                testbed.fleet.apply_instances({fresh.id: fresh}, False)
             case 'placer':
                 await self._replace_placer()
             case _:
@@ -114,7 +114,7 @@
                 self.copy = testbed.table.copied()
             case 'return':
                 testbed.table.restore(self.copy)
-                testbed.fleet.take_records(self._rows(), False)
+                testbed.fleet.apply_records(self._rows(), False)
             case 'fresh':
                 await self._start_afresh()
 
@@ -133,8 +133,8 @@
         testbed = self.testbed
         listed_now = dict(testbed.fleet.instances)
         testbed.fleet = Fleet()
-        testbed.fleet.take_instances(listed_now, True)
-        testbed.fleet.take_records(self._rows(), True)
+        testbed.fleet.apply_instances(listed_now, True)
+        testbed.fleet.apply_records(self._rows(), True)
         testbed.engines.fleet = testbed.fleet
         testbed.has_traffic = True
         await self._replace_placer()
--- a/tests/unit/test_initial_allocation.py
+++ b/tests/unit/test_initial_allocation.py
@@ -48,7 +48,7 @@
         )
         for domain, fabric, number in places
     )
-    fleet.take_instances({one.id: one for one in entries}, True)
+    fleet.apply_instances({one.id: one for one in entries}, True)
     return fleet
 
 
@@ -81,7 +81,7 @@
         new.fabric_domain,
         tuple(member.id for member in new.members),
     )
-    fleet.take_records({record.key: record}, False)
+    fleet.apply_records({record.key: record}, False)
 
 
 class FirstDivisionTest(unittest.TestCase):
--- a/tests/unit/test_leaving_targets.py
+++ b/tests/unit/test_leaving_targets.py
@@ -79,7 +79,7 @@
         self.follower = SourceFollower(
             'list',
             self.source,
-            self.fleet.take_instances,
+            self.fleet.apply_instances,
             random.Random(1),
         )
 
@@ -93,7 +93,7 @@
         """Have the store tell of the second target's end."""
         self.source.changed = {'i1': entry}
         self.source.version = _LEFT_AT
-        await until(lambda: self.follower.changed_version == _LEFT_AT)
+        await until(lambda: self.follower.last_change_version == _LEFT_AT)
 
     @property
     def leaving(self) -> ListedInstance:
@@ -180,13 +180,13 @@
 
 def _hear_that_it_went(node: Listening) -> None:
     node.source.is_down = True
-    node.follower.take_news(News(_LEFT_AT, _LEFT_AT + 1, {'i1': None}))
+    node.follower.apply_update(News(_LEFT_AT, _LEFT_AT + 1, {'i1': None}))
 
 
 def _hear_of_the_past(node: Listening) -> None:
     node.source.is_down = True
-    node.follower.take_news(News(_FIRST, _LEFT_AT - 1, node.before))
-    node.follower.take_news(News(_LEFT_AT + 1, _LEFT_AT + 2, node.before))
+    node.follower.apply_update(News(_FIRST, _LEFT_AT - 1, node.before))
+    node.follower.apply_update(News(_LEFT_AT + 1, _LEFT_AT + 2, node.before))
 
 
 def _go_back(node: Listening) -> None:
--- a/tests/unit/test_liveness.py
+++ b/tests/unit/test_liveness.py
@@ -89,16 +89,16 @@
 def _lost_by(network: _Network) -> set[str]:
     fleet = Fleet()
     names = (*_MEMBERS, 'x', 'y', 'z')
-    fleet.take_instances(
+    fleet.apply_instances(
         {one: listed(one, _ADDRESS, 'f') for one in names},
         True,
     )
     if 'elsewhere' in network.answers:
-        fleet.take_instances(
+        fleet.apply_instances(
             {'elsewhere': listed('elsewhere', _ADDRESS, 'g')},
             False,
         )
-    fleet.take_records({_RECORD.key: _RECORD}, True)
+    fleet.apply_records({_RECORD.key: _RECORD}, True)
     found = []
 
     async def note(record: ReplicaRecord) -> None:  # noqa: WPS430
--- a/tests/unit/test_lives.py
+++ b/tests/unit/test_lives.py
@@ -14,8 +14,8 @@
 import curio
 
 from cranecart.fleet import Fleet, RecordState, ReplicaRecord, ServingHead
-from cranecart.fleet._listing import Listing
-from cranecart.fleet._lives import LifeBook
+from cranecart.fleet._listing import InstanceList
+from cranecart.fleet._lives import IncarnationTracker
 from cranecart.forwarding import TargetConnectionPool
 from cranecart.grouping._failure_detector import FailureDetector
 from cranecart.http import Address
@@ -60,13 +60,13 @@
     def setUp(self) -> None:
         """List both members, and record the replica."""
         self.now = 50.0
-        self.fleet = Fleet(Listing(LifeBook(lambda: self.now)))
+        self.fleet = Fleet(InstanceList(IncarnationTracker(lambda: self.now)))
         self._list(_entry('i0', _FIRST), _entry('i1', _FIRST))
         record = ReplicaRecord(
             'r-1', 1, SERVICE, BIG.name, 'east', 'east-0', _NAMES,
             births=(_FIRST, _FIRST),
         )  # fmt: skip
-        self.fleet.take_records({record.key: record}, True)
+        self.fleet.apply_records({record.key: record}, True)
         self.assertEqual(len(self._heads()), 1)
 
     def test_back_within_the_lapse(self) -> None:
@@ -78,7 +78,7 @@
 
     def test_back_after_the_lapse(self) -> None:
         """What is known of the old life does not come back with it."""
-        self.fleet.take_instances({'i1': None}, False)
+        self.fleet.apply_instances({'i1': None}, False)
         self._list(_entry('i1', _SECOND, is_member=False))
         self.assertTrue(self.fleet.is_stopped(('r-1', 1)))
         self.assertNotIn('i1', self.fleet.lapsed)
@@ -100,18 +100,18 @@
         """It changes nothing before it has stood for two heartbeats."""
         self._list(_entry('i1', _FIRST // 2, is_member=False))
         self.now += _SHORT_SECONDS
-        self.fleet.settle_lives()
+        self.fleet.process_timeouts()
         self.assertEqual(len(self._heads()), 1)
         self._list(_entry('i1', _FIRST))
         self.now += _LONG_SECONDS
-        self.fleet.settle_lives()
+        self.fleet.process_timeouts()
         self.assertEqual(len(self._heads()), 1)
 
     def test_a_clock_behind(self) -> None:
         """A new life with an earlier birth is believed once it has stood."""
         self._list(_entry('i1', _FIRST // 2, is_member=False))
         self.now += _LONG_SECONDS
-        self.fleet.settle_lives()
+        self.fleet.process_timeouts()
         self.assertEqual(self.fleet.instances['i1'].born, _FIRST // 2)
         self.assertEqual(self._heads(), ())
         self._list(_entry('i1', _FIRST))
@@ -122,11 +122,13 @@
         record = next(iter(self.fleet.records.values()))
         self._list(_entry('i0', _FIRST // 2, is_member=False))
         self.now += _LONG_SECONDS
-        self.fleet.settle_lives()
+        self.fleet.process_timeouts()
         self.assertTrue(
-            self.fleet.listing.is_superseded(record.incarnations[0])
+            self.fleet.instance_list.is_superseded(record.incarnations[0])
+        )
+        self.assertFalse(
+            self.fleet.instance_list.has_ended(record.incarnations[0])
         )
-        self.assertFalse(self.fleet.listing.has_ended(record.incarnations[0]))
 
     def test_without_births(self) -> None:
         """Entries that tell none go on as one life."""
@@ -144,7 +146,7 @@
 
     def _list(self, *entries: ListedInstance) -> None:
         items = {entry.id: entry for entry in entries}
-        self.fleet.take_instances(items, False)
+        self.fleet.apply_instances(items, False)
 
     def _heads(self) -> tuple[ServingHead, ...]:
         return self.fleet.heads(SERVICE, BIG.name)
@@ -158,7 +160,7 @@
         self.world = PlacerTestbed()
         self.addCleanup(self.world.listener.close)
         fleet = self.world.fleet
-        fleet.take_instances(
+        fleet.apply_instances(
             {
                 name: attrs.evolve(one, born=_FIRST)
                 for name, one in fleet.instances.items()
@@ -259,7 +261,7 @@
         states = {one.state for one in self.world.fleet.records.values()}
         return (
             bool(heads)
-            and heads[0].forming != old.forming
+            and heads[0].replica_epoch != old.replica_epoch
             and states == {RecordState.SERVING}
         )
 
@@ -274,11 +276,11 @@
             world.fleet.instances[world.targets[0].name],
             born=_FIRST,
         )
-        world.fleet.take_instances({old.id: old}, False)
+        world.fleet.apply_instances({old.id: old}, False)
         world.router.record_failure(old.incarnation, reached=False)
         self.assertEqual(_chosen(world), {world.targets[1].name})
         new = attrs.evolve(old, born=_SECOND)
-        world.fleet.take_instances({new.id: new}, False)
+        world.fleet.apply_instances({new.id: new}, False)
         self.assertEqual(_chosen(world), {old.id, world.targets[1].name})
 
     def test_connections(self) -> None:
--- a/tests/unit/test_requests_without_target.py
+++ b/tests/unit/test_requests_without_target.py
@@ -66,7 +66,7 @@
     def test_no_target(self) -> None:
         """Neither a replica nor an instance."""
         world = GatewayWorld(_fine)
-        world.fleet.take_instances({}, True)
+        world.fleet.apply_instances({}, True)
         for path in _PATHS:
             self._refused(_ask(world, _request(path)))
 
--- a/tests/unit/test_restored_list.py
+++ b/tests/unit/test_restored_list.py
@@ -4,8 +4,8 @@
 
 import attrs
 
-from cranecart.fleet._listing import Listing
-from cranecart.fleet._lives import LifeBook
+from cranecart.fleet._listing import InstanceList
+from cranecart.fleet._lives import IncarnationTracker
 from cranecart.http import Address
 from cranecart.ports import ListedInstance
 from tests.lib.fake_engines import SERVICE, listed
@@ -26,64 +26,64 @@
 
     def setUp(self) -> None:
         """List three instances."""
-        self.listing = Listing(LifeBook(float))
+        self.instance_list = InstanceList(IncarnationTracker(float))
         self.copy = {name: _entry(name) for name in ('a', 'b', 'c')}
-        self.listing.take(self.copy, True)
+        self.instance_list.take(self.copy, True)
 
     def test_a_leaving_instance_is_ready_in_a_copy(self) -> None:
         """It leaves all the same, as lives do not turn back."""
-        self.listing.take({'a': _entry('a', leaving=True)}, False)
-        self.listing.restore(self.copy, 0)
+        self.instance_list.take({'a': _entry('a', leaving=True)}, False)
+        self.instance_list.restore(self.copy, 0)
         self.assertEqual(self._taking(), {'b', 'c'})
-        self.listing.take(self.copy, True)
+        self.instance_list.take(self.copy, True)
         self.assertEqual(self._taking(), {'b', 'c'})
 
     def test_an_instance_that_had_gone_is_in_a_copy(self) -> None:
         """It may serve on without a word, but takes nothing new."""
-        self.listing.take({'a': None}, False)
-        self.listing.restore(self.copy, 0)
+        self.instance_list.take({'a': None}, False)
+        self.instance_list.restore(self.copy, 0)
         self.assertEqual(self._taking(), {'b', 'c'})
-        self.listing.take(self.copy, True)
+        self.instance_list.take(self.copy, True)
         self.assertEqual(self._taking(), {'b', 'c'})
-        self.listing.admit_awaited(_SILENT_SECONDS)
+        self.instance_list.accept_unconfirmed(_SILENT_SECONDS)
         self.assertEqual(self._taking(), {'b', 'c'})
 
     def test_an_instance_that_had_gone_is_written_again(self) -> None:
         """Its entry had lapsed, and it lives."""
-        self.listing.take({'a': None}, False)
-        self.listing.restore(self.copy, 0)
-        self.listing.take({'a': self.copy['a']}, False)
+        self.instance_list.take({'a': None}, False)
+        self.instance_list.restore(self.copy, 0)
+        self.instance_list.take({'a': self.copy['a']}, False)
         self.assertEqual(self._taking(), {'a', 'b', 'c'})
 
     def test_an_entry_that_stands_is_of_a_living_instance(self) -> None:
         """The store drops what is silent for three heartbeats."""
-        self.listing.take({'a': None}, False)
-        self.listing.restore(self.copy, 0)
-        self.assertEqual(self.listing.admit_awaited(4.1), ['a'])
+        self.instance_list.take({'a': None}, False)
+        self.instance_list.restore(self.copy, 0)
+        self.assertEqual(self.instance_list.accept_unconfirmed(4.1), ['a'])
         self.assertEqual(self._taking(), {'a', 'b', 'c'})
 
     def test_an_awaited_entry_goes(self) -> None:
         """The store has dropped it, so that nothing is waited for."""
-        self.listing.take({'a': None}, False)
-        self.listing.restore(self.copy, 0)
-        self.listing.take({'a': None}, False)
-        self.assertEqual(self.listing.admit_awaited(9), [])
+        self.instance_list.take({'a': None}, False)
+        self.instance_list.restore(self.copy, 0)
+        self.instance_list.take({'a': None}, False)
+        self.assertEqual(self.instance_list.accept_unconfirmed(9), [])
         self.assertEqual(self._taking(), {'b', 'c'})
 
     def test_an_awaited_entry_is_missing_in_a_whole_list(self) -> None:
         """The store has dropped it meanwhile."""
-        self.listing.take({'a': None}, False)
-        self.listing.restore(self.copy, 0)
+        self.instance_list.take({'a': None}, False)
+        self.instance_list.restore(self.copy, 0)
         whole = {name: self.copy[name] for name in ('b', 'c')}
-        self.listing.take(whole, True)
-        self.assertEqual(self.listing.admit_awaited(9), [])
+        self.instance_list.take(whole, True)
+        self.assertEqual(self.instance_list.accept_unconfirmed(9), [])
 
     def test_what_a_copy_lacks_is_there(self) -> None:
         """It is written again, and taken for gone only after that."""
-        self.listing.restore({'b': self.copy['b']}, 0)
+        self.instance_list.restore({'b': self.copy['b']}, 0)
         self.assertEqual(self._taking(), {'a', 'b', 'c'})
-        self.listing.take({'b': self.copy['b']}, True)
+        self.instance_list.take({'b': self.copy['b']}, True)
         self.assertEqual(self._taking(), {'b'})
 
     def _taking(self) -> set[str]:
-        return {one.id for one in self.listing.plain(SERVICE)}
+        return {one.id for one in self.instance_list.available(SERVICE)}
--- a/tests/unit/test_restored_records.py
+++ b/tests/unit/test_restored_records.py
@@ -132,7 +132,7 @@
             testbed.fleet.instances[head.members[1]],
             leaving=True,
         )
-        testbed.fleet.take_instances({leaves.id: leaves}, False)
+        testbed.fleet.apply_instances({leaves.id: leaves}, False)
         await until(lambda: head.replica not in self._recorded())
         testbed.table.restore(earlier)
         await until(lambda: head.replica not in self._recorded())
@@ -157,10 +157,12 @@
         await self.running.cancel()
         testbed = self.testbed
         head = testbed.fleet.instances[testbed.heads()[0].id]
-        record = next(iter(testbed.fleet.recorded.naming_one(head.id)))
+        record = next(
+            iter(testbed.fleet.replica_records.records_with_member(head.id))
+        )
         assert head.membership is not None
         closing = attrs.evolve(head.membership, phase=MemberPhase.CLOSING)
-        testbed.fleet.take_instances(
+        testbed.fleet.apply_instances(
             {head.id: attrs.evolve(head, membership=closing)},
             False,
         )
@@ -181,7 +183,7 @@
             if name not in gone
         }
         testbed.fleet = Fleet()
-        testbed.fleet.take_instances(listed, True)
+        testbed.fleet.apply_instances(listed, True)
         testbed.engines.fleet = testbed.fleet
         self.running = await curio.spawn(testbed.make_placer('two').run)
 
@@ -199,7 +201,7 @@
     async def _read_whole(self) -> None:
         await self.running.cancel()
         self.testbed.table.restore(self.empty)
-        self.testbed.fleet.take_records({}, True, self.testbed.table.era)
+        self.testbed.fleet.apply_records({}, True, self.testbed.table.era)
 
     def _orders(self) -> int:
         """Return how many orders to members were sent."""
--- a/tests/unit/test_returning_list.py
+++ b/tests/unit/test_returning_list.py
@@ -13,8 +13,8 @@
 import curio
 
 from cranecart.fleet import Fleet, News, SourceFollower
-from cranecart.fleet._listing import Listing
-from cranecart.fleet._lives import LifeBook
+from cranecart.fleet._listing import InstanceList
+from cranecart.fleet._lives import IncarnationTracker
 from cranecart.http import Address
 from cranecart.ports import ListedInstance
 from tests.lib.fake_engines import SERVICE, listed
@@ -33,52 +33,54 @@
 
     def setUp(self) -> None:
         """List them all."""
-        self.listing = Listing(LifeBook(float))
-        self.listing.take({name: _entry(name) for name in _NAMES}, True)
+        self.instance_list = InstanceList(IncarnationTracker(float))
+        self.instance_list.take({name: _entry(name) for name in _NAMES}, True)
 
     def test_many_are_kept_after_the_stores_return(self) -> None:
         """They count as there until they had time to come back."""
-        self.listing.take(dict.fromkeys(_NAMES[:12]), False, _UNTIL)
-        self.assertEqual(len(self.listing.instances), len(_NAMES))
-        self.listing.take({_NAMES[0]: _entry(_NAMES[0])}, False, _UNTIL)
-        self.assertEqual(self.listing.lapse_missing(_UNTIL - 0.1), [])
-        gone = self.listing.lapse_missing(_UNTIL)
+        self.instance_list.take(dict.fromkeys(_NAMES[:12]), False, _UNTIL)
+        self.assertEqual(len(self.instance_list.instances), len(_NAMES))
+        self.instance_list.take({_NAMES[0]: _entry(_NAMES[0])}, False, _UNTIL)
+        self.assertEqual(self.instance_list.expire_missing(_UNTIL - 0.1), [])
+        gone = self.instance_list.expire_missing(_UNTIL)
         self.assertEqual(set(gone), set(_NAMES[1:12]))
-        self.assertIn(_NAMES[0], self.listing.instances)
-        self.assertEqual(self.listing.lapsed.keys(), set(gone))
+        self.assertIn(_NAMES[0], self.instance_list.instances)
+        self.assertEqual(self.instance_list.lapsed.keys(), set(gone))
 
     def test_a_whole_list_lacks_them_too(self) -> None:
         """Nor does reading them again make it longer."""
         kept = {name: _entry(name) for name in _NAMES[12:]}
-        self.listing.take(kept, True, _UNTIL)
-        self.listing.take(kept, True, _UNTIL + 1)
-        self.assertEqual(len(self.listing.instances), len(_NAMES))
-        self.assertEqual(len(self.listing.lapse_missing(_UNTIL)), 12)
+        self.instance_list.take(kept, True, _UNTIL)
+        self.instance_list.take(kept, True, _UNTIL + 1)
+        self.assertEqual(len(self.instance_list.instances), len(_NAMES))
+        self.assertEqual(len(self.instance_list.expire_missing(_UNTIL)), 12)
 
     def test_ordinary_deaths_count_at_once(self) -> None:
         """Also the few that died while the store was away."""
-        self.listing.take(dict.fromkeys(_NAMES[:12]), False)
-        self.assertEqual(len(self.listing.instances), len(_NAMES) - 12)
-        self.listing.take(dict.fromkeys(_NAMES[12:14]), False, _UNTIL)
-        self.assertEqual(len(self.listing.instances), len(_NAMES) - 14)
+        self.instance_list.take(dict.fromkeys(_NAMES[:12]), False)
+        self.assertEqual(len(self.instance_list.instances), len(_NAMES) - 12)
+        self.instance_list.take(dict.fromkeys(_NAMES[12:14]), False, _UNTIL)
+        self.assertEqual(len(self.instance_list.instances), len(_NAMES) - 14)
 
     def test_those_that_leave_are_let_go(self) -> None:
         """They had said so before the store was away."""
         leaving = attrs.evolve(_entry(_NAMES[0]), leaving=True)
-        self.listing.take({_NAMES[0]: leaving}, False)
-        self.listing.take(dict.fromkeys(_NAMES[:12]), False, _UNTIL)
-        self.assertNotIn(_NAMES[0], self.listing.instances)
-        self.assertIn(_NAMES[1], self.listing.instances)
+        self.instance_list.take({_NAMES[0]: leaving}, False)
+        self.instance_list.take(dict.fromkeys(_NAMES[:12]), False, _UNTIL)
+        self.assertNotIn(_NAMES[0], self.instance_list.instances)
+        self.assertIn(_NAMES[1], self.instance_list.instances)
 
     def test_lives_are_told_as_ever(self) -> None:
         """One that came back as another life is that life."""
         old = attrs.evolve(_entry('x'), born=1)
-        self.listing.take({'x': old}, False)
-        self.listing.take(dict.fromkeys(['x', *_NAMES]), False, _UNTIL)
+        self.instance_list.take({'x': old}, False)
+        self.instance_list.take(dict.fromkeys(['x', *_NAMES]), False, _UNTIL)
         new = attrs.evolve(_entry('x'), born=2)
-        self.assertEqual(self.listing.take({'x': new}, False, _UNTIL), ['x'])
-        self.listing.lapse_missing(_UNTIL)
-        self.assertEqual(self.listing.instances['x'].born, 2)
+        self.assertEqual(
+            self.instance_list.take({'x': new}, False, _UNTIL), ['x']
+        )
+        self.instance_list.expire_missing(_UNTIL)
+        self.assertEqual(self.instance_list.instances['x'].born, 2)
 
 
 class FilledTest(unittest.TestCase):
@@ -99,19 +101,19 @@
     def test_a_start_is_no_return(self) -> None:
         """What is read first is taken as it is."""
         curio.run(self.follower._read)
-        self.assertFalse(self.follower.filled_at)
+        self.assertFalse(self.follower.repopulated_at)
 
     def test_a_return(self) -> None:
         """After seconds without any news it is filling again."""
         curio.run(self.follower._read)
         self.now += 0.7
         curio.run(self.follower._read)
-        self.assertFalse(self.follower.filled_at)
+        self.assertFalse(self.follower.repopulated_at)
         self.now += 3.7
-        self.follower.take_news(News(1, 2, {'b': '2'}))
-        self.assertEqual(self.follower.filled_at, self.now + 2)
+        self.follower.apply_update(News(1, 2, {'b': '2'}))
+        self.assertEqual(self.follower.repopulated_at, self.now + 2)
         self.now += 2
-        self.assertFalse(self.follower.filled_at)
+        self.assertFalse(self.follower.repopulated_at)
 
 
 class FleetTest(unittest.TestCase):
@@ -120,9 +122,9 @@
     def test_the_fleet_tells_them(self) -> None:
         """Its turns of housekeeping end nothing before the time is over."""
         fleet = Fleet()
-        fleet.take_instances({name: _entry(name) for name in _NAMES}, True)
+        fleet.apply_instances({name: _entry(name) for name in _NAMES}, True)
         gone = dict.fromkeys(_NAMES)
-        fleet.take_instances(gone, False, float('inf'))
-        fleet.settle_lives()
-        self.assertEqual(len(fleet.plain(SERVICE)), len(_NAMES))
+        fleet.apply_instances(gone, False, float('inf'))
+        fleet.process_timeouts()
+        self.assertEqual(len(fleet.available(SERVICE)), len(_NAMES))
         self.assertFalse(fleet.lapsed)
--- a/tests/unit/test_said_to_leave.py
+++ b/tests/unit/test_said_to_leave.py
@@ -12,7 +12,7 @@
 import attrs
 import curio
 
-from cranecart.fleet import Fleet, ReplicaRecord, note_leaving
+from cranecart.fleet import Fleet, ReplicaRecord, mark_leaving
 from cranecart.http import Address
 from cranecart.mesh import Leaving, decode_mesh_message, encode_mesh_message
 from cranecart.ports import Incarnation
@@ -58,44 +58,44 @@
             born=7,
         )
         self.fleet = Fleet()
-        self.fleet.take_instances({'i0': self.listed}, True)
+        self.fleet.apply_instances({'i0': self.listed}, True)
         record = ReplicaRecord(
             'i0', 1, ENGINES, MODEL, 'east', 'east-0', ('i0',)
         )
-        self.fleet.take_records({record.key: record}, True)
+        self.fleet.apply_records({record.key: record}, True)
 
     def test_nothing_new_goes_there(self) -> None:
         """Nor when its entry says again that it is ready."""
         self.assertEqual(len(self.fleet.heads(ENGINES, MODEL)), 1)
         self.assertTrue(
-            note_leaving(self.fleet, self.listed.incarnation, 'an answer')
+            mark_leaving(self.fleet, self.listed.incarnation, 'an answer')
         )
         self.assertEqual(len(self.fleet.heads(ENGINES, MODEL)), 0)
-        self.fleet.take_instances({'i0': self.listed}, False)
+        self.fleet.apply_instances({'i0': self.listed}, False)
         self.assertEqual(len(self.fleet.heads(ENGINES, MODEL)), 0)
         self.assertTrue(self.fleet.instances['i0'].leaving)
 
     def test_it_is_news_once(self) -> None:
         """All its answers say so, and other nodes do."""
         self.assertTrue(
-            note_leaving(self.fleet, self.listed.incarnation, 'an answer')
+            mark_leaving(self.fleet, self.listed.incarnation, 'an answer')
         )
         self.assertFalse(
-            note_leaving(self.fleet, self.listed.incarnation, 'n2')
+            mark_leaving(self.fleet, self.listed.incarnation, 'n2')
         )
 
     def test_its_next_life_serves(self) -> None:
         """What comes back under the same id has not said so."""
-        note_leaving(self.fleet, self.listed.incarnation, 'an answer')
+        mark_leaving(self.fleet, self.listed.incarnation, 'an answer')
         anew = attrs.evolve(self.listed, born=8)
-        self.fleet.take_instances({'i0': anew}, False)
+        self.fleet.apply_instances({'i0': anew}, False)
         self.assertFalse(self.fleet.instances['i0'].leaving)
 
     def test_known_before_it_is_listed(self) -> None:
         """The news may come first."""
-        note_leaving(self.fleet, Incarnation('i1', 3), 'n2')
+        mark_leaving(self.fleet, Incarnation('i1', 3), 'n2')
         later = attrs.evolve(self.listed, id='i1', born=3)
-        self.fleet.take_instances({'i1': later}, False)
+        self.fleet.apply_instances({'i1': later}, False)
         self.assertTrue(self.fleet.instances['i1'].leaving)
 
 
--- a/tests/unit/test_store_path.py
+++ b/tests/unit/test_store_path.py
@@ -12,7 +12,7 @@
 import curio
 
 from cranecart.clocks import since_boot
-from cranecart.fleet import SourceFollower, StorePath
+from cranecart.fleet import SourceFollower, StoreReachability
 from cranecart.grouping import GroupPlacer
 from cranecart.serving._knowledge import _DECLARATIONS_GAP_SECONDS
 from tests.lib.waiting import until
@@ -26,7 +26,7 @@
 
     def __init__(self) -> None:
         self.source = FakeSource(items={'a': '1'}, down=True)
-        self.path = StorePath()
+        self.path = StoreReachability()
         self.held = {name: Held() for name in _READERS}
         self.followers = [
             SourceFollower(
@@ -99,8 +99,8 @@
     def test_others_read_for_this_node(self) -> None:
         """It may ask more seldom then."""
         self.assertGreater(
-            StorePath(mock.Mock(return_value=True)).longest_pause,
-            StorePath().longest_pause,
+            StoreReachability(mock.Mock(return_value=True)).max_retry_seconds,
+            StoreReachability().max_retry_seconds,
         )
 
     def test_few_look_for_a_placer_in_vain(self) -> None:
@@ -147,7 +147,7 @@
         await curio.sleep(0.3)
         reads = node.source.reads
         refused.down = True
-        await until(lambda: node.path.is_lost)
+        await until(lambda: node.path.is_unreachable)
         await curio.sleep(0.3)
         self.assertEqual(node.source.reads, reads)
         await tasks.cancel_remaining()
@@ -158,19 +158,19 @@
         tasks = await node.run()
         await until(node.all_know)
         node.source.down = True
-        await until(lambda: node.path.is_lost)
+        await until(lambda: node.path.is_unreachable)
         await tasks.cancel_remaining()
 
     async def _be_away(self) -> None:
         node = _Node()
         tasks = await node.run()
         await curio.sleep(2.5)
-        self.assertTrue(node.path.is_lost)
+        self.assertTrue(node.path.is_unreachable)
         # Pauses of 0.1, 0.2, 0.4, 0.8 and 1 s, each half as long at least.
         self.assertLessEqual(node.source.reads, len(_READERS) + 6)
         node.source.down = False
         await until(node.all_know, 2)
-        self.assertFalse(node.path.is_lost)
+        self.assertFalse(node.path.is_unreachable)
         await tasks.cancel_remaining()
 
     async def _fail_alone(self) -> None:
--- a/tools/bench/_fleet.py
+++ b/tools/bench/_fleet.py
@@ -125,8 +125,8 @@
             )
             for number in range(_PLAIN_INSTANCES)
         }
-        self.fleet.take_instances({**instances, **plain}, True)
-        self.fleet.take_records({one.key: one for one in records}, True)
+        self.fleet.apply_instances({**instances, **plain}, True)
+        self.fleet.apply_records({one.key: one for one in records}, True)
         self.own = [one for one in records if one.failure_domain == 'd0']
         self.router = TargetRouter(
             self.fleet,
@@ -141,7 +141,7 @@
     def change(self) -> object:
         """Take over a member's entry, and look at who serves."""
         one = self.fleet.instances[next(self._turn)]
-        self.fleet.take_instances({one.id: one}, False)
+        self.fleet.apply_instances({one.id: one}, False)
         return self.fleet.heads(_ENGINES, 'small')
 
     def judge(self) -> object:
@@ -161,7 +161,9 @@
         return [
             any(
                 record.key != self.own[0].key
-                for record in self.fleet.recorded.naming_one(name)
+                for record in self.fleet.replica_records.records_with_member(
+                    name
+                )
             )
             for name in self.own[0].members
         ]
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -132,7 +132,7 @@
     Mutation(
         'members-freed-at-once',
         'grouping/_teardown.py',
-        """        if self._fleet.listing.has_ended(self.record.incarnations[0]):
+        """        if self._fleet.instance_list.has_ended(self.record.incarnations[0]):
             return 'the head lives anew'
         if self._member""",
         """        return 'at once'
@@ -352,7 +352,7 @@
     Mutation(
         'a-copy-is-everything',
         'fleet/_follower.py',
-        'self._take_restored(items)',
+        'self._apply_restored(items)',
         'self._take(items, True)',
         f'{_RESTORED}.test_new_target_lost_with_a_copy',
     ),
@@ -380,8 +380,8 @@
     Mutation(
         'what-is-read-whole-is-not-told',
         'fleet/_follower.py',
-        'if earlier >= 0 and self._feeding is not None:',
-        'if earlier < 0 and self._feeding is not None:',
+        'if earlier >= 0 and self._sharing is not None:',
+        'if earlier < 0 and self._sharing is not None:',
         'tests.platform.test_reads_of_a_return.ReadsOfAReturnTest'
         '.test_nine_nodes_read_a_forgotten_history',
     ),
