--- a/src/cranecart/mesh/__init__.py
+++ b/src/cranecart/mesh/__init__.py
@@ -1,4 +1,4 @@
-"""Other nodes of a deployment: beats, evidence, newer configuration."""
+"""State exchange between the nodes of a deployment, by periodic beats."""
 
 from cranecart.mesh._mesh import Mesh
 from cranecart.mesh._messages import (
--- a/src/cranecart/mesh/_mesh.py
+++ b/src/cranecart/mesh/_mesh.py
@@ -1,9 +1,9 @@
-"""Keep every node informed by every other, without the platform.
+"""Exchange state between all nodes, without the platform.
 
-In a small deployment each node sends a small beat to all others. In a larger
-one it sends it to the relay of its failure domain, which tells all nodes there
-what it heard, and the relays of other failure domains a summary
-(docs/design/platform.md). News that cannot wait goes straight to everybody.
+In a small deployment each node sends periodic beats to all others. In a larger
+one it sends them to the relay of its failure domain, which sends a digest of
+them to all nodes there and a summary to the relays of the other failure domains
+(docs/design/platform.md). Urgent messages are sent at once, not with the beats.
 """
 
 from collections import Counter
@@ -25,21 +25,21 @@
 )
 from cranecart.transport import PeerTransport
 
-# Counts of work in flight are as old as this at most; streams last about a
-# second on the deployments' sheets.
+# Bounds the age of the counts of requests in flight; a stream lasts about a
+# second in the deployments' specifications.
 _BEAT_SECONDS = 0.25
-# How long before the relay speaks next its failure domain's nodes tell it
-# what it will pass on, so that counts are hardly older than when told
-# directly. It takes in some thirty beats in a few milliseconds.
-_LEAD_SECONDS = 0.04
-# Silent nodes are tried at every so many beats only.
-_SILENT_TURNS = 8
-# Those whom only urgent news goes to are rarely told anything.
-_IDLE_SECONDS = 10.0
+# How long before the relay's next digest the nodes of its failure domain send
+# their beats to it, so that counts are hardly older than if sent directly. A
+# relay handles some thirty beats in a few milliseconds.
+_RELAY_LEAD_SECONDS = 0.04
+# Peers not heard from lately are sent only one in this many beats.
+_SILENT_PEER_BEATS = 8
+# Connections used only for urgent messages are closed after this time.
+_IDLE_CONNECTION_SECONDS = 10.0
 
 
 class Mesh:
-    """The other nodes, what they told last, and ways to tell them."""
+    """The view of the other nodes, and the means to send to them."""
 
     def __init__(
         self,
@@ -48,20 +48,20 @@
         callbacks: MeshCallbacks,
         clock: Callable[[], float] = since_boot,
     ) -> None:
-        """Know nobody yet; nothing is told until ``run``."""
+        """Start without peers; beats are sent only in ``run``."""
         self.local = local
         self.state = MeshState(local, clock)
         self.message_sender = MessageSender(self.state, transport, callbacks)
         self.message_handler = MessageHandler(self.state, transport, callbacks)
         self._transport = transport
-        self._others = self.state.others
+        self._peer_state = self.state.peer_state
         self._roster = self.state.roster
 
     async def run(self) -> None:
-        """Hear and tell until cancelled."""
+        """Receive messages and send beats until cancelled."""
         receiving = await curio.spawn(self._receive, daemon=True)
         try:
-            await self._tell()
+            await self._send_beats()
         finally:
             await receiving.cancel()
 
@@ -69,148 +69,159 @@
         """Close the sockets."""
         self._transport.close()
 
-    def take_peers(
+    def update_peers(
         self,
         items: Mapping[str, PeerNode | None],
-        is_whole: bool,
+        is_complete: bool,
     ) -> None:
-        """Take over the nodes that the table names."""
-        if is_whole:
-            for known in self._roster.peers.keys() - items.keys():
-                self._roster.remove(known)
+        """Add and remove peers as listed in the store.
+
+        If ``is_complete``, peers that are not listed are removed.
+        """
+        if is_complete:
+            for node_id in self._roster.peers.keys() - items.keys():
+                self._roster.remove(node_id)
         for name, peer in items.items():
             if peer is None:
-                self._forget(name)
+                self._remove_peer(name)
             elif name != self.local.node_id:
                 self._roster.add(name, peer)
 
     def broadcast(self, message: MeshMessage) -> None:
-        """Tell all nodes at once."""
+        """Send a message directly to all nodes, without relays."""
         self._transport.send_all(
-            self._roster.everyone(include_silent=True), message
+            self._roster.all_addresses(include_silent=True), message
         )
 
     def publish_stopped(self, message: Stopped) -> None:
-        """Tell all nodes of a replica that has stopped.
+        """Tell all nodes that a replica has stopped.
 
-        Beats and summaries repeat it to those whom it does not reach by a
-        relay. Told to each of 195 nodes straight away, every node that spoke
-        kept a connection to every other, each with a heartbeat.
+        Beats and summaries repeat it for nodes that it does not reach through a
+        relay. When it was sent directly to each of 195 nodes, every sender kept
+        a connection to every other node, each with heartbeats.
         """
-        self.state.notices.note(message)
+        self.state.stop_notices.add(message)
         self.message_sender.publish(message, include_silent=True)
 
     def publish(
         self,
         message: RequestCases | Broken | Leaving | TargetLimits,
     ) -> None:
-        """Tell all nodes of requests that end targets, or of targets."""
+        """Send a message about targets or requests to all nodes."""
         self.message_sender.publish(message, include_silent=True)
 
     def publish_news(self, message: SourceNews) -> None:
-        """Tell all nodes, those of other failure domains by their relays.
+        """Send changes read from a source to all live nodes.
 
-        Who is left out finds that a version is ahead, and reads itself.
+        A node that misses them sees a newer version announced in beats and
+        reads the source itself.
         """
         self.message_sender.publish(message, include_silent=False)
 
     def send_to_placer(self, failure_domain: str, message: MeshMessage) -> None:
-        """Tell the placer of a failure domain at once.
+        """Send a message to the placer of a failure domain.
 
-        Tell all where it is not known, and in a small deployment.
+        It goes to all nodes if the placer is not known, and in a small
+        deployment. With relays, a placer sends nothing to itself.
         """
         if (
             self._roster.uses_relays
             and self.local.placer_domain == failure_domain
         ):
             return
-        address = self._others.totals().placer_addresses.get(failure_domain)
+        address = self._peer_state.totals().placer_addresses.get(failure_domain)
         if address is None or not self._roster.uses_relays:
             self.broadcast(message)
         else:
             self._transport.send(address, message)
 
     def send_beat_now(self) -> None:
-        """Tell of a change of this node before the next beat is due."""
+        """Send a beat at once, to announce a change of this node."""
         self.message_sender.send_beat(include_silent=False)
 
     def in_flight_elsewhere(self, instance_id: str) -> int:
-        """Return the requests that other nodes have at an instance."""
-        return max(0, self._others.totals().in_flight[instance_id])
+        """Return how many requests other nodes have in flight at an instance."""
+        return max(0, self._peer_state.totals().in_flight[instance_id])
 
     def has_other_placer(self, failure_domain: str) -> bool:
-        """Tell whether another node says that it places there."""
-        return failure_domain in self._others.totals().placer_addresses
+        """Return whether another node announces that it is placer there."""
+        return failure_domain in self._peer_state.totals().placer_addresses
 
     def announced_version(self, source: str) -> int | None:
-        """Return the last change of a source that another node reads.
+        """Return the version of a source's last change, as other nodes read it.
 
-        Return nothing where nobody reads it for this node: of those that
-        read, the one with the first name goes on.
+        Return None if this node has to read the source itself: no other node
+        reads it, or this node has the first name of its readers.
         """
-        is_reader = source in self.local.source_versions
+        is_local_reader = source in self.local.source_versions
         versions = [
             version
-            for name, version in self._others.totals().source_readers.get(
+            for name, version in self._peer_state.totals().source_readers.get(
                 source, ()
             )
-            if not is_reader or name < self.local.node_id
+            if not is_local_reader or name < self.local.node_id
         ]
         return max(versions, default=None)
 
     def has_traffic(self) -> bool:
-        """Tell whether any node has had a request."""
-        return self.local.requests > 0 or self._others.has_traffic
+        """Return whether any node has received a request."""
+        return self.local.requests > 0 or self._peer_state.has_traffic
 
     def demand(self) -> Counter[str]:
-        """Return the work that all nodes' clients want of each model."""
+        """Return the demand of the clients of all nodes, by model."""
         total = Counter(self.local.demand)
-        # Where a relay sums up this node's last beat but one, less than
-        # nothing may be left of the others.
-        total.update(+self._others.totals().demand)
+        # If the relay's summary includes this node's last beat but one, the
+        # remainder of the others may be negative.
+        total.update(+self._peer_state.totals().demand)
         return total
 
     def live_node_count(self) -> int:
-        """Return how many nodes are alive, this one included.
+        """Return how many nodes are alive, including this one.
 
-        Where a relay has to speak first, those just listed count as well: a
-        node that has started would take the whole retry budget for its own.
+        With relays, peers that were just added count as well. Otherwise a node
+        that has just started and has no digest yet would take the whole retry
+        budget for itself.
         """
-        told = self._others.totals().node_count
+        count = self._peer_state.totals().node_count
         if self._roster.uses_relays:
-            told = max(told, self._roster.live_count())
-        return 1 + told
+            count = max(count, self._roster.live_count())
+        return 1 + count
 
     def counts(self) -> dict[str, int]:
-        """Return the messages and bytes so far, by name."""
+        """Return the counters of messages and bytes, by metric name."""
         return self._transport.counts()
 
-    async def _tell(self) -> None:
-        turn = 0
+    async def _send_beats(self) -> None:
+        beat_number = 0
         while True:
-            include_silent = turn % _SILENT_TURNS == 0
+            include_silent = beat_number % _SILENT_PEER_BEATS == 0
             self.message_sender.send_beat(include_silent=include_silent)
-            self.message_sender.ask_for_config()
+            self.message_sender.request_newer_config()
             if include_silent:
-                self._transport.close_idle(_IDLE_SECONDS)
-            turn += 1
-            await curio.sleep(self._pause())
-
-    def _pause(self) -> float:
-        """Return how long to wait, so as to speak shortly before the relay."""
-        digest_at = self.state.digest_at
-        if digest_at is None:
+                self._transport.close_idle(_IDLE_CONNECTION_SECONDS)
+            beat_number += 1
+            await curio.sleep(self._seconds_to_next_beat())
+
+    def _seconds_to_next_beat(self) -> float:
+        """Return the pause that puts the next beat just before the digest."""
+        last_digest_at = self.state.last_digest_at
+        if last_digest_at is None:
             return _BEAT_SECONDS
-        due = digest_at - _LEAD_SECONDS - self.state.clock()
-        # At least half a beat from now, and at most one and a half.
-        return _BEAT_SECONDS / 2 + (due - _BEAT_SECONDS / 2) % _BEAT_SECONDS
+        seconds_until_due = (
+            last_digest_at - _RELAY_LEAD_SECONDS - self.state.clock()
+        )
+        # Between half and one and a half beat intervals from now.
+        return (
+            _BEAT_SECONDS / 2
+            + (seconds_until_due - _BEAT_SECONDS / 2) % _BEAT_SECONDS
+        )
 
     async def _receive(self) -> None:
         while True:
-            await self.message_handler.take(await self._transport.receive())
+            await self.message_handler.handle(await self._transport.receive())
 
-    def _forget(self, name: str) -> None:
+    def _remove_peer(self, name: str) -> None:
         peer = self._roster.remove(name)
-        self._others.drop(name)
+        self._peer_state.forget_node(name)
         if peer is not None:
             self._transport.disconnect(peer.address)
--- a/src/cranecart/mesh/_messages.py
+++ b/src/cranecart/mesh/_messages.py
@@ -1,4 +1,4 @@
-"""What the nodes of a deployment tell each other directly."""
+"""Messages that the nodes of a deployment send each other."""
 
 import msgspec
 
@@ -14,9 +14,10 @@
 
 
 class Stopped(msgspec.Struct, tag='stopped', array_like=True):
-    """A replica that nobody should send to any more.
+    """Notice that no node may send to a replica any more.
 
-    One that ``finishes`` still ends what it has; any other stands still.
+    A replica that ``finishes`` still completes its requests in flight; any
+    other makes no progress.
     """
 
     sender: str
@@ -27,15 +28,15 @@
 
 
 class Beat(msgspec.Struct, tag='beat', array_like=True):
-    """What each node tells of itself a few times a second.
-
-    ``in_flight`` counts its requests by the instance that has them;
-    ``places`` names the failure domain whose placer it is, if it is one.
-    ``announced`` holds, for each source that it reads from the store over a
-    path known to be good, the version of the last change. ``demand`` is the
-    work that its clients want of each model. ``stopped`` repeats what was
-    said lately, for those whom it has not reached. One ``via_relays`` does
-    not go to all nodes.
+    """The state that each node sends a few times a second.
+
+    ``requests`` counts those received since the start, ``in_flight`` those in
+    progress, by instance. ``placer_domain`` is the failure domain whose placer
+    the node is, if any. ``source_versions`` has the version of the last change
+    for each source that the node reads from the store over a path known to
+    work. ``demand`` is the work that its clients ask for, by model.
+    ``recent_stops`` repeats recent notices for nodes that missed them. A beat
+    ``via_relays`` is not sent to all nodes.
     """
 
     sender: str
@@ -53,11 +54,11 @@
 
 
 class Summary(msgspec.Struct, tag='summary', array_like=True):
-    """What the nodes of a failure domain tell, as a relay sums it up.
+    """The beats of the nodes of a failure domain, summed up by a relay.
 
-    ``relays`` are the addresses of those that take in what others tell;
-    ``announced`` holds the first name among a source's readers and the
-    version of the last change; ``placer`` is the address of the placer.
+    ``relays`` are the addresses of the nodes that receive the summaries of
+    other domains, by name. ``source_readers`` has, for each source, the first
+    name among its readers and the version of the last change.
     """
 
     sender: str
@@ -75,11 +76,11 @@
 
 
 class Digest(msgspec.Struct, tag='digest', array_like=True):
-    """What a relay tells the nodes of its failure domain.
+    """What a relay sends to the nodes of its failure domain.
 
-    ``beat`` is its own; ``heard`` names those that ``own`` sums up,
-    ``others`` are the summaries of other failure domains, ``ages`` the
-    seconds since it heard each.
+    ``beat`` is the relay's own. ``summary`` is that of its failure domain and
+    includes ``summarized_nodes``. ``other_summaries`` are those of the other
+    failure domains, and ``summary_ages`` their ages in seconds.
     """
 
     beat: Beat
@@ -90,7 +91,7 @@
 
 
 class Suspect(msgspec.Struct, tag='suspect', array_like=True):
-    """Evidence that a replica may stand still, for its placer to look at."""
+    """Evidence that a replica may have stalled, for its placer to check."""
 
     sender: str
     replica: str
@@ -99,7 +100,7 @@
 
 
 class ConfigAsk(msgspec.Struct, tag='config_ask', array_like=True):
-    """A node without the newest configuration asks one that has it."""
+    """Request of a node for a configuration newer than ``version``."""
 
     sender: str
     address: str
@@ -107,21 +108,21 @@
 
 
 class ConfigGive(msgspec.Struct, tag='config_give', array_like=True):
-    """The configuration in force at the sender."""
+    """The configuration in force at the sender, in reply to ``ConfigAsk``."""
 
     sender: str
     config: RouteConfig
 
 
 class ListNews(msgspec.Struct, tag='list_news', array_like=True):
-    """Changes of the platform's list that the sender has read."""
+    """Changes of the platform's list of instances, as read by the sender."""
 
     sender: str
     news: News[ListedInstance]
 
 
 class RecordNews(msgspec.Struct, tag='record_news', array_like=True):
-    """Changes of the rows of replicas and nodes that the sender has read."""
+    """Changes of the rows of replicas and nodes, as read by the sender."""
 
     sender: str
     news: News[Row]
--- a/src/cranecart/mesh/_peer_state.py
+++ b/src/cranecart/mesh/_peer_state.py
@@ -1,4 +1,4 @@
-"""What other nodes told last, and what it comes to."""
+"""The last beats and summaries of other nodes, and their totals."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -8,86 +8,94 @@
 from cranecart.clocks import since_boot
 from cranecart.mesh._messages import Beat, Digest, Summary
 
-# Two beats may be lost before a node's figures are held to be old.
-_FRESH_SECONDS = 0.8
-# What a relay told is used until the next relay speaks.
-_SUMMARY_SECONDS = 1.0
-# A relay that dies takes with it what it passed on until another one speaks;
-# meanwhile those nodes go on counting for the retry budget, as each would
-# take too large a part of it otherwise.
-_COUNTED_SECONDS = 2.0
+# Two beats may be lost before the state of a node counts as stale.
+_BEAT_VALID_SECONDS = 0.8
+# A summary stays valid until the next relay takes over.
+_SUMMARY_VALID_SECONDS = 1.0
+# When a relay dies, its summaries are missing until another relay takes over.
+# Meanwhile its nodes still count as alive, since otherwise each remaining node
+# would take too large a share of the retry budget.
+_NODES_ALIVE_SECONDS = 2.0
 
 
 @attrs.frozen
-class HeardBeat:
-    """A beat, and when it came."""
+class ReceivedBeat:
+    """A beat and the time it was received."""
 
     beat: Beat
-    at: float
+    received_at: float
 
     @property
-    def until(self) -> float:
+    def valid_until(self) -> float:
         """Return until when its figures are used."""
-        return self.at + _FRESH_SECONDS
+        return self.received_at + _BEAT_VALID_SECONDS
 
 
 @attrs.frozen
-class HeardSummary:
-    """A summary, and when it was made."""
+class ReceivedSummary:
+    """A summary and the time it was made."""
 
     summary: Summary
-    at: float
+    made_at: float
 
     @property
-    def until(self) -> float:
+    def valid_until(self) -> float:
         """Return until when its figures are used."""
-        return self.at + _SUMMARY_SECONDS
+        return self.made_at + _SUMMARY_VALID_SECONDS
 
     @property
-    def counted_until(self) -> float:
-        """Return until when its nodes count as alive."""
-        return self.at + _COUNTED_SECONDS
+    def nodes_alive_until(self) -> float:
+        """Return until when the summarized nodes count as alive."""
+        return self.made_at + _NODES_ALIVE_SECONDS
 
-    def replaceable(self, now: float) -> 'HeardSummary':
-        """Return the same as too old to use, but not to count."""
-        return attrs.evolve(self, at=min(self.at, now - _SUMMARY_SECONDS))
+    def as_replaceable(self, now: float) -> 'ReceivedSummary':
+        """Return a copy that any other summary replaces.
 
-    def is_worse(self, summary: Summary, at: float, now: float) -> bool:
-        """Tell whether another summary is to be used instead.
+        It is too old to be used, but its nodes still count as alive.
+        """
+        return attrs.evolve(
+            self, made_at=min(self.made_at, now - _SUMMARY_VALID_SECONDS)
+        )
 
-        Of two relays that speak at once, the one that hears more counts.
+    def is_superseded_by(
+        self, summary: Summary, made_at: float, now: float
+    ) -> bool:
+        """Return whether another summary is to be used instead.
+
+        Of two relays active at once, the one that covers more nodes wins.
         """
-        if at < self.at:
+        if made_at < self.made_at:
             return False
         return (
             summary.sender == self.summary.sender
             or summary.node_count >= self.summary.node_count
-            or self.until <= now
+            or self.valid_until <= now
         )
 
 
-Reader = tuple[str, int]
+# The name of a node that reads a source, and the last version that it read.
+SourceReader = tuple[str, int]
 
 
 @attrs.define
 class Totals:
-    """What the fresh messages of others come to.
+    """Totals of the valid beats and summaries of other nodes.
 
-    ``announced`` holds names of readers and versions, by source; ``newest``
-    the newest configuration and the address of a node that has it. They hold
-    ``until`` the first of the messages is too old.
+    ``newest_config`` is the version of the newest configuration and the address
+    of a node that has it; ``placer_addresses`` are by failure domain. The
+    totals hold until the first of the messages expires.
     """
 
-    until: float = float('inf')
+    valid_until: float = float('inf')
     node_count: int = 0
     newest_config: tuple[int, str] = (0, '')
     in_flight: Counter[str] = attrs.field(factory=Counter)
     demand: Counter[str] = attrs.field(factory=Counter)
     placer_addresses: dict[str, str] = attrs.field(factory=dict)
-    source_readers: dict[str, list[Reader]] = attrs.field(factory=dict)
+    source_readers: dict[str, list[SourceReader]] = attrs.field(factory=dict)
 
     def add_beat(self, beat: Beat) -> None:
-        """Add one node's figures."""
+        """Add the state of one node."""
         self.node_count += 1
         self.in_flight.update(beat.in_flight)
         self.demand.update(beat.demand)
@@ -95,161 +103,190 @@
         if beat.placer_domain:
             self.placer_addresses[beat.placer_domain] = beat.address
         for source, version in beat.source_versions.items():
-            told = self.source_readers.setdefault(source, [])
-            told.append((beat.sender, version))
+            readers = self.source_readers.setdefault(source, [])
+            readers.append((beat.sender, version))
 
     def add_summary(self, summary: Summary) -> None:
-        """Add the figures of a failure domain, but for its nodes."""
+        """Add the state of a failure domain, except for its node count."""
         self.in_flight.update(summary.in_flight)
         self.demand.update(summary.demand)
         self._note_config(summary.config_version, summary.config_address)
-        for source, told in summary.source_readers.items():
-            self.source_readers.setdefault(source, []).append(told)
+        for source, reader in summary.source_readers.items():
+            self.source_readers.setdefault(source, []).append(reader)
 
-    def leave_out(self, beat: Beat) -> None:
-        """Take out of a sum what this node itself has told."""
+    def subtract_beat(self, beat: Beat) -> None:
+        """Subtract this node's own beat, which a summary includes."""
         self.in_flight.subtract(beat.in_flight)
         self.demand.subtract(beat.demand)
 
     def _note_config(self, version: int, address: str) -> None:
-        """Keep the first of equals, so that not all ask the same node."""
+        """Keep the first node of equal versions.
+
+        Otherwise all nodes would request the configuration from the same one.
+        """
         if version > self.newest_config[0]:
             self.newest_config = (version, address)
 
 
 @attrs.define
 class PeerState:
-    """The last messages of other nodes; they are summed up once a change.
+    """The last beats and summaries of other nodes; totals are cached.
 
-    ``told`` is what this node told last, which the relay's sum holds.
+    ``last_sent_beat`` is subtracted from the summary of the local failure
+    domain where that includes this node.
     """
 
-    _name: str
-    _domain: str
+    _node_id: str
+    _failure_domain: str
     _clock: Callable[[], float] = since_boot
     has_traffic: bool = attrs.field(default=False, init=False)
-    told: Beat | None = attrs.field(default=None, init=False)
-    _beats: dict[str, HeardBeat] = attrs.field(factory=dict, init=False)
-    _summaries: dict[str, HeardSummary] = attrs.field(factory=dict, init=False)
-    # Whom the relay of the own failure domain hears.
-    _relayed: frozenset[str] = attrs.field(default=frozenset(), init=False)
+    last_sent_beat: Beat | None = attrs.field(default=None, init=False)
+    _beats: dict[str, ReceivedBeat] = attrs.field(factory=dict, init=False)
+    _summaries: dict[str, ReceivedSummary] = attrs.field(
+        factory=dict, init=False
+    )
+    # The nodes that the summary of the local failure domain includes.
+    _summarized_nodes: frozenset[str] = attrs.field(
+        default=frozenset(), init=False
+    )
     _totals: Totals | None = attrs.field(default=None, init=False)
 
-    def take_beat(self, beat: Beat) -> None:
-        """Take over what a node told this one."""
-        self._beats[beat.sender] = HeardBeat(beat, self._clock())
+    def record_beat(self, beat: Beat) -> None:
+        """Record a beat that was just received."""
+        self._beats[beat.sender] = ReceivedBeat(beat, self._clock())
         self.has_traffic = self.has_traffic or beat.requests > 0
         self._totals = None
 
-    def take_summary(self, summary: Summary, at: float) -> bool:
-        """Take a summary over, unless a better one has come."""
-        known = self._summaries.get(summary.failure_domain)
+    def record_summary(self, summary: Summary, made_at: float) -> bool:
+        """Record a summary unless a better one is known.
+
+        Return whether it was recorded.
+        """
+        previous = self._summaries.get(summary.failure_domain)
         now = self._clock()
-        if known is not None and not known.is_worse(summary, at, now):
+        if previous is not None and not previous.is_superseded_by(
+            summary, made_at, now
+        ):
             return False
-        self._summaries[summary.failure_domain] = HeardSummary(summary, at)
+        self._summaries[summary.failure_domain] = ReceivedSummary(
+            summary, made_at
+        )
         self.has_traffic = self.has_traffic or summary.has_traffic
         self._totals = None
         return True
 
-    def take_digest(self, digest: Digest) -> None:
-        """Take over what a relay of the own failure domain told."""
-        if self.take_summary(digest.summary, self._clock()):
-            self._relayed = frozenset(digest.summarized_nodes)
+    def record_digest(self, digest: Digest) -> None:
+        """Record the digest of a relay of the local failure domain."""
+        if self.record_summary(digest.summary, self._clock()):
+            self._summarized_nodes = frozenset(digest.summarized_nodes)
 
-    def drop(self, name: str) -> None:
-        """Forget a node that stops or was taken from the table.
+    def forget_node(self, node_id: str) -> None:
+        """Forget a node that stops or was removed from the table.
 
-        What it summed up as a relay is what its successor replaces at once.
+        If it was a relay, the next relay's summary replaces its own at once.
         """
-        self._relayed -= {name}
+        self._summarized_nodes -= {node_id}
         self._totals = None
-        self._beats.pop(name, None)
-        for domain, one in self._summaries.items():
-            if one.summary.sender == name:
-                self._summaries[domain] = one.replaceable(self._clock())
-
-    def has_met(self, name: str) -> bool:
-        """Tell whether a node has ever told this one anything."""
-        return name in self._beats
-
-    def is_fresh(self, name: str) -> bool:
-        """Tell whether this node or its relay hears a node."""
-        known = self._beats.get(name)
+        self._beats.pop(node_id, None)
+        for domain, received in self._summaries.items():
+            if received.summary.sender == node_id:
+                self._summaries[domain] = received.as_replaceable(self._clock())
+
+    def has_sent_beat(self, node_id: str) -> bool:
+        """Return whether a beat of a node was ever received here."""
+        return node_id in self._beats
+
+    def was_seen_recently(self, node_id: str) -> bool:
+        """Return whether this node or its relay recently heard a node."""
+        previous = self._beats.get(node_id)
         now = self._clock()
-        if known is not None and known.until > now:
+        if previous is not None and previous.valid_until > now:
             return True
-        return name in self._relayed and self._domain in self.summaries()
+        return (
+            node_id in self._summarized_nodes
+            and self._failure_domain in self.summaries()
+        )
 
-    def beside(self) -> list[Beat]:
-        """Return the fresh beats of the own failure domain's nodes."""
+    def fresh_domain_beats(self) -> list[Beat]:
+        """Return the valid beats of the local failure domain's nodes."""
         now = self._clock()
         return [
-            one.beat
-            for one in self._beats.values()
-            if one.until > now and one.beat.failure_domain == self._domain
+            received.beat
+            for received in self._beats.values()
+            if received.valid_until > now
+            and received.beat.failure_domain == self._failure_domain
         ]
 
-    def summaries(self) -> dict[str, HeardSummary]:
-        """Return the summaries that are used, by failure domain."""
+    def summaries(self) -> dict[str, ReceivedSummary]:
+        """Return the valid summaries, by failure domain."""
         now = self._clock()
         return {
-            domain: one
-            for domain, one in self._summaries.items()
-            if one.until > now
+            domain: received
+            for domain, received in self._summaries.items()
+            if received.valid_until > now
         }
 
     def totals(self) -> Totals:
-        """Return what all fresh messages come to."""
+        """Return the totals of all valid beats and summaries."""
         now = self._clock()
-        if self._totals is None or self._totals.until <= now:
+        if self._totals is None or self._totals.valid_until <= now:
             self._totals = self._sum(now)
         return self._totals
 
     def _sum(self, now: float) -> Totals:
         totals = Totals()
-        local = self._summaries.get(self._domain)
-        if local is not None:
-            self._add_summary(totals, local, now)
-        for domain, one in self._summaries.items():
-            if domain != self._domain:
-                self._add_summary(totals, one, now)
-        for heard in self._beats.values():
-            if heard.until > now:
-                self._add_beat(totals, heard, now)
+        local_summary = self._summaries.get(self._failure_domain)
+        if local_summary is not None:
+            self._add_summary(totals, local_summary, now)
+        for domain, received in self._summaries.items():
+            if domain != self._failure_domain:
+                self._add_summary(totals, received, now)
+        for received_beat in self._beats.values():
+            if received_beat.valid_until > now:
+                self._add_beat(totals, received_beat, now)
         return totals
 
     def _add_summary(
         self,
         totals: Totals,
-        one: HeardSummary,
+        received: ReceivedSummary,
         now: float,
     ) -> None:
-        summary = one.summary
-        is_local = summary.failure_domain == self._domain
-        if one.counted_until > now:
-            is_told = is_local and self._name in self._relayed
-            totals.node_count += summary.node_count - int(is_told)
-            totals.until = min(totals.until, one.counted_until)
-        if one.until > now:
+        summary = received.summary
+        is_local = summary.failure_domain == self._failure_domain
+        if received.nodes_alive_until > now:
+            is_summarized = is_local and self._node_id in self._summarized_nodes
+            totals.node_count += summary.node_count - int(is_summarized)
+            totals.valid_until = min(
+                totals.valid_until, received.nodes_alive_until
+            )
+        if received.valid_until > now:
             totals.add_summary(summary)
-            totals.until = min(totals.until, one.until)
+            totals.valid_until = min(totals.valid_until, received.valid_until)
             if not is_local and summary.placer_address:
                 totals.placer_addresses[summary.failure_domain] = (
                     summary.placer_address
                 )
-            if is_local and self.told and self._name in self._relayed:
-                totals.leave_out(self.told)
-
-    def _add_beat(self, totals: Totals, heard: HeardBeat, now: float) -> None:
-        """Add a beat, or only its duty where a summary holds the rest."""
-        beat = heard.beat
-        totals.until = min(totals.until, heard.until)
+            if (
+                is_local
+                and self.last_sent_beat
+                and self._node_id in self._summarized_nodes
+            ):
+                totals.subtract_beat(self.last_sent_beat)
+
+    def _add_beat(
+        self, totals: Totals, received_beat: ReceivedBeat, now: float
+    ) -> None:
+        """Add a beat, or only its placer where a summary includes the rest."""
+        beat = received_beat.beat
+        totals.valid_until = min(totals.valid_until, received_beat.valid_until)
         if beat.placer_domain:
             totals.placer_addresses[beat.placer_domain] = beat.address
-        told = self._summaries.get(beat.failure_domain)
-        is_told = told is not None and told.counted_until > now
-        if is_told and beat.failure_domain == self._domain:
-            is_told = beat.sender in self._relayed
-        if not is_told:
+        received = self._summaries.get(beat.failure_domain)
+        is_summarized = (
+            received is not None and received.nodes_alive_until > now
+        )
+        if is_summarized and beat.failure_domain == self._failure_domain:
+            is_summarized = beat.sender in self._summarized_nodes
+        if not is_summarized:
             totals.add_beat(beat)
--- a/src/cranecart/mesh/_rendezvous.py
+++ b/src/cranecart/mesh/_rendezvous.py
@@ -1,7 +1,7 @@
-"""Rank nodes for a target, so that all agree without a message.
+"""Choose the nodes that send to a target, by rendezvous hashing.
 
-Rendezvous hashing: a node that comes or goes changes only the targets that it
-comes first for.
+All nodes agree on the choice without coordination, and a node that joins or
+leaves changes only the targets for which it ranks among the first.
 """
 
 import functools
@@ -12,47 +12,46 @@
 from cranecart.mesh._state import MeshState
 
 _DIGEST_BYTES = 8
-# Names of nodes by targets whose ranks are kept, as each is asked for anew
-# several times a second.
-_MOST_KEPT = 65536
+# Cached pairs of node and target; each is looked up several times a second.
+_SCORE_CACHE_SIZE = 65536
 
 
 def sharing_node_count(
     state: MeshState,
     failure_domain: str,
-    name: str,
-    most: int,
+    target: str,
+    limit: int,
 ) -> int:
-    """Return how many nodes share a target, 0 if this one does not.
+    """Return how many nodes send to a target, 0 if this node is not one.
 
-    So many ``most`` do that come first in a ranking that is the same at all
-    nodes. Nodes of the target's failure domain do, as far as any is heard; bytes
-    between failure domains are paid for, and a node that is cut off from them
-    cannot know who sends.
+    These are the first ``limit`` nodes of a ranking that is the same at all
+    nodes. They are of the target's failure domain while any node there is
+    alive: traffic between failure domains costs money, and a node that is cut
+    off from that domain cannot know which nodes send.
     """
     local = state.local
     if local.stopping:
         return 0
     domains = state.roster.live_domains()
-    home = failure_domain
-    if home not in domains:
-        home = top_ranked_names(domains, name, 1)[0]
-    if home != local.failure_domain:
+    sending_domain = failure_domain
+    if sending_domain not in domains:
+        sending_domain = top_ranked_names(domains, target, 1)[0]
+    if sending_domain != local.failure_domain:
         return 0
-    chosen = top_ranked_names(state.roster.live_beside(), name, most)
+    chosen = top_ranked_names(state.roster.live_domain_nodes(), target, limit)
     return len(chosen) if local.node_id in chosen else 0
 
 
 def top_ranked_names(
     names: Collection[str],
     target: str,
-    most: int,
+    limit: int,
 ) -> list[str]:
-    """Return the first names of the ranking for a target."""
-    return heapq.nsmallest(most, names, key=lambda one: _rank(one, target))
+    """Return the first ``limit`` names of the ranking for a target."""
+    return heapq.nsmallest(limit, names, key=lambda one: _score(one, target))
 
 
-@functools.lru_cache(_MOST_KEPT)
-def _rank(name: str, target: str) -> bytes:
+@functools.lru_cache(_SCORE_CACHE_SIZE)
+def _score(name: str, target: str) -> bytes:
     text = f'{name}\0{target}'.encode()
     return hashlib.blake2b(text, digest_size=_DIGEST_BYTES).digest()
--- a/src/cranecart/mesh/_roster.py
+++ b/src/cranecart/mesh/_roster.py
@@ -1,4 +1,4 @@
-"""Who the other nodes are, which of them relay, and whom to tell."""
+"""The known peers, the choice of relays, and the addresses to send to."""
 
 from collections.abc import Callable, Iterator
 
@@ -8,24 +8,24 @@
 from cranecart.mesh._messages import Digest
 from cranecart.mesh._peer_state import PeerState
 
-# Up to so many nodes tell each other everything directly: sixty messages a
-# second cost a node about a hundredth of a core.
-_FULL_MESH_NODES = 16
-# One relay speaks, the next listens as well and takes over.
-_RELAYS = 2
-# Two digests may be lost before the next relay speaks.
-_SILENT_RELAY_SECONDS = 0.6
-# A node that has just been listed counts as alive until it had time to speak.
-_NEW_SECONDS = 2.0
+# Up to this size all nodes send to each other directly: sixty messages a second
+# cost a node about a hundredth of a core.
+_FULL_MESH_MAX_NODES = 16
+# One relay is active; the next receives the same beats and is its standby.
+_RELAYS_PER_DOMAIN = 2
+# Two digests may be lost before the standby relay takes over.
+_RELAY_TIMEOUT_SECONDS = 0.6
+# A peer that was just added counts as alive until it had time to send a beat.
+_NEW_PEER_GRACE_SECONDS = 2.0
 
 
-# When a relay spoke, and whom it heard.
-Covered = tuple[float, frozenset[str]]
+# When a relay sent its last digest, and the nodes that it covered.
+RelayCoverage = tuple[float, frozenset[str]]
 
 
 @attrs.frozen
 class PeerNode:
-    """Another node as its row in the table names it."""
+    """Another node, as its row in the store describes it."""
 
     address: str
     failure_domain: str
@@ -33,19 +33,20 @@
 
 @attrs.define
 class Roster:
-    """The nodes that are known, by name, and their ranks as relays.
+    """The known peers by name, and which nodes act as relays.
 
-    The first live name of a failure domain relays, so that nothing has to be
-    agreed; where nodes see different ones alive, several relay.
+    The live node with the first name in a failure domain is its relay, so no
+    election is needed. Where nodes disagree on which are alive, several relays
+    may be active at once.
     """
 
-    _name: str
-    _domain: str
-    _others: PeerState
+    _node_id: str
+    _failure_domain: str
+    _peer_state: PeerState
     _clock: Callable[[], float] = since_boot
     peers: dict[str, PeerNode] = attrs.field(factory=dict, init=False)
-    _since: dict[str, float] = attrs.field(factory=dict, init=False)
-    _digests: dict[str, Covered] = attrs.field(
+    _added_at: dict[str, float] = attrs.field(factory=dict, init=False)
+    _relay_coverage: dict[str, RelayCoverage] = attrs.field(
         factory=dict,
         init=False,
     )
@@ -53,145 +54,162 @@
 
     @property
     def uses_relays(self) -> bool:
-        """Tell whether relays are needed.
+        """Return whether the deployment is large enough to need relays.
 
-        Once one node finds so all do, or those that speak to relays only
-        would not be heard; it holds until the last of them has stopped.
+        Once one node decides so all nodes follow, since otherwise nodes that
+        send to relays only would not be heard. The decision lasts until all of
+        these nodes have stopped.
         """
-        if len(self.peers) >= _FULL_MESH_NODES:
+        if len(self.peers) >= _FULL_MESH_MAX_NODES:
             self._uses_relays = True
         return self._uses_relays
 
-    def grow(self) -> None:
-        """Take over that another node needs relays."""
+    def enable_relays(self) -> None:
+        """Switch to relays because another node has."""
         self._uses_relays = True
 
     def add(self, name: str, peer: PeerNode) -> None:
-        """Take over a node that the table names, or that speaks."""
+        """Add or update a peer that the table lists or that sent a beat."""
         self.peers[name] = peer
-        self._since.setdefault(name, self._clock())
+        self._added_at.setdefault(name, self._clock())
 
     def remove(self, name: str) -> PeerNode | None:
-        """Forget a node; return what was known of it."""
-        self._since.pop(name, None)
-        self.stop_relaying(name)
+        """Remove a peer; return what was known of it."""
+        self._added_at.pop(name, None)
+        self.remove_relay(name)
         return self.peers.pop(name, None)
 
-    def note_digest(self, digest: Digest) -> None:
-        """Take over whom a relay of the own failure domain hears."""
+    def record_relay_coverage(self, digest: Digest) -> None:
+        """Record which nodes a relay of the local failure domain covers."""
         relay = digest.summary.sender
-        self._digests[relay] = (
+        self._relay_coverage[relay] = (
             self._clock(),
             frozenset(digest.summarized_nodes),
         )
 
-    def stop_relaying(self, name: str) -> None:
-        """Take over that a node relays no more."""
-        self._digests.pop(name, None)
+    def remove_relay(self, name: str) -> None:
+        """Forget the digests of a node that is no relay any more."""
+        self._relay_coverage.pop(name, None)
 
     def live_count(self) -> int:
-        """Return how many nodes are heard beside this one, or just listed."""
+        """Return the number of live peers, including those just added."""
         return sum(map(self._is_live, self.peers))
 
     def relays(self) -> list[str]:
-        """Return the first live names of the own failure domain."""
-        live = [name for name in self._own_peers() if self._is_live(name)]
-        return sorted((*live, self._name))[:_RELAYS]
+        """Return the relay and its standby in the local failure domain."""
+        live = [name for name in self._domain_peers() if self._is_live(name)]
+        return sorted((*live, self._node_id))[:_RELAYS_PER_DOMAIN]
 
-    def is_speaking(self) -> bool:
-        """Tell whether this node has to relay now.
+    def is_active_relay(self) -> bool:
+        """Return whether this node has to act as a relay now.
 
-        It does where no earlier name does, or where one does not hear a node
-        that speaks to this one.
+        It does if no node with an earlier name does, or if those that do miss a
+        node whose beats arrive here.
         """
-        covered = self._covered()
-        if covered is None:
-            return self._name in self.relays()
-        return any(beat.sender not in covered for beat in self._others.beside())
+        covered_nodes = self._nodes_covered_by_others()
+        if covered_nodes is None:
+            return self._node_id in self.relays()
+        return any(
+            beat.sender not in covered_nodes
+            for beat in self._peer_state.fresh_domain_beats()
+        )
 
     def is_isolated(self) -> bool:
-        """Tell whether none of the nodes beside this one is heard."""
-        beside = list(self._own_peers())
-        return bool(beside) and not any(map(self._is_live, beside))
+        """Return whether this failure domain has peers but none is alive."""
+        domain_peers = list(self._domain_peers())
+        return bool(domain_peers) and not any(map(self._is_live, domain_peers))
 
     def takeover_rank(self) -> int:
-        """Return when this node is to take over what one does for all.
+        """Return the rank at which this node takes over a shared task.
 
-        The first live node of the first failure domain does so at once, then
-        those of the others, then everybody.
+        The relay of the first failure domain has rank 0, those of the other
+        domains have rank 1, and all other nodes rank 2.
         """
-        if self.relays()[0] != self._name:
+        if self.relays()[0] != self._node_id:
             return 2
         domains = {peer.failure_domain for peer in self.peers.values()}
-        return int(min({*domains, self._domain}) != self._domain)
+        return int(
+            min({*domains, self._failure_domain}) != self._failure_domain
+        )
 
-    def beside(self, *, include_silent: bool) -> list[str]:
-        """Return the addresses of the own failure domain's other nodes."""
-        return self._addresses(self._own_peers(), include_silent=include_silent)
+    def domain_addresses(self, *, include_silent: bool) -> list[str]:
+        """Return the addresses of the peers in the local failure domain."""
+        return self._addresses(
+            self._domain_peers(), include_silent=include_silent
+        )
 
-    def everyone(self, *, include_silent: bool) -> list[str]:
-        """Return the addresses of all other nodes."""
+    def all_addresses(self, *, include_silent: bool) -> list[str]:
+        """Return the addresses of all peers."""
         return self._addresses(iter(self.peers), include_silent=include_silent)
 
-    def live_beside(self) -> list[str]:
-        """Return the own failure domain's live nodes, this one included."""
-        return [self._name, *filter(self._is_live, self._own_peers())]
+    def live_domain_nodes(self) -> list[str]:
+        """Return the live nodes of the local domain, including this one."""
+        return [self._node_id, *filter(self._is_live, self._domain_peers())]
 
     def live_domains(self) -> set[str]:
-        """Return the failure domains of which any node is heard."""
-        heard = {
+        """Return the failure domains with any live node."""
+        live_peer_domains = {
             peer.failure_domain
             for name, peer in self.peers.items()
             if self._is_live(name)
         }
-        return {self._domain, *heard, *self._others.summaries()}
+        return {
+            self._failure_domain,
+            *live_peer_domains,
+            *self._peer_state.summaries(),
+        }
 
-    def next_relays(self) -> list[str]:
-        """Return the addresses of the own failure domain's relays."""
+    def domain_relay_addresses(self) -> list[str]:
+        """Return the addresses of the local failure domain's relays."""
         return [
             self.peers[name].address
             for name in self.relays()
-            if name != self._name
+            if name != self._node_id
         ]
 
-    def far_relays(self, *, include_silent: bool) -> list[str]:
-        """Return the addresses of those who take in news elsewhere.
+    def remote_relay_addresses(self, *, include_silent: bool) -> list[str]:
+        """Return the addresses of the relays of other failure domains.
 
-        Where they are not known, all nodes of that failure domain are tried:
-        often those just listed, now and then the others.
+        Where the relays are not known, they are those of all live nodes of that
+        failure domain, and with ``include_silent`` of the others as well.
         """
-        summaries = self._others.summaries()
-        known = {
+        summaries = self._peer_state.summaries()
+        known_relays = {
             address
             for domain, one in summaries.items()
-            if domain != self._domain
+            if domain != self._failure_domain
             for address in one.summary.relays.values()
         }
-        unknown = (
+        peers_without_relay = (
             name
             for name, peer in self.peers.items()
-            if peer.failure_domain not in {self._domain, *summaries}
+            if peer.failure_domain not in {self._failure_domain, *summaries}
         )
         return [
-            *known,
-            *self._addresses(unknown, include_silent=include_silent),
+            *known_relays,
+            *self._addresses(
+                peers_without_relay, include_silent=include_silent
+            ),
         ]
 
-    def _covered(self) -> frozenset[str] | None:
-        """Return whom earlier names hear that relay now, if any does."""
-        oldest = self._clock() - _SILENT_RELAY_SECONDS
-        heard = [
+    def _nodes_covered_by_others(self) -> frozenset[str] | None:
+        """Return the nodes covered by active relays with earlier names.
+
+        Return None if there is no such relay.
+        """
+        earliest = self._clock() - _RELAY_TIMEOUT_SECONDS
+        covered_sets = [
             names
-            for sender, (at, names) in self._digests.items()
-            if sender < self._name and at > oldest
+            for sender, (reported_at, names) in self._relay_coverage.items()
+            if sender < self._node_id and reported_at > earliest
         ]
-        return frozenset().union(*heard) if heard else None
+        return frozenset().union(*covered_sets) if covered_sets else None
 
-    def _own_peers(self) -> Iterator[str]:
+    def _domain_peers(self) -> Iterator[str]:
         return (
             name
             for name, peer in self.peers.items()
-            if peer.failure_domain == self._domain
+            if peer.failure_domain == self._failure_domain
         )
 
     def _addresses(
@@ -207,8 +225,11 @@
         ]
 
     def _is_live(self, name: str) -> bool:
-        if self._others.is_fresh(name):
+        if self._peer_state.was_seen_recently(name):
             return True
-        # What relays tell is surer than that a node has been listed.
-        is_new = self._clock() - self._since[name] < _NEW_SECONDS
-        return is_new and not self._others.has_met(name)
+        # If the node was heard before, what beats and relays report counts more
+        # than its recent addition.
+        is_recently_added = (
+            self._clock() - self._added_at[name] < _NEW_PEER_GRACE_SECONDS
+        )
+        return is_recently_added and not self._peer_state.has_sent_beat(name)
--- a/src/cranecart/mesh/_sender.py
+++ b/src/cranecart/mesh/_sender.py
@@ -1,4 +1,4 @@
-"""Tell the others of this node, and a relay of what it has heard."""
+"""Send this node's beats and, on a relay, digests and summaries."""
 
 import attrs
 
@@ -13,16 +13,16 @@
 from cranecart.mesh._state import MeshCallbacks, MeshState
 from cranecart.transport import PeerTransport
 
-# How long the store may be ahead of a node before it asks another node, and how
-# long it waits for an answer: asked with each beat, one of half a megabyte was
-# sent four times a second.
+# How long a node may lag behind the newest announced configuration before it
+# requests it from a peer, and the interval of such requests. Requested with
+# each beat, a configuration of half a megabyte was sent four times a second.
 _CONFIG_LAG_SECONDS = 0.3
-_ASK_AGAIN_SECONDS = 1.0
+_CONFIG_REQUEST_INTERVAL_SECONDS = 1.0
 
 
 @attrs.define
 class MessageSender:
-    """Sends beats to all in a small deployment, by relays in a larger one."""
+    """Sends directly to all nodes, or through relays in a large deployment."""
 
     _state: MeshState
     _transport: PeerTransport[MeshMessage]
@@ -30,7 +30,7 @@
     _behind_since: float | None = attrs.field(default=None, init=False)
 
     def build_beat(self) -> Beat:
-        """Return what this node tells of itself now."""
+        """Return a beat with the current state of this node."""
         self._callbacks.refresh_local_state()
         local = self._state.local
         config = self._callbacks.read_config()
@@ -49,37 +49,50 @@
             local.source_versions,
             local.stopping,
             local.demand,
-            self._state.notices.recent(),
+            self._state.stop_notices.to_repeat(),
             self._state.roster.uses_relays,
         )
 
     def send_beat(self, *, include_silent: bool) -> None:
-        """Send a beat to whom it concerns, or relay."""
+        """Send a beat to all nodes, or to relays; relays send a digest.
+
+        With ``include_silent`` it is also sent to peers not heard from lately.
+        """
         roster = self._state.roster
         beat = self.build_beat()
-        self._state.others.told = beat
+        self._state.peer_state.last_sent_beat = beat
         if beat.via_relays:
-            self._tell_relays(beat, include_silent=include_silent)
+            self._send_beat_by_relays(beat, include_silent=include_silent)
         else:
-            everyone = roster.everyone(include_silent=include_silent)
-            self._transport.send_all(everyone, beat)
+            all_addresses = roster.all_addresses(include_silent=include_silent)
+            self._transport.send_all(all_addresses, beat)
 
     def publish(self, message: MeshMessage, *, include_silent: bool) -> None:
-        """Tell all, in a larger deployment by the relays of other domains."""
+        """Send a message to all nodes, directly or through relays.
+
+        With relays it goes directly to the local failure domain, and to the
+        relays of the others, which forward it.
+        """
         roster = self._state.roster
         if roster.uses_relays:
-            beside = roster.beside(include_silent=include_silent)
-            far = roster.far_relays(include_silent=include_silent)
-            self._transport.send_all((*beside, *far), message)
+            domain_addresses = roster.domain_addresses(
+                include_silent=include_silent
+            )
+            remote_addresses = roster.remote_relay_addresses(
+                include_silent=include_silent
+            )
+            self._transport.send_all(
+                (*domain_addresses, *remote_addresses), message
+            )
         else:
-            everyone = roster.everyone(include_silent=True)
-            self._transport.send_all(everyone, message)
+            all_addresses = roster.all_addresses(include_silent=True)
+            self._transport.send_all(all_addresses, message)
 
-    def ask_for_config(self) -> None:
-        """Ask another node for a configuration that the store withholds."""
+    def request_newer_config(self) -> None:
+        """Request a newer configuration from a peer if the store lags."""
         config = self._callbacks.read_config()
         version = config.version if config else 0
-        newest_version, address = self._state.others.totals().newest_config
+        newest_version, address = self._state.peer_state.totals().newest_config
         if newest_version <= version:
             self._behind_since = None
             return
@@ -88,51 +101,62 @@
             self._behind_since = now
         elif now - self._behind_since >= _CONFIG_LAG_SECONDS:
             local = self._state.local
-            ask = ConfigAsk(local.node_id, local.address, version)
-            self._transport.send(address, ask)
-            self._behind_since = now + _ASK_AGAIN_SECONDS - _CONFIG_LAG_SECONDS
+            request = ConfigAsk(local.node_id, local.address, version)
+            self._transport.send(address, request)
+            self._behind_since = (
+                now + _CONFIG_REQUEST_INTERVAL_SECONDS - _CONFIG_LAG_SECONDS
+            )
 
-    def _tell_relays(self, beat: Beat, *, include_silent: bool) -> None:
+    def _send_beat_by_relays(self, beat: Beat, *, include_silent: bool) -> None:
         roster = self._state.roster
-        if roster.is_speaking() and not beat.stopping:
-            self._relay(beat, include_silent=include_silent)
+        if roster.is_active_relay() and not beat.stopping:
+            self._send_as_relay(beat, include_silent=include_silent)
         elif beat.placer_domain:
-            # Who waits for this duty hears its holder itself.
-            beside = roster.beside(include_silent=include_silent)
-            self._transport.send_all(beside, beat)
+            # Candidates for the placer's lease watch its holder directly.
+            domain_addresses = roster.domain_addresses(
+                include_silent=include_silent
+            )
+            self._transport.send_all(domain_addresses, beat)
         else:
-            self._transport.send_all(roster.next_relays(), beat)
+            self._transport.send_all(roster.domain_relay_addresses(), beat)
 
-    def _relay(self, own_beat: Beat, *, include_silent: bool) -> None:
-        """Tell the own failure domain all, and the others a summary."""
+    def _send_as_relay(self, own_beat: Beat, *, include_silent: bool) -> None:
+        """Send a digest to the local failure domain, a summary to the others."""
         roster = self._state.roster
-        beats = [own_beat, *self._state.others.beside()]
-        summary = self._summary(beats)
-        beside = roster.beside(include_silent=include_silent)
-        self._transport.send_all(beside, self._digest(beats, summary))
-        far = roster.far_relays(include_silent=include_silent)
-        self._transport.send_all(far, summary)
-
-    def _digest(self, beats: list[Beat], summary: Summary) -> Digest:
+        beats = [own_beat, *self._state.peer_state.fresh_domain_beats()]
+        summary = self._build_summary(beats)
+        domain_addresses = roster.domain_addresses(
+            include_silent=include_silent
+        )
+        self._transport.send_all(
+            domain_addresses, self._build_digest(beats, summary)
+        )
+        remote_addresses = roster.remote_relay_addresses(
+            include_silent=include_silent
+        )
+        self._transport.send_all(remote_addresses, summary)
+
+    def _build_digest(self, beats: list[Beat], summary: Summary) -> Digest:
         now = self._state.clock()
-        told = [
-            one
-            for domain, one in self._state.others.summaries().items()
+        remote_summaries = [
+            received
+            for domain, received in self._state.peer_state.summaries().items()
             if domain != summary.failure_domain
         ]
         return Digest(
             beats[0],
             summary,
             [beat.sender for beat in beats],
-            [round(now - one.at, 3) for one in told],
-            [one.summary for one in told],
+            [round(now - received.made_at, 3) for received in remote_summaries],
+            [received.summary for received in remote_summaries],
         )
 
-    def _summary(self, beats: list[Beat]) -> Summary:
+    def _build_summary(self, beats: list[Beat]) -> Summary:
         own_beat = beats[0]
         roster = self._state.roster
         totals = Totals()
-        # Rather another node than the relay is asked for the configuration.
+        # Reversed, so that of nodes with the same configuration the relay, which
+        # comes first, is the last to be chosen for requests.
         for beat in reversed(beats):
             totals.add_beat(beat)
         version, address = totals.newest_config
@@ -148,12 +172,15 @@
             },
             version,
             address,
-            own_beat.requests > 0 or self._state.others.has_traffic,
+            own_beat.requests > 0 or self._state.peer_state.has_traffic,
             dict(totals.in_flight),
             totals.placer_addresses.get(own_beat.failure_domain, ''),
             {
-                source: (min(told)[0], max(version for _name, version in told))
-                for source, told in totals.source_readers.items()
+                source: (
+                    min(readers)[0],
+                    max(version for _name, version in readers),
+                )
+                for source, readers in totals.source_readers.items()
             },
             dict(totals.demand),
             own_beat.recent_stops,
--- a/src/cranecart/mesh/_state.py
+++ b/src/cranecart/mesh/_state.py
@@ -1,4 +1,4 @@
-"""What the parts of the mesh share."""
+"""State and callbacks shared by the parts of the mesh."""
 
 from collections.abc import Awaitable, Callable, Mapping
 
@@ -22,7 +22,13 @@
 
 @attrs.define
 class LocalState:
-    """What this node tells of itself with each beat."""
+    """The state of this node that each beat announces.
+
+    ``requests`` counts those received since the start; ``placer_domain`` is the
+    failure domain whose placer this node is, if any. ``source_versions`` are
+    the last changes read from the store, by source, and ``demand`` the work
+    that clients ask for, by model.
+    """
 
     node_id: str
     address: str
@@ -36,10 +42,10 @@
 
 @attrs.frozen
 class MeshCallbacks:
-    """Whom to tell what other nodes say.
+    """Functions through which the mesh reads and updates the node.
 
-    ``cases`` returns whether anything was new; ``renew_own`` brings this node's
-    own state up to date before it is told.
+    ``on_cases`` returns whether anything was new; ``refresh_local_state``
+    updates the local state before a beat is built from it.
     """
 
     on_stopped: Callable[[Stopped], object]
@@ -58,20 +64,21 @@
 
 @attrs.define
 class MeshState:
-    """A node, the others, and what they told each other.
+    """State of this node and of its peers.
 
-    ``digest_at`` is when a relay of the own failure domain spoke last.
+    ``last_digest_at`` is when a relay of the local failure domain last sent a
+    digest.
     """
 
     local: LocalState
     clock: Callable[[], float] = since_boot
-    others: PeerState = attrs.field(init=False)
+    peer_state: PeerState = attrs.field(init=False)
     roster: Roster = attrs.field(init=False)
-    notices: StopNotices = attrs.field(init=False)
-    digest_at: float | None = attrs.field(default=None, init=False)
+    stop_notices: StopNotices = attrs.field(init=False)
+    last_digest_at: float | None = attrs.field(default=None, init=False)
 
-    @others.default
-    def _make_others(self) -> PeerState:
+    @peer_state.default
+    def _make_peer_state(self) -> PeerState:
         return PeerState(
             self.local.node_id,
             self.local.failure_domain,
@@ -83,10 +90,10 @@
         return Roster(
             self.local.node_id,
             self.local.failure_domain,
-            self.others,
+            self.peer_state,
             self.clock,
         )
 
-    @notices.default
-    def _make_notices(self) -> StopNotices:
+    @stop_notices.default
+    def _make_stop_notices(self) -> StopNotices:
         return StopNotices(self.clock)
--- a/src/cranecart/mesh/_stop_notices.py
+++ b/src/cranecart/mesh/_stop_notices.py
@@ -1,4 +1,4 @@
-"""What must reach every node, repeated until it surely has."""
+"""Notices of stopped replicas, repeated until they reach every node."""
 
 from collections.abc import Callable
 
@@ -7,43 +7,43 @@
 from cranecart.clocks import since_boot
 from cranecart.mesh._messages import Stopped
 
-# Twelve beats, so that a message lost with a relay, or on a connection that
-# carries nothing any more (found after 1.5 s), comes by another way.
-_TELL_SECONDS = 3.0
-# Long after nobody repeats it any more, so that none goes round for ever.
-_REMEMBER_SECONDS = 30.0
+# Twelve beats, so that a notice lost with a relay, or on a connection that went
+# silent (detected after 1.5 s), arrives by another path.
+_REPEAT_SECONDS = 3.0
+# Well beyond the time of repetition, so that no notice circulates for ever.
+_RETENTION_SECONDS = 30.0
 
 
 @attrs.define
 class StopNotices:
-    """The replicas that were said to have stopped, and since when."""
+    """Notices of stopped replicas, with the time of their arrival."""
 
     _clock: Callable[[], float] = since_boot
-    _since: dict[tuple[str, int, bool], tuple[Stopped, float]] = attrs.field(
+    _received: dict[tuple[str, int, bool], tuple[Stopped, float]] = attrs.field(
         factory=dict,
         init=False,
     )
 
-    def note(self, message: Stopped) -> bool:
-        """Take a message over; return whether it is news."""
+    def add(self, message: Stopped) -> bool:
+        """Add a notice; return whether it is new."""
         key = (message.replica, message.epoch, message.finishes)
-        if key in self._since:
+        if key in self._received:
             return False
-        self._since[key] = (message, self._clock())
+        self._received[key] = (message, self._clock())
         return True
 
-    def recent(self) -> list[Stopped]:
-        """Return what is to be repeated now."""
-        if not self._since:
+    def to_repeat(self) -> list[Stopped]:
+        """Return the notices to repeat in the next beat."""
+        if not self._received:
             return []
         now = self._clock()
-        self._since = {
-            key: (message, since)
-            for key, (message, since) in self._since.items()
-            if now - since < _REMEMBER_SECONDS
+        self._received = {
+            key: (message, added_at)
+            for key, (message, added_at) in self._received.items()
+            if now - added_at < _RETENTION_SECONDS
         }
         return [
             message
-            for message, since in self._since.values()
-            if now - since < _TELL_SECONDS
+            for message, added_at in self._received.values()
+            if now - added_at < _REPEAT_SECONDS
         ]
--- a/src/cranecart/mesh/_target_messages.py
+++ b/src/cranecart/mesh/_target_messages.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other of targets."""
+"""Messages between nodes about targets."""
 
 import msgspec
 
@@ -7,8 +7,11 @@
 from cranecart.throttling import LimitUpdate
 
 
-class _OfLife(msgspec.Struct, array_like=True):
-    """What the sender has found out of one life of an instance."""
+class _AboutIncarnation(msgspec.Struct, array_like=True):
+    """Base of messages about one incarnation of an instance.
+
+    ``instance`` is its id, and ``born`` tells its incarnations apart.
+    """
 
     sender: str
     instance: str
@@ -16,27 +19,27 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """Return the instance's life."""
+        """Return the incarnation of the instance."""
         return Incarnation(self.instance, self.born)
 
 
-class Broken(_OfLife, tag='broken'):
+class Broken(_AboutIncarnation, tag='broken'):
     """An instance of a plain service that broke the sender's connection."""
 
 
-class Leaving(_OfLife, tag='leaving'):
-    """An instance that says in its answers that it leaves."""
+class Leaving(_AboutIncarnation, tag='leaving'):
+    """An instance that announced in its responses that it is leaving."""
 
 
 class RequestCases(msgspec.Struct, tag='cases', array_like=True):
-    """What the sender knows of requests under which targets have ended."""
+    """What the sender knows of requests that ended the targets they ran on."""
 
     sender: str
     cases: list[CaseUpdate]
 
 
 class TargetLimits(msgspec.Struct, tag='limits', array_like=True):
-    """What the sender knows of the limits that targets name."""
+    """The rate limits that targets announced to the sender."""
 
     sender: str
     limits: list[LimitUpdate]
--- a/src/cranecart/serving/_knowledge.py
+++ b/src/cranecart/serving/_knowledge.py
@@ -161,7 +161,7 @@
 
         What it lacks counts on, and is written again by whoever knows it.
         """
-        self.mesh.take_peers(peers_from_rows(items), False)
+        self.mesh.update_peers(peers_from_rows(items), False)
         self.fleet.apply_records(_records_of(items), False)
         self.held.restore(items)
         if self.registry is not None:
@@ -169,7 +169,7 @@
 
     def take(self, items: Mapping[str, Row | None], is_complete: bool) -> None:
         """Take over changed rows, or all of them."""
-        self.mesh.take_peers(peers_from_rows(items), is_complete)
+        self.mesh.update_peers(peers_from_rows(items), is_complete)
         versions = (0 if row is None else row.version for row in items.values())
         era = era_of(max(versions, default=0))
         self.fleet.apply_records(_records_of(items), is_complete, era)
--- a/tests/lib/simulated_cluster.py
+++ b/tests/lib/simulated_cluster.py
@@ -101,7 +101,7 @@
             for one, node in self.nodes.items()
         }
         for node in self.alive:
-            node.mesh.take_peers(rows, True)
+            node.mesh.update_peers(rows, True)
 
     def carry(self, sender: str, address: str, encoded: bytes) -> None:
         """Take a message on its way."""
@@ -117,7 +117,7 @@
             for node in self.alive:
                 self.now += BEAT_SECONDS / len(self.alive)
                 node.message_sender.send_beat(include_silent=turn % 8 == 0)
-                node.message_sender.ask_for_config()
+                node.message_sender.request_newer_config()
                 self.deliver()
 
     def deliver(self) -> None:
@@ -220,7 +220,7 @@
         message = decode_mesh_message(encoded)
         if self.cluster.loses_stopped and isinstance(message, Stopped):
             return
-        taking = self.message_handler.take(message)
+        taking = self.message_handler.handle(message)
         # Nothing that it does here has to be waited for.
         with contextlib.suppress(StopIteration):
             taking.send(None)
--- a/tests/lib/store_rig.py
+++ b/tests/lib/store_rig.py
@@ -208,13 +208,13 @@
 
     async def hear(self, encoded: bytes) -> None:
         """Take over what another node tells."""
-        await self.mesh.message_handler.take(decode_mesh_message(encoded))
+        await self.mesh.message_handler.handle(decode_mesh_message(encoded))
 
     async def _beat(self) -> None:
         turn = 0
         while True:
             self.mesh.message_sender.send_beat(include_silent=turn % 8 == 0)
-            self.mesh.message_sender.ask_for_config()
+            self.mesh.message_sender.request_newer_config()
             self.fleet.process_timeouts()
             turn += 1
             await curio.sleep(_BEAT_SECONDS)
@@ -261,7 +261,7 @@
                 msgspec.to_builtins(peer),
             )
         for one in self.nodes.values():
-            one.mesh.take_peers(peers, False)
+            one.mesh.update_peers(peers, False)
         self._tasks[name] = await curio.spawn(node.run)
         return node
 
--- a/tests/unit/test_mesh.py
+++ b/tests/unit/test_mesh.py
@@ -112,14 +112,16 @@
         placer = self.nodes['node-020'].mesh
         placer.local.placer_domain = 'domain-2'
         self.cluster.run(1)
-        others = [
+        other_nodes = [
             node for node in self.cluster.alive if node.mesh is not placer
         ]
         self.assertTrue(
-            all(node.mesh.has_other_placer('domain-2') for node in others),
+            all(node.mesh.has_other_placer('domain-2') for node in other_nodes),
         )
         self.cluster.sent.clear()
-        others[0].mesh.send_to_placer('domain-2', Stopped('', 'one', 1, ''))
+        other_nodes[0].mesh.send_to_placer(
+            'domain-2', Stopped('', 'one', 1, '')
+        )
         self.assertEqual(sum(self.cluster.sent.values()), 1)
 
     def test_a_placer_tells_nobody_what_it_judges_itself(self) -> None:
@@ -157,7 +159,9 @@
             all('one' in node.stopped for node in self.cluster.alive),
         )
         teller = self.nodes['node-020'].mesh
-        far = len(teller.state.roster.far_relays(include_silent=True))
+        far = len(
+            teller.state.roster.remote_relay_addresses(include_silent=True)
+        )
         beside = _LARGE // 3 - 1
         self.assertLessEqual(self.cluster.sent['node-020'], beside + far)
         self.assertLess(far, _LARGE // 3)
@@ -245,9 +249,9 @@
         relay.broadcast(relay.message_sender.build_beat())
         self.cluster.deliver()
         self.cluster.run(1.5)
-        others = [node.mesh for node in self.cluster.alive][1:]
+        other_nodes = [node.mesh for node in self.cluster.alive][1:]
         self.assertEqual(
-            {mesh.live_node_count() for mesh in others}, {_LARGE - 1}
+            {mesh.live_node_count() for mesh in other_nodes}, {_LARGE - 1}
         )
 
     def test_who_one_relay_does_not_hear_is_heard(self) -> None:
@@ -283,8 +287,12 @@
                 teller = cluster.nodes['node-001']
                 teller.mesh.publish(Broken('node-001', 'i1', 7))
                 cluster.run(0.25)
-                others = (one for one in cluster.alive if one is not teller)
-                self.assertTrue(all(one.broken == {'i1'} for one in others))
+                other_nodes = (
+                    one for one in cluster.alive if one is not teller
+                )
+                self.assertTrue(
+                    all(one.broken == {'i1'} for one in other_nodes)
+                )
 
 
 class StoppedTest(unittest.TestCase):
@@ -326,11 +334,11 @@
         now = [float(0)]
         notices = StopNotices(lambda: now[0])
         message = Stopped('', 'one', 1, '')
-        self.assertTrue(notices.note(message))
-        self.assertFalse(notices.note(message))
+        self.assertTrue(notices.add(message))
+        self.assertFalse(notices.add(message))
         now[0] = 60
-        self.assertEqual(notices.recent(), [])
-        self.assertTrue(notices.note(message))
+        self.assertEqual(notices.to_repeat(), [])
+        self.assertTrue(notices.add(message))
 
     def _expect_known(self, cluster: SimulatedCluster, name: str) -> None:
         without = [
--- a/tests/unit/test_suspension.py
+++ b/tests/unit/test_suspension.py
@@ -87,9 +87,9 @@
 
     def test_what_is_known(self) -> None:
         """Nodes, connections, budgets and failures are as old as they are."""
-        others = PeerState('n0', 'east')
-        others.take_beat(Beat('n1', 'a', 'east', 1, 0, {}))
-        self.assertTrue(others.is_fresh('n1'))
+        peer_state = PeerState('n0', 'east')
+        peer_state.record_beat(Beat('n1', 'a', 'east', 1, 0, {}))
+        self.assertTrue(peer_state.was_seen_recently('n1'))
         clocks = (
             TargetConnectionPool()._clock,
             SharedRetryBudget(RetryLimits(1, 1, 10), lambda: 1)._clock,
@@ -97,7 +97,7 @@
         )
         before = [clock() for clock in clocks]
         with _suspended():
-            self.assertFalse(others.is_fresh('n1'))
+            self.assertFalse(peer_state.was_seen_recently('n1'))
             for clock, earlier in zip(clocks, before, strict=True):
                 self.assertGreater(clock() - earlier, _SLEPT_SECONDS - 1)
 
