--- a/src/cranecart/clients/_attempts.py
+++ b/src/cranecart/clients/_attempts.py
@@ -7,7 +7,7 @@
 import curio
 from curio.errors import TaskTimeout
 
-from cranecart.clients._errors import describe_target_error
+from cranecart.clients._errors import client_error_from
 from cranecart.exceptions import (
     DeadlineError,
     Execution,
@@ -29,27 +29,27 @@
 
 
 @attrs.define
-class Attempts:
+class CallAttempts:
     """The attempts at one call; each goes to another target."""
 
     _call: Call
     _budget: RetryBudget
     _guard: RequestGuard
-    _number: int = attrs.field(default=0, init=False)
-    _last: TargetError | None = attrs.field(default=None, init=False)
+    _attempt_count: int = attrs.field(default=0, init=False)
+    _last_error: TargetError | None = attrs.field(default=None, init=False)
 
     async def run(self, attempt: Attempt[Answer]) -> Answer:
         """Return the first answer; raise ``RequestError`` for the last error.
 
         A call that may have run is attempted again only if it is repeatable.
         """
-        while self._may_go_on():
-            self._number += 1
+        while self._may_retry():
+            self._attempt_count += 1
             try:
                 self._guard.instances_to_avoid(self._identity)
                 return await attempt()
             except TargetError as error:
-                self._note(error)
+                self._record_failure(error)
             except (NoReplicaError, HeldError) as error:
                 raise self._final_error(error) from error
         raise self._final_error(
@@ -59,35 +59,41 @@
     def _identity(self) -> str:
         return self._call.identity
 
-    def _note(self, error: TargetError) -> None:
+    def _record_failure(self, error: TargetError) -> None:
         # Once it may have run, a later refusal does not make it 'not run'.
-        if self._last is None or self._last.execution is Execution.NOT_RUN:
-            self._last = error
+        if (
+            self._last_error is None
+            or self._last_error.execution is Execution.NOT_RUN
+        ):
+            self._last_error = error
         decision(
             'attempt_failed',
             request=self._call.request_id,
-            attempt=self._number,
+            attempt=self._attempt_count,
             execution=error.execution.value,
             why=str(error),
         )
 
-    def _may_go_on(self) -> bool:
-        if self._number >= _MAX_ATTEMPTS or self._call.seconds_left <= 0:
+    def _may_retry(self) -> bool:
+        if self._attempt_count >= _MAX_ATTEMPTS or self._call.seconds_left <= 0:
             return False
-        if self._last is None:
+        if self._last_error is None:
             self._budget.deposit()
             return True
         is_safe = (
-            self._call.repeatable or self._last.execution is Execution.NOT_RUN
+            self._call.repeatable
+            or self._last_error.execution is Execution.NOT_RUN
         )
         return is_safe and self._budget.withdraw()
 
-    def _final_error(self, without_attempt: RequestError) -> RequestError:
-        is_held = isinstance(without_attempt, HeldError)
-        last = self._last
-        if last is None or (is_held and last.execution is Execution.NOT_RUN):
-            return without_attempt
-        return describe_target_error(last)
+    def _final_error(self, error_before_sending: RequestError) -> RequestError:
+        is_held = isinstance(error_before_sending, HeldError)
+        last_error = self._last_error
+        if last_error is None or (
+            is_held and last_error.execution is Execution.NOT_RUN
+        ):
+            return error_before_sending
+        return client_error_from(last_error)
 
 
 async def within_deadline(
--- a/src/cranecart/clients/_errors.py
+++ b/src/cranecart/clients/_errors.py
@@ -46,7 +46,7 @@
     return json_response(error.status, body, headers)
 
 
-def describe_target_error(error: TargetError) -> RequestError:
+def client_error_from(error: TargetError) -> RequestError:
     """Turn a target's error into what the client is told."""
     if error.execution is Execution.NOT_RUN:
         return NotTakenError(str(error))
--- a/src/cranecart/clients/_gateway.py
+++ b/src/cranecart/clients/_gateway.py
@@ -6,10 +6,10 @@
 import attrs
 
 from cranecart.claims import Claims, Held, Replay
-from cranecart.clients._attempts import Attempts, within_deadline
+from cranecart.clients._attempts import CallAttempts, within_deadline
 from cranecart.clients._errors import error_response
-from cranecart.clients._reading import find_organisation, read_call
-from cranecart.clients._relay import StreamRelay, replica_runner
+from cranecart.clients._relay import StreamRelay, leader_runner
+from cranecart.clients._request_parsing import authenticate, parse_call
 from cranecart.clocks import since_boot
 from cranecart.declarations import Declarations
 from cranecart.exceptions import (
@@ -38,14 +38,14 @@
 Observer = Callable[[str, float | None], None]
 
 _OK = 200
-_PASSED_ON = frozenset(('content-type', 'x-replayed', 'x-cache'))
+_FORWARDED_HEADERS = frozenset(('content-type', 'x-replayed', 'x-cache'))
 
 
 @attrs.define
 class Gateway:
     """The path of a client's request through one node."""
 
-    _current: Callable[[], Declarations | None]
+    _current_declarations: Callable[[], Declarations | None]
     _router: Router
     _engines: EngineClient
     _services: ServiceClient
@@ -83,25 +83,25 @@
         responder: Responder,
         request_id: str,
     ) -> None:
-        declarations = self._current()
+        declarations = self._current_declarations()
         if declarations is None:
             raise NotConfiguredError('this node has no configuration yet')
-        organisation = find_organisation(request, declarations)
+        organisation = authenticate(request, declarations)
         call = attrs.evolve(
-            read_call(request, organisation, declarations),
+            parse_call(request, organisation, declarations),
             request_id=request_id,
         )
         tokens = call.max_tokens if isinstance(call, CompletionCall) else 0
         with self._admission.admit(organisation, call.priority, tokens):
-            await self._answer(call, responder)
+            await self._answer_call(call, responder)
 
-    async def _answer(self, call: Call, responder: Responder) -> None:
+    async def _answer_call(self, call: Call, responder: Responder) -> None:
         claim = await self._claim(call)
         if isinstance(claim, Replay):
-            await _send_whole(call, claim.response, responder)
+            await _send_response(call, claim.response, responder)
             return
         try:
-            response = await self._send(call, responder)
+            response = await self._forward(call, responder)
         except RequestError as error:
             if claim is not None and error.execution is Execution.NOT_RUN:
                 await self._claims.release(claim)
@@ -115,7 +115,7 @@
             return None
         return await self._claims.make(call)
 
-    async def _send(
+    async def _forward(
         self,
         call: Call,
         responder: Responder,
@@ -123,17 +123,17 @@
         """Answer the client; return what a repeat of the call should hear."""
         match call:
             case CompletionCall(stream=True):
-                return await self._stream(call, responder)
+                return await self._forward_stream(call, responder)
             case CompletionCall():
-                response = await self._complete(call)
+                response = await self._forward_completion(call)
             case ServiceCall():
-                response = await self._call_service(call)
+                response = await self._forward_service_call(call)
             case _:
                 raise TypeError(f'there is no way to send {call!r}')
-        await _send_whole(call, response, responder)
+        await _send_response(call, response, responder)
         return response
 
-    async def _stream(
+    async def _forward_stream(
         self,
         call: CompletionCall,
         responder: Responder,
@@ -150,17 +150,17 @@
         except RequestError as error:
             if not responder.has_started:
                 raise
-            await relay.finish_with(error)
+            await relay.finish_with_error(error)
             return None
-        return relay.recorded()
+        return relay.recorded_response()
 
-    async def _complete(self, call: CompletionCall) -> Response:
+    async def _forward_completion(self, call: CompletionCall) -> Response:
         tried: list[str] = []
 
         async def attempt() -> Response:  # noqa: WPS430
             replica = self._router.choose_replica(call, tried)
             tried.append(replica.id)
-            runner = replica_runner(replica)
+            runner = leader_runner(replica)
             with self._router.track_in_flight(replica.id):
                 async with self._guard.watch(
                     lambda: call.identity,
@@ -168,11 +168,11 @@
                 ) as watch:
                     answer = await self._engines.start_completion(replica, call)
                     watch.record_begun()
-                    return await _read_completion(call, answer)
+                    return await _read_response(call, answer)
 
         return await self._attempts(call).run(attempt)
 
-    async def _call_service(self, call: ServiceCall) -> Response:
+    async def _forward_service_call(self, call: ServiceCall) -> Response:
         tried: list[str] = []
 
         async def attempt() -> Response:  # noqa: WPS430
@@ -187,11 +187,11 @@
 
         return await self._attempts(call).run(attempt)
 
-    def _attempts(self, call: Call) -> Attempts:
-        return Attempts(call, self._budget, self._guard)
+    def _attempts(self, call: Call) -> CallAttempts:
+        return CallAttempts(call, self._budget, self._guard)
 
 
-async def _read_completion(
+async def _read_response(
     call: CompletionCall,
     answer: EngineAnswer,
 ) -> Response:
@@ -200,7 +200,7 @@
         return Response(_OK, answer.head.headers, body)
 
 
-async def _send_whole(
+async def _send_response(
     call: Call,
     response: Response,
     responder: Responder,
@@ -208,7 +208,7 @@
     headers = {
         name: text
         for name, text in response.headers.items()
-        if name in _PASSED_ON and text
+        if name in _FORWARDED_HEADERS and text
     }
     headers['x-request-id'] = call.request_id
     await responder.send(attrs.evolve(response, headers=headers))
--- a/src/cranecart/clients/_relay.py
+++ b/src/cranecart/clients/_relay.py
@@ -2,7 +2,7 @@
 
 from cranecart.clients._attempts import within_deadline
 from cranecart.clients._errors import ErrorBody
-from cranecart.clients._events import EventCounter, error_event
+from cranecart.clients._sse import EventCounter, error_event
 from cranecart.exceptions import (
     ConnectionBrokenError,
     RequestError,
@@ -24,7 +24,7 @@
 _EVENT_STREAM = 'text/event-stream'
 
 
-def replica_runner(replica: ServingReplica) -> NamedRunner:
+def leader_runner(replica: ServingReplica) -> NamedRunner:
     """Return the leader; each generation of a replica is a life of its own."""
     incarnation = Incarnation(replica.members[0], replica.generation)
     return NamedRunner(replica.id, incarnation, replica.leader)
@@ -42,71 +42,71 @@
         guard: RequestGuard,
     ) -> None:
         """Start with no token passed on."""
-        self._counter = EventCounter()
+        self._event_counter = EventCounter()
         self._call = call
         self._responder = responder
         self._router = router
         self._engines = engines
         self._guard = guard
         self._tried: list[str] = []
-        self._pieces: list[bytes] = []
-        self._client_left = False
+        self._recorded_events: list[bytes] = []
+        self._has_client_disconnected = False
 
     @property
     def is_finished(self) -> bool:
         """Tell whether the whole answer was passed on."""
-        return self._counter.is_finished
+        return self._event_counter.is_finished
 
     async def attempt(self) -> None:
         """Relay from a replica that was not tried; raise ``TargetError``."""
         replica = self._router.choose_replica(self._call, self._tried)
         self._tried.append(replica.id)
-        runner = replica_runner(replica)
+        runner = leader_runner(replica)
         watching = self._guard.watch(lambda: self._call.identity, runner)
         with self._router.track_in_flight(replica.id):
             async with watching as watch:
                 await self._relay(replica, watch)
 
-    async def finish_with(self, error: RequestError) -> None:
+    async def finish_with_error(self, error: RequestError) -> None:
         """End a stream that has started with an event that says why."""
         body = ErrorBody.from_error(error, self._call.request_id)
         decision(
             'stream_cut_short',
             request=self._call.request_id,
-            tokens=self._counter.tokens,
+            tokens=self._event_counter.tokens,
             why=str(error),
         )
         await self._responder.write(error_event(body))
         await self._responder.end()
 
-    def recorded(self) -> Response:
+    def recorded_response(self) -> Response:
         """Return the whole stream, kept for non-repeatable calls only."""
         return Response(
             _OK,
             {'content-type': _EVENT_STREAM},
-            b''.join(self._pieces),
+            b''.join(self._recorded_events),
         )
 
     async def _relay(
         self, replica: ServingReplica, watch: AttemptProgress
     ) -> None:
-        self._counter.restart()
+        self._event_counter.restart()
         answer = await self._engines.start_completion(
             replica,
             self._call,
-            self._counter.tokens,
+            self._event_counter.tokens,
         )
         async with answer:
             watch.record_begun()
-            await self._start()
+            await self._start_response()
             # One timer for the whole stream; one an event costs too much.
-            await within_deadline(self._call, self._pass_all_on, answer, watch)
+            await within_deadline(self._call, self._relay_all, answer, watch)
             if not self.is_finished:
                 raise TargetBrokenError(f'{replica.id} stopped mid-stream')
-        if not self._client_left:
+        if not self._has_client_disconnected:
             await self._responder.end()
 
-    async def _start(self) -> None:
+    async def _start_response(self) -> None:
         if self._responder.has_started:
             return
         await self._responder.start(
@@ -118,25 +118,25 @@
             },
         )
 
-    async def _pass_all_on(
+    async def _relay_all(
         self, answer: EngineAnswer, watch: AttemptProgress
     ) -> None:
-        while piece := await answer.read_chunk():
+        while chunk := await answer.read_chunk():
             watch.record_progress()
-            whole = self._counter.feed(piece)
-            if not whole:
+            complete = self._event_counter.feed(chunk)
+            if not complete:
                 continue
             if self._call.repeatable:
-                await self._responder.write(whole)
+                await self._responder.write(complete)
             else:
-                await self._pass_on_and_keep(whole)
+                await self._relay_and_record(complete)
 
-    async def _pass_on_and_keep(self, whole: bytes) -> None:
-        self._pieces.append(whole)
-        if self._client_left:
+    async def _relay_and_record(self, complete: bytes) -> None:
+        self._recorded_events.append(complete)
+        if self._has_client_disconnected:
             return
         try:
-            await self._responder.write(whole)
+            await self._responder.write(complete)
         except ConnectionBrokenError:
             # The call runs only once, so a repeat of it must find the answer.
-            self._client_left = True
+            self._has_client_disconnected = True
--- a/src/cranecart/clients/_reading.py
+++ b/src/cranecart/clients/_request_parsing.py
@@ -19,19 +19,19 @@
 from cranecart.http import Request
 from cranecart.targets import Call, CompletionCall, ServiceCall
 
-COMPLETIONS = '/v1/chat/completions'
-SERVICES = '/v1/services/'
+COMPLETIONS_PATH = '/v1/chat/completions'
+SERVICES_PREFIX = '/v1/services/'
 MAX_DEADLINE_MS = 600000
 _DEFAULT_DEADLINE_MS = 60000
 _MILLISECONDS = 1000
-_PREFIX_CHARS = 48
-_MAX_KEY_CHARS = 255
-_MAX_TOKENS = 32768
-_DEFAULT_TOKENS = 16
+_PROMPT_PREFIX_CHARS = 48
+_MAX_IDEMPOTENCY_KEY_CHARS = 255
+_MAX_TOKENS_LIMIT = 32768
+_DEFAULT_MAX_TOKENS = 16
 _YES_NO = MappingProxyType({'yes': True, 'no': False})
 
 
-def find_organisation(
+def authenticate(
     request: Request,
     declarations: Declarations,
 ) -> OrganisationSpec:
@@ -40,39 +40,39 @@
     if scheme.lower() != 'bearer' or not key:
         raise UnauthorizedError('send your key as "Authorization: Bearer ..."')
     digest = hashlib.sha256(key.strip().encode()).hexdigest()
-    found = None
+    match = None
     # Every hash is compared, each in constant time, so that the time taken
     # tells nothing about how near a guess came.
     for organisation in declarations.organisations:
         for known in organisation.key_sha256:
             if hmac.compare_digest(known, digest):
-                found = organisation
-    if found is None:
+                match = organisation
+    if match is None:
         raise UnauthorizedError('the key is not known')
-    return found
+    return match
 
 
-def read_call(
+def parse_call(
     request: Request,
     organisation: OrganisationSpec,
     declarations: Declarations,
 ) -> Call:
     """Check a request and return the call; raise ``RequestError``."""
     path = request.path
-    if path == COMPLETIONS:
-        return _read_completion(request, organisation)
-    if path.startswith(SERVICES):
-        return _read_service(request, organisation, declarations)
+    if path == COMPLETIONS_PATH:
+        return _parse_completion(request, organisation)
+    if path.startswith(SERVICES_PREFIX):
+        return _parse_service_call(request, organisation, declarations)
     raise NotFoundError(f'there is nothing at {path}')
 
 
-def _common(
+def _common_fields(
     request: Request,
     organisation: OrganisationSpec,
 ) -> dict[str, Any]:
     headers = request.headers
     key = headers.get('idempotency-key', '')
-    if len(key) > _MAX_KEY_CHARS:
+    if len(key) > _MAX_IDEMPOTENCY_KEY_CHARS:
         raise InvalidRequestError('Idempotency-Key is over 255 characters')
     return {
         'request_id': uuid.uuid4().hex,
@@ -118,37 +118,37 @@
     if text is None:
         return organisation.priority
     try:
-        asked = Priority(text)
+        requested = Priority(text)
     except ValueError:
         raise InvalidRequestError(
             'x-priority must be high, normal or low',
         ) from None
     # Nobody may ask for more than the organisation was given.
-    return max(asked, organisation.priority, key=lambda one: one.rank)
+    return max(requested, organisation.priority, key=lambda one: one.rank)
 
 
-def _read_completion(
+def _parse_completion(
     request: Request,
     organisation: OrganisationSpec,
 ) -> CompletionCall:
     if request.method != 'POST':
         raise InvalidRequestError('completions take POST')
-    body = _json_object(request.body)
-    model, _, version = _text(body, 'model').partition('@')
+    body = _decode_json_object(request.body)
+    model, _, version = _string_field(body, 'model').partition('@')
     if model not in organisation.models:
         raise NotFoundError(f'{organisation.name} has no model {model!r}')
     return CompletionCall(
-        **_common(request, organisation),
+        **_common_fields(request, organisation),
         model=model,
         version=version,
-        adapter=_text(body, 'adapter', default=''),
-        stream=_boolean(body, 'stream'),
-        prefix=_prefix(body),
+        adapter=_string_field(body, 'adapter', default=''),
+        stream=_boolean_field(body, 'stream'),
+        prefix=_prompt_prefix(body),
         max_tokens=_max_tokens(body),
     )
 
 
-def _json_object(body: bytes) -> dict[str, Any]:
+def _decode_json_object(body: bytes) -> dict[str, Any]:
     try:
         decoded = msgspec.json.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -158,54 +158,56 @@
     return decoded
 
 
-def _text(
+def _string_field(
     body: Mapping[str, object],
     name: str,
     default: str | None = None,
 ) -> str:
-    found = body.get(name, default)
-    if not isinstance(found, str):
+    field = body.get(name, default)
+    if not isinstance(field, str):
         raise InvalidRequestError(f'{name} must be given as a string')
-    return found
+    return field
 
 
-def _boolean(body: Mapping[str, object], name: str) -> bool:
-    found = body.get(name, False)
-    if not isinstance(found, bool):
+def _boolean_field(body: Mapping[str, object], name: str) -> bool:
+    field = body.get(name, False)
+    if not isinstance(field, bool):
         raise InvalidRequestError(f'{name} must be true or false')
-    return found
+    return field
 
 
 def _max_tokens(body: Mapping[str, object]) -> int:
-    found = body.get('max_tokens', _DEFAULT_TOKENS)
-    if isinstance(found, bool) or not isinstance(found, int):
+    field = body.get('max_tokens', _DEFAULT_MAX_TOKENS)
+    if isinstance(field, bool) or not isinstance(field, int):
         raise InvalidRequestError('max_tokens must be a whole number')
-    if not 0 < found <= _MAX_TOKENS:
-        raise InvalidRequestError(f'max_tokens must be 1 to {_MAX_TOKENS}')
-    return found
+    if not 0 < field <= _MAX_TOKENS_LIMIT:
+        raise InvalidRequestError(
+            f'max_tokens must be 1 to {_MAX_TOKENS_LIMIT}'
+        )
+    return field
 
 
-def _prefix(body: Mapping[str, object]) -> str:
+def _prompt_prefix(body: Mapping[str, object]) -> str:
     messages = body.get('messages')
     if not isinstance(messages, list) or not messages:
         raise InvalidRequestError('messages must be a list that is not empty')
     for message in messages:
         if not isinstance(message, dict):
             raise InvalidRequestError('each message must be an object')
-        _text(message, 'role')
-        _text(message, 'content')
-    return str(messages[0]['content'])[:_PREFIX_CHARS]
+        _string_field(message, 'role')
+        _string_field(message, 'content')
+    return str(messages[0]['content'])[:_PROMPT_PREFIX_CHARS]
 
 
-def _read_service(
+def _parse_service_call(
     request: Request,
     organisation: OrganisationSpec,
     declarations: Declarations,
 ) -> ServiceCall:
-    name, _, rest = request.target.removeprefix(SERVICES).partition('/')
+    name, _, rest = request.target.removeprefix(SERVICES_PREFIX).partition('/')
     if name not in organisation.services:
         raise NotFoundError(f'{organisation.name} has no service {name!r}')
-    common = _common(request, organisation)
+    common = _common_fields(request, organisation)
     path = f'/{rest}'
     if path.partition('?')[0] in _non_repeatable_paths(name, declarations):
         common['repeatable'] = False
--- a/src/cranecart/clients/_events.py
+++ b/src/cranecart/clients/_sse.py
@@ -17,29 +17,29 @@
 
     tokens: int = 0
     is_finished: bool = False
-    _rest: bytes = b''
+    _partial: bytes = b''
 
-    def feed(self, piece: bytes) -> bytes:
+    def feed(self, chunk: bytes) -> bytes:
         """Take what one read brought; return the whole events in it."""
-        if self._rest:
-            piece = self._rest + piece
-            self._rest = b''
-        if not piece.endswith(_EVENT_END):
-            end = piece.rfind(_EVENT_END) + len(_EVENT_END)
-            if end < len(_EVENT_END):
-                self._rest = piece
+        if self._partial:
+            chunk = self._partial + chunk
+            self._partial = b''
+        if not chunk.endswith(_EVENT_END):
+            complete_end = chunk.rfind(_EVENT_END) + len(_EVENT_END)
+            if complete_end < len(_EVENT_END):
+                self._partial = chunk
                 return b''
-            self._rest = piece[end:]
-            piece = piece[:end]
-        self.tokens += piece.count(_EVENT_END)
-        if piece.endswith(_LAST_EVENT):
+            self._partial = chunk[complete_end:]
+            chunk = chunk[:complete_end]
+        self.tokens += chunk.count(_EVENT_END)
+        if chunk.endswith(_LAST_EVENT):
             self.is_finished = True
             self.tokens -= 1
-        return piece
+        return chunk
 
     def restart(self) -> None:
         """Drop half an event of a stream that broke off."""
-        self._rest = b''
+        self._partial = b''
 
 
 def error_event(error: object) -> bytes:
--- a/src/cranecart/http/_client.py
+++ b/src/cranecart/http/_client.py
@@ -28,13 +28,13 @@
 # A dark path is noticed after about two seconds, as nodes must follow again
 # within three once it is back (the bound of being in touch).
 _KEEPALIVE_SECONDS = 1
-_KEEPALIVE_TRIES = 2
-_UNANSWERED_MS = 2000
+_KEEPALIVE_PROBES = 2
+_TCP_USER_TIMEOUT_MS = 2000
 CONNECT_TIMEOUT_SECONDS = 1.0
 _MAX_BODY_BYTES = 67108864
 # Far more than a target that stutters owes. Answers that come without end are
 # read without ever waiting: they held a node for 19 s.
-_MOST_DROPPED = 16
+_MAX_DISCARDED_RESPONSES = 16
 # Below it a request goes out in one write, which is not worth a task; most
 # kernels buffer at least as much as this for a connection.
 _SMALL_BODY_BYTES = 16384
@@ -49,15 +49,15 @@
         # How many requests were sent on it before the present one.
         self.earlier_requests = 0
         self._sock = sock
-        self._h11 = _new_parser()
-        self._request: Request | None = None
-        self._sent_whole = False
-        self._sending: curio.Task | None = None
+        self._parser = _new_parser()
+        self._pending_request: Request | None = None
+        self._is_request_sent = False
+        self._send_task: curio.Task | None = None
         # What came behind the piece that was returned last.
-        self._peeked: object = None
+        self._pending_event: object = None
         # Kept here, as whoever waits for the rest may be interrupted.
         self._body = bytearray()
-        self._dropped = 0
+        self._discarded_count = 0
 
     @classmethod
     async def open(
@@ -83,8 +83,12 @@
         except (OSError, TaskTimeout) as error:
             await sock.close()
             is_refused = isinstance(error, ConnectionRefusedError)
-            kind = ConnectRefusedError if is_refused else ConnectFailedError
-            raise kind(f'{address} cannot be reached: {error!r}') from error
+            error_class = (
+                ConnectRefusedError if is_refused else ConnectFailedError
+            )
+            raise error_class(
+                f'{address} cannot be reached: {error!r}'
+            ) from error
         except BaseException:
             await sock.close()
             raise
@@ -96,13 +100,15 @@
     @property
     def surplus_bytes(self) -> int:
         """Return how many bytes have come behind the answer at hand."""
-        return len(self._h11.trailing_data[0])
+        return len(self._parser.trailing_data[0])
 
     @property
     def has_surplus_data(self) -> bool:
         """Tell whether more came than the answers that were asked for."""
-        is_read = self._h11.their_state is h11.DONE
-        return self._dropped > 0 or (is_read and self.surplus_bytes > 0)
+        is_response_read = self._parser.their_state is h11.DONE
+        return self._discarded_count > 0 or (
+            is_response_read and self.surplus_bytes > 0
+        )
 
     @property
     def is_reusable(self) -> bool:
@@ -111,8 +117,14 @@
         A peer that sent more answers than it was asked for may owe others.
         """
         # A reader who left early has not taken the end that was read ahead.
-        is_read = _is_between_answers(self._h11) and self._peeked is None
-        return self._sent_whole and is_read and not self.has_surplus_data
+        is_response_read = (
+            _is_exchange_complete(self._parser) and self._pending_event is None
+        )
+        return (
+            self._is_request_sent
+            and is_response_read
+            and not self.has_surplus_data
+        )
 
     def has_no_pending_input(self) -> bool:
         """Tell whether nothing came, not even the end, while it was idle."""
@@ -130,12 +142,12 @@
 
     def reset(self) -> None:
         """Get ready for the next request on this connection."""
-        self._sending = None
-        self._request = None
-        self._sent_whole = False
+        self._send_task = None
+        self._pending_request = None
+        self._is_request_sent = False
         self._body.clear()
         self.earlier_requests += 1
-        self._h11.start_next_cycle()
+        self._parser.start_next_cycle()
 
     async def send(self, request: Request) -> None:
         """Send a whole request."""
@@ -152,8 +164,8 @@
             return
         # Before anything is read: what is there already answers nothing.
         encoded = self._encode(request)
-        self._sending = await curio.spawn(
-            self._write_quietly,
+        self._send_task = await curio.spawn(
+            self._write_in_background,
             encoded,
             daemon=True,
         )
@@ -170,16 +182,18 @@
         that of the answer behind it.
         """
         await self.read_body()
-        if self._request is None or not _is_between_answers(self._h11):
+        if self._pending_request is None or not _is_exchange_complete(
+            self._parser
+        ):
             raise ConnectionBrokenError(f'{self.address} sent a wrong answer')
-        self._dropped += 1
-        if self._dropped > _MOST_DROPPED:
+        self._discarded_count += 1
+        if self._discarded_count > _MAX_DISCARDED_RESPONSES:
             raise ConnectionBrokenError(f'{self.address} answers without end')
-        behind, _closed = self._h11.trailing_data
-        self._h11 = _new_parser()
-        self._encode(self._request)
-        if behind:
-            self._h11.receive_data(behind)
+        surplus, _closed = self._parser.trailing_data
+        self._parser = _new_parser()
+        self._encode(self._pending_request)
+        if surplus:
+            self._parser.receive_data(surplus)
         self._body.clear()
 
     async def read_head(self) -> ResponseHead:
@@ -197,13 +211,13 @@
     async def read_chunk(self) -> bytes:
         """Return what one read brought of the body; empty at its end."""
         event = await self._next_event()
-        pieces = []
+        chunks = []
         while isinstance(event, h11.Data):
-            pieces.append(bytes(event.data))
+            chunks.append(bytes(event.data))
             event = self._parse()
-        if pieces:
-            self._peeked = event
-            return b''.join(pieces)
+        if chunks:
+            self._pending_event = event
+            return b''.join(chunks)
         if isinstance(event, h11.EndOfMessage):
             return b''
         raise ConnectionBrokenError(f'{self.address} closed mid-response')
@@ -222,14 +236,14 @@
 
     async def close(self) -> None:
         """Close the socket; safe to call twice."""
-        if self._sending is not None:
-            await self._sending.cancel()
-            self._sending = None
+        if self._send_task is not None:
+            await self._send_task.cancel()
+            self._send_task = None
         await self._sock.close()
 
     def _encode(self, request: Request) -> bytes:
-        self._request = request
-        header_lines = request.header_lines or _default_lines(
+        self._pending_request = request
+        header_lines = request.header_lines or _default_headers(
             self.address, request
         )
         try:
@@ -239,7 +253,7 @@
                 headers=encode_headers(header_lines),
             )
             events = (head, h11.Data(data=request.body), h11.EndOfMessage())
-            return b''.join(filter(None, map(self._h11.send, events)))
+            return b''.join(filter(None, map(self._parser.send, events)))
         except h11.LocalProtocolError as error:
             raise BadMessageError(f'not valid HTTP: {error}') from error
 
@@ -250,9 +264,9 @@
             raise ConnectionBrokenError(
                 f'{self.address} closed during the request',
             ) from error
-        self._sent_whole = True
+        self._is_request_sent = True
 
-    async def _write_quietly(self, encoded: bytes) -> None:
+    async def _write_in_background(self, encoded: bytes) -> None:
         try:
             await self._write(encoded)
         except ConnectionBrokenError:
@@ -260,8 +274,8 @@
             return
 
     async def _next_event(self) -> object:
-        event = self._peeked
-        self._peeked = None
+        event = self._pending_event
+        self._pending_event = None
         if event is None:
             event = self._parse()
         while event is h11.NEED_DATA:
@@ -271,20 +285,20 @@
                 raise ConnectionBrokenError(
                     f'{self.address} broke the connection',
                 ) from error
-            self._h11.receive_data(received)
+            self._parser.receive_data(received)
             event = self._parse()
         return event
 
     def _parse(self) -> object:
         try:
-            return self._h11.next_event()
+            return self._parser.next_event()
         except h11.RemoteProtocolError as error:
             raise ConnectionBrokenError(
                 f'{self.address} did not finish its response: {error}',
             ) from error
 
 
-def _default_lines(address: Address, request: Request) -> HeaderLines:
+def _default_headers(address: Address, request: Request) -> HeaderLines:
     headers = {
         'host': str(address),
         'content-length': str(len(request.body)),
@@ -293,19 +307,19 @@
     return tuple(headers.items())
 
 
-def _is_between_answers(parser: h11.Connection) -> bool:
+def _is_exchange_complete(parser: h11.Connection) -> bool:
     return parser.our_state is h11.DONE and parser.their_state is h11.DONE
 
 
 def _enable_tcp_keepalive(sock: curio.io.Socket) -> None:
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    for option, number in (
+    for option, setting in (
         (socket.TCP_KEEPIDLE, _KEEPALIVE_SECONDS),
         (socket.TCP_KEEPINTVL, _KEEPALIVE_SECONDS),
-        (socket.TCP_KEEPCNT, _KEEPALIVE_TRIES),
-        (socket.TCP_USER_TIMEOUT, _UNANSWERED_MS),
+        (socket.TCP_KEEPCNT, _KEEPALIVE_PROBES),
+        (socket.TCP_USER_TIMEOUT, _TCP_USER_TIMEOUT_MS),
     ):
-        sock.setsockopt(socket.IPPROTO_TCP, option, number)
+        sock.setsockopt(socket.IPPROTO_TCP, option, setting)
 
 
 def _new_parser() -> h11.Connection:
--- a/src/cranecart/http/_pool.py
+++ b/src/cranecart/http/_pool.py
@@ -67,7 +67,9 @@
         min(seconds, connect_timeout_seconds),
     )
     try:
-        return await curio.timeout_after(seconds, _ask, connection, request)
+        return await curio.timeout_after(
+            seconds, _send_and_read, connection, request
+        )
     except TaskTimeout as error:
         raise PeerTimeoutError(
             f'{address} did not answer within {seconds} s',
@@ -76,7 +78,9 @@
         await connection.close()
 
 
-async def _ask(connection: HttpConnection, request: Request) -> Response:
+async def _send_and_read(
+    connection: HttpConnection, request: Request
+) -> Response:
     await connection.send(request)
     head = await connection.read_head()
     return Response(head.status, head.headers, await connection.read_body())
--- a/src/cranecart/http/_request_reader.py
+++ b/src/cranecart/http/_request_reader.py
@@ -25,7 +25,7 @@
     try:
         return await curio.timeout_after(
             limits.receive_seconds,
-            _receive_whole,
+            _receive_complete,
             sock,
             connection,
             limits.body_bytes,
@@ -42,37 +42,37 @@
         ) from error
 
 
-async def _receive_whole(
+async def _receive_complete(
     sock: curio.io.Socket,
     connection: h11.Connection,
-    most_bytes: int,
+    max_bytes: int,
 ) -> Request:
     head = await _next_event(sock, connection)
     if not isinstance(head, h11.Request):
         raise ConnectionBrokenError('closed before a request')
-    _check_announced(head, most_bytes)
+    _check_declared_size(head, max_bytes)
     await _answer_expectation(sock, connection)
     body = bytearray()
     event = await _next_event(sock, connection)
     while isinstance(event, h11.Data):
         body += event.data
-        _check_size(len(body), most_bytes)
+        _check_size(len(body), max_bytes)
         event = await _next_event(sock, connection)
     if not isinstance(event, h11.EndOfMessage):
         raise ConnectionBrokenError('closed mid-request')
     _check_not_pipelined(connection)
-    return _to_request(head, bytes(body))
+    return _build_request(head, bytes(body))
 
 
-def _check_announced(head: h11.Request, most_bytes: int) -> None:
-    announced = dict(head.headers).get(b'content-length', b'0')
-    _check_size(int(announced), most_bytes)
+def _check_declared_size(head: h11.Request, max_bytes: int) -> None:
+    declared = dict(head.headers).get(b'content-length', b'0')
+    _check_size(int(declared), max_bytes)
 
 
-def _check_size(size: int, most_bytes: int) -> None:
-    if size > most_bytes:
+def _check_size(size: int, max_bytes: int) -> None:
+    if size > max_bytes:
         raise BadMessageError(
-            f'the body is over {most_bytes} bytes',
+            f'the body is over {max_bytes} bytes',
             _STATUS_TOO_LARGE,
         )
 
@@ -98,12 +98,12 @@
 
 
 def _check_not_pipelined(connection: h11.Connection) -> None:
-    trailing, _closed = connection.trailing_data
-    if trailing:
+    surplus, _closed = connection.trailing_data
+    if surplus:
         raise BadMessageError('pipelined requests are not supported')
 
 
-def _to_request(head: h11.Request, body: bytes) -> Request:
+def _build_request(head: h11.Request, body: bytes) -> Request:
     header_lines = decode_headers(head.headers)
     return Request(
         head.method.decode('ascii'),
--- a/src/cranecart/http/_responder.py
+++ b/src/cranecart/http/_responder.py
@@ -30,7 +30,7 @@
     ) -> None:
         """Wrap the connection that the request came on."""
         self._sock = sock
-        self._h11 = connection
+        self._connection = connection
         self._write_seconds = write_seconds
         self._is_closing = is_closing
         self._first_byte_at: float | None = None
@@ -38,7 +38,7 @@
     @property
     def has_started(self) -> bool:
         """Tell whether the response's head was sent."""
-        return self._h11.our_state not in {h11.IDLE, h11.SEND_RESPONSE}
+        return self._connection.our_state not in {h11.IDLE, h11.SEND_RESPONSE}
 
     def seconds_to_first_byte(self, since: float) -> float | None:
         """Return how long it took until the response began, if it has."""
@@ -62,9 +62,9 @@
         """Send the head of a response whose body comes in pieces."""
         await self._write(self._head(status, headers))
 
-    async def write(self, piece: bytes) -> None:
+    async def write(self, chunk: bytes) -> None:
         """Send a piece of the body; its caller bounds the time."""
-        encoded = self._h11.send(h11.Data(data=piece))
+        encoded = self._connection.send(h11.Data(data=chunk))
         try:
             await self._sock.sendall(encoded)
         except OSError as error:
@@ -81,7 +81,7 @@
         """
         try:
             while received := await self._sock.recv(READ_BYTES):
-                self._h11.receive_data(received)
+                self._connection.receive_data(received)
         except OSError:
             return
 
@@ -89,26 +89,28 @@
         self,
         status: int,
         headers: Headers | HeaderLines,
-        *more: tuple[str, str],
+        *extra_headers: tuple[str, str],
     ) -> h11.Response:
-        closing = [('connection', 'close')] if self._is_closing() else []
+        connection_headers = (
+            [('connection', 'close')] if self._is_closing() else []
+        )
         return h11.Response(
             status_code=status,
             headers=[
                 *encode_headers(headers),
-                *encode_headers((*more, *closing)),
+                *encode_headers((*extra_headers, *connection_headers)),
             ],
         )
 
     async def _write(self, *events: h11.Event) -> None:
         if self._first_byte_at is None:
             self._first_byte_at = since_boot()
-        pieces = [self._h11.send(event) for event in events]
+        encoded_events = [self._connection.send(event) for event in events]
         try:
             await curio.timeout_after(
                 self._write_seconds,
                 self._sock.sendall,
-                b''.join(filter(None, pieces)),
+                b''.join(filter(None, encoded_events)),
             )
         except (OSError, TaskTimeout) as error:
             raise ConnectionBrokenError('the client went away') from error
--- a/src/cranecart/http/_server.py
+++ b/src/cranecart/http/_server.py
@@ -20,14 +20,14 @@
 from cranecart.listening import take_listener
 
 _LOG = logging.getLogger(__name__)
-_ACCEPT_AGAIN_SECONDS = 0.05
+_ACCEPT_RETRY_SECONDS = 0.05
 # How often a server without places looks whether one has become free, and
 # which part of its idle connections it closes at a time.
-_ROOM_LOOK_SECONDS = 0.01
-_CLOSED_PART = 0.03
+_CAPACITY_POLL_SECONDS = 0.01
+_IDLE_CLOSE_FRACTION = 0.03
 # How long a server counts as full since it last found no place.
-_FULL_SECONDS = 0.5
-_NO_DESCRIPTOR = frozenset((errno.EMFILE, errno.ENFILE))
+_FULL_STATE_SECONDS = 0.5
+_NO_DESCRIPTOR_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE))
 # Some round trips; a client that goes on sending for longer is cut off.
 _LINGER_SECONDS = 1.0
 
@@ -45,13 +45,13 @@
         limits: ServerLimits | None = None,
     ) -> None:
         """Keep the settings; nothing listens until ``open`` is called."""
-        self._requested = address
+        self._requested_address = address
         self._handler = handler
         self.limits = limits or ServerLimits()
         self._listener: Any = None
-        self._connections = 0
+        self._connection_count = 0
         self._closing = False
-        self._accepting: curio.Task | None = None
+        self._accept_task: curio.Task | None = None
         # In the order in which they became idle.
         self._idle: dict[curio.io.Socket, None] = {}
         self._full_until = float('-inf')
@@ -60,7 +60,7 @@
     def address(self) -> Address:
         """Return the bound address, with the port the kernel gave."""
         if self._listener is None:
-            return self._requested
+            return self._requested_address
         return Address(*self._listener.getsockname()[:2])
 
     @property
@@ -71,25 +71,27 @@
     def open(self) -> None:
         """Bind and listen; raise ``OSError`` if the address is taken."""
         self._listener = curio.io.Socket(
-            take_listener(self._requested.host, self._requested.port),
+            take_listener(
+                self._requested_address.host, self._requested_address.port
+            ),
         )
 
     async def run(self) -> None:
         """Accept connections until cancelled."""
         if self._listener is None:
             self.open()
-        self._accepting = await curio.spawn(self._accept_all)
+        self._accept_task = await curio.spawn(self._accept_all)
         try:
-            await self._accepting.wait()
+            await self._accept_task.wait()
             # The listener was closed on purpose; its connections go on.
             await curio.Event().wait()
         finally:
-            await self._accepting.cancel()
+            await self._accept_task.cancel()
 
     async def stop_listening(self) -> None:
         """Accept nothing more; the connections that there are go on."""
-        if self._accepting is not None:
-            await self._accepting.cancel()
+        if self._accept_task is not None:
+            await self._accept_task.cancel()
 
     def disable_keep_alive(self) -> None:
         """Ask clients to close their connections after the next answer."""
@@ -106,52 +108,52 @@
                 try:
                     sock, _peer = await self._listener.accept()
                 except OSError as error:
-                    await self._wait_after(error)
+                    await self._handle_accept_error(error)
                 else:
-                    await self._begin(sock)
+                    await self._start_connection(sock)
 
-    async def _wait_after(self, error: OSError) -> None:
+    async def _handle_accept_error(self, error: OSError) -> None:
         # No descriptor is free, or a client left in the queue.
         _LOG.warning('a connection was not accepted: %s', error)
-        if error.errno in _NO_DESCRIPTOR:
-            await self._make_room()
-        await curio.sleep(_ACCEPT_AGAIN_SECONDS)
+        if error.errno in _NO_DESCRIPTOR_ERRNOS:
+            await self._free_capacity()
+        await curio.sleep(_ACCEPT_RETRY_SECONDS)
 
-    async def _wait_for_room(self) -> None:
+    async def _wait_for_capacity(self) -> None:
         """Return once one connection more can be served.
 
         Nobody is told why a connection closes, so that new ones wait while
         the balancer hears that the server is full.
         """
-        while self._connections >= self.limits.connections:
-            await self._make_room()
-            await curio.sleep(_ROOM_LOOK_SECONDS)
+        while self._connection_count >= self.limits.connections:
+            await self._free_capacity()
+            await curio.sleep(_CAPACITY_POLL_SECONDS)
         self._full_until = float('-inf')
 
-    async def _make_room(self) -> None:
+    async def _free_capacity(self) -> None:
         """Close those that are idle the longest, or say that all are busy."""
         if not self._idle:
-            self._full_until = since_boot() + _FULL_SECONDS
-        count = max(1, int(len(self._idle) * _CLOSED_PART))
+            self._full_until = since_boot() + _FULL_STATE_SECONDS
+        count = max(1, int(len(self._idle) * _IDLE_CLOSE_FRACTION))
         for sock in list(self._idle)[:count]:
             self._idle.pop(sock)
             # Its task finds the end and closes it.
             with contextlib.suppress(OSError):
                 await sock.shutdown(socket.SHUT_RDWR)
 
-    async def _begin(self, sock: curio.io.Socket) -> None:
+    async def _start_connection(self, sock: curio.io.Socket) -> None:
         try:
-            await self._wait_for_room()
+            await self._wait_for_capacity()
         except curio.CancelledError:
             await sock.close()
             raise
         # Many may be accepted before the first of their tasks begins.
-        self._connections += 1
+        self._connection_count += 1
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         # A task group would keep every ended task until it ends itself.
-        await curio.spawn(self._serve, sock, daemon=True)
+        await curio.spawn(self._serve_connection, sock, daemon=True)
 
-    async def _serve(self, sock: curio.io.Socket) -> None:
+    async def _serve_connection(self, sock: curio.io.Socket) -> None:
         try:
             await self._serve_requests(sock)
         except (ConnectionBrokenError, OSError, h11.LocalProtocolError):
@@ -161,7 +163,7 @@
         except Exception:
             _LOG.exception('a connection ended with an unexpected error')
         finally:
-            self._connections -= 1
+            self._connection_count -= 1
             await sock.close()
 
     async def _serve_requests(self, sock: curio.io.Socket) -> None:
@@ -175,12 +177,12 @@
                 request = await self._receive(sock, connection)
             except BadMessageError as error:
                 await send_error(responder, error)
-                await _let_client_read(sock)
+                await _drain_before_close(sock)
                 return
             if request is None:
                 return
             await self._handler(request, responder)
-            if self._closing or not _can_continue(connection):
+            if self._closing or not _is_reusable(connection):
                 return
             connection.start_next_cycle()
             responder = self._responder(sock, connection)
@@ -223,13 +225,13 @@
             self._idle.pop(sock, None)
 
 
-def _can_continue(connection: h11.Connection) -> bool:
+def _is_reusable(connection: h11.Connection) -> bool:
     return (
         connection.our_state is h11.DONE and connection.their_state is h11.DONE
     )
 
 
-async def _let_client_read(sock: curio.io.Socket) -> None:
+async def _drain_before_close(sock: curio.io.Socket) -> None:
     """Take what a refused client still sends, for a short while.
 
     Closing with bytes unread resets the connection, and the client might
--- a/tests/platform/test_silence.py
+++ b/tests/platform/test_silence.py
@@ -51,7 +51,7 @@
 
     async def handle(self, request: Request, responder: Responder) -> None:
         """Answer one call, or never."""
-        place = responder._h11
+        place = responder._connection
         self.known.add(place)
         if place in self.mute and self.drips:
             await self._drip(responder)
--- a/tests/unit/test_native_crashing_requests.py
+++ b/tests/unit/test_native_crashing_requests.py
@@ -143,7 +143,7 @@
         call = _call(number)
         assert isinstance(call, ServiceCall)
         try:
-            await nodes[number % len(nodes)]._call_service(call)
+            await nodes[number % len(nodes)]._forward_service_call(call)
         except RequestError as error:
             errors.append(error)
     for task in tasks:
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -185,8 +185,9 @@
     Mutation(
         'uneven-connections-are-kept',
         'http/_client.py',
-        'return self._sent_whole and is_read and not self.has_surplus_data',
-        'return self._sent_whole and is_read',
+        '            and is_response_read\n'
+        '            and not self.has_surplus_data\n',
+        '            and is_response_read\n',
         f'{_FOREIGN_ANSWERS}.test_an_uneven_connection_is_given_up',
     ),
     Mutation(
