--- a/src/cranecart/grouping/_allocation.py
+++ b/src/cranecart/grouping/_allocation.py
@@ -74,7 +74,7 @@
 ) -> Allocation:
     """Return the allocation of a fabric domain with the highest score.
 
-    ``present`` counts the replicas of the whole deployment.
+    ``replica_counts`` has the replicas of the whole deployment.
     """
     return max(
         _allocations(pool, objective, replica_counts),
--- a/src/cranecart/grouping/_failure_detector.py
+++ b/src/cranecart/grouping/_failure_detector.py
@@ -88,14 +88,14 @@
 
     async def _check(self, record: ReplicaRecord) -> None:
         members = [self._fleet.find_instance(name) for name in record.members]
-        checked = await self.liveness.check(
+        outcome = await self.liveness.check(
             [member for member in members if member is not None],
             self._reference_instances(record),
         )
-        if checked.is_conclusive:
-            for name in checked.lost:
-                self.report_lost(name, 'it accepts no connection')
-            if checked.lost:
+        if outcome.is_conclusive:
+            for name in outcome.lost:
+                self.report_lost(name, 'no answer to connection attempts')
+            if outcome.lost:
                 await self._on_loss(record)
 
     def _reference_instances(
--- a/src/cranecart/grouping/_formation.py
+++ b/src/cranecart/grouping/_formation.py
@@ -87,14 +87,14 @@
         return self._phase(self.record.head) is MemberPhase.OPEN
 
     def _needs_join(self, name: str) -> bool:
-        # Evaluated last, because it records the time of the order that follows.
+        # ``_is_due`` comes last, as it records the time of the order to send.
         return (
             self._phase(name) not in _JOINED_PHASES
-            and not self._is_bound_elsewhere(name)
+            and not self._belongs_to_other_replica(name)
             and self._is_due('join', name)
         )
 
-    def _is_bound_elsewhere(self, name: str) -> bool:
+    def _belongs_to_other_replica(self, name: str) -> bool:
         """Return whether an earlier replica may still serve with a member.
 
         The record of a replica is deleted only once its head has ended.
--- a/src/cranecart/grouping/_inventory.py
+++ b/src/cranecart/grouping/_inventory.py
@@ -50,7 +50,7 @@
             fabric_replica_counts,
             self._demand(),
             tuple(self._members(serving)),
-            self._stager.staging(self._fleet.instances),
+            self._stager.pending_models(self._fleet.instances),
             dict(self._release_delays()),
             1 if self._has_traffic() else _STARTUP_LOAD_TIME_FACTOR,
             sum(
@@ -72,9 +72,9 @@
             for record in self._serving()
             if not self._fleet.is_open(record)
         )
-        return joining + len(self._stager.staging(self._fleet.instances))
+        return joining + len(self._stager.pending_models(self._fleet.instances))
 
-    def bound_instances(self) -> frozenset[str]:
+    def assigned_instances(self) -> frozenset[str]:
         """Return the members of all replicas, including those that are ending.
 
         A join makes an instance leave its replica, which must not happen before
@@ -123,10 +123,10 @@
         were best.
         """
         serving = tuple(self._serving())
-        has_begun = any(
+        has_own_replicas = any(
             one.failure_domain == self._failure_domain for one in serving
         )
-        return serving if has_begun or self._has_traffic() else ()
+        return serving if has_own_replicas or self._has_traffic() else ()
 
     def _serving(self) -> Iterator[ReplicaRecord]:
         return (
--- a/src/cranecart/grouping/_liveness.py
+++ b/src/cranecart/grouping/_liveness.py
@@ -31,17 +31,17 @@
 class LivenessResult:
     """The members that did not answer.
 
-    ``closed`` instances refused the connection: no process listens there.
+    ``refused`` ones rejected the connection: no process listens there.
     """
 
-    silent: frozenset[str]
-    closed: frozenset[str]
+    unresponsive: frozenset[str]
+    refused: frozenset[str]
     is_conclusive: bool = True
 
     @property
     def lost(self) -> frozenset[str]:
         """Return all instances that are considered dead."""
-        return self.silent | self.closed
+        return self.unresponsive | self.refused
 
 
 async def _probe_instance(instance: ListedInstance) -> bool | None:
@@ -83,36 +83,36 @@
         self.checks += 1
         started = self._clock()
         answers = await self._probe_all(members)
-        is_any_answered = _any_answered(answers)
+        is_answered = _any_answered(answers)
         took = self._clock() - started
-        if not is_any_answered:
+        if not is_answered:
             # Members are probed again too, because time has passed.
             started = self._clock()
             all_answers = await self._probe_all(
                 (*members, *reference_instances)
             )
             answers = {one: all_answers[one] for one in members}
-            is_any_answered = _any_answered(all_answers)
+            is_answered = _any_answered(all_answers)
             took = self._clock() - started
-        findings = LivenessResult(
+        outcome = LivenessResult(
             frozenset(
                 one.id for one, answer in answers.items() if answer is None
             ),
             frozenset(
                 one.id for one, answer in answers.items() if answer is False
             ),
-            is_any_answered
+            is_answered
             and took < _CONNECT_TIMEOUT_SECONDS + _MAX_SCHEDULING_DELAY_SECONDS,
         )
         decision(
             'members_checked',
             instances=[one.id for one in members],
-            silent=sorted(findings.silent),
-            closed=sorted(findings.closed),
-            sure=findings.is_conclusive,
+            silent=sorted(outcome.unresponsive),
+            closed=sorted(outcome.refused),
+            sure=outcome.is_conclusive,
             took=round(took, 3),
         )
-        return findings
+        return outcome
 
     async def _probe_all(
         self,
--- a/src/cranecart/grouping/_objective.py
+++ b/src/cranecart/grouping/_objective.py
@@ -70,8 +70,10 @@
         is a product over the replicas.
         """
         gain_of_first = 1 - math.exp(-_SATURATION / self.demand[model.name])
-        lost = 1 - gain_of_first / (1 + _DOWNTIME_PER_MEMBER * model.size)
-        return 1 - lost ** replicas.get(model.name, 0)
+        missed_fraction = 1 - gain_of_first / (
+            1 + _DOWNTIME_PER_MEMBER * model.size
+        )
+        return 1 - missed_fraction ** replicas.get(model.name, 0)
 
 
 def build_objective(
--- a/src/cranecart/grouping/_orphans.py
+++ b/src/cranecart/grouping/_orphans.py
@@ -152,6 +152,6 @@
         head.fabric_domain,
         tuple(member.id for member in members),
         RecordState.SERVING if is_complete else RecordState.ENDING,
-        'it had no record',
+        'found in the instance list without a record',
         births=tuple(member.born for member in members),
     )
--- a/src/cranecart/grouping/_plan_executor.py
+++ b/src/cranecart/grouping/_plan_executor.py
@@ -25,7 +25,7 @@
 
 @attrs.define
 class PlanExecutor:
-    """Turns the free instances of a failure domain into what is needed."""
+    """Plans for a failure domain and starts what the plans ask for."""
 
     _fleet: Fleet
     _environment: PlacerEnvironment
@@ -74,9 +74,9 @@
             await self._stager.stage(
                 engine, staging, self._inventory.loads_in_progress()
             )
-        bound_instances = self._inventory.bound_instances()
+        assigned_instances = self._inventory.assigned_instances()
         for warming in wanted.warmings:
-            if warming.instance.id not in bound_instances:
+            if warming.instance.id not in assigned_instances:
                 await self._warmer.warm(warming)
 
     def _preemption_scope(self) -> PreemptionScope:
--- a/src/cranecart/grouping/_plan_types.py
+++ b/src/cranecart/grouping/_plan_types.py
@@ -99,7 +99,7 @@
 class PlanInput:
     """The input of a plan for one service.
 
-    ``free`` are the instances of a failure domain that belong to no replica or
+    ``free`` are the instances to plan for that belong to no replica or
     to one that is ending. ``release_delays`` tells after how many seconds the
     latter can join another one. ``replica_counts`` has the number of replicas
     of each model in the whole deployment, ``fabric_replica_counts`` the number
--- a/src/cranecart/grouping/_preemption.py
+++ b/src/cranecart/grouping/_preemption.py
@@ -16,6 +16,7 @@
 from cranecart.grouping._allocation import PreemptibleReplica
 from cranecart.grouping._plan_types import PlanInput, ServingMember
 
+# Stored in records and compared by the placers of other nodes.
 PREEMPTION_REASON = 'another model needs its instances more'
 # How long a replica takes to finish its streams in the reference deployments.
 DRAIN_SECONDS = 0.5
@@ -63,7 +64,7 @@
 
 @attrs.define
 class PreemptionCooldown:
-    """Keeps placers from preempting replicas for the same demand.
+    """Keeps several placers from preempting for the same demand.
 
     The cooldown starts when a preempted replica is first seen, since the
     replica that it makes room for is known at the same time. Starting when its
@@ -71,7 +72,7 @@
     """
 
     _clock: Callable[[], float] = since_boot
-    _known_preempting: frozenset[str] = attrs.field(
+    _known_preempted: frozenset[str] = attrs.field(
         default=frozenset(), init=False
     )
     _preempted_at: float = attrs.field(default=float('-inf'), init=False)
@@ -89,12 +90,12 @@
         return PreemptionScope.ANYWHERE
 
     def _track(self, records: Iterable[ReplicaRecord], now: float) -> None:
-        preempting = frozenset(
+        preempted = frozenset(
             one.name for one in records if one.reason == PREEMPTION_REASON
         )
-        if preempting - self._known_preempting:
+        if preempted - self._known_preempted:
             self._preempted_at = now
-        self._known_preempting = preempting
+        self._known_preempted = preempted
 
 
 def preemptible_replicas(
--- a/src/cranecart/grouping/_stager.py
+++ b/src/cranecart/grouping/_stager.py
@@ -41,7 +41,7 @@
         init=False,
     )
 
-    def staging(
+    def pending_models(
         self,
         instances: Mapping[str, ListedInstance],
     ) -> Mapping[str, str]:
--- a/src/cranecart/grouping/_teardown.py
+++ b/src/cranecart/grouping/_teardown.py
@@ -54,8 +54,8 @@
     _stall_seconds: float
     _clock: Callable[[], float] = since_boot
     _member_left_at: float | None = attrs.field(default=None, init=False)
-    _head_asked_at: float = attrs.field(default=float('-inf'), init=False)
-    _lost_asked_at: float = attrs.field(default=float('-inf'), init=False)
+    _head_ordered_at: float = attrs.field(default=float('-inf'), init=False)
+    _lost_ordered_at: float = attrs.field(default=float('-inf'), init=False)
     _lost_attempts: int = attrs.field(default=0, init=False)
 
     async def run(self) -> None:
@@ -86,7 +86,7 @@
     async def _try_release_members(self) -> str:
         """Return why the members are free, or '' if they are not."""
         if self._fleet.instance_list.has_ended(self.record.incarnations[0]):
-            return 'the head lives anew'
+            return 'the head has restarted'
         if self._member_left_at is None:
             self._check_ended_members()
         if self._member_left_at is None and self._is_head_unreachable():
@@ -113,11 +113,11 @@
         head = self._fleet.find_instance(self.record.head)
         pause = _LOST_RETRY_SECONDS if self._is_head_unreachable() else 0
         now = self._clock()
-        if head is None or now - self._head_asked_at < pause:
+        if head is None or now - self._head_ordered_at < pause:
             return None
         if self._fleet.instance_list.is_superseded(self.record.incarnations[0]):
             return None
-        self._head_asked_at = now
+        self._head_ordered_at = now
         return head
 
     def _is_head_unreachable(self) -> bool:
@@ -133,7 +133,7 @@
         waited = self._clock() - self._member_left_at
         if waited < self._stall_seconds + _STALL_MARGIN_SECONDS:
             return ''
-        return 'the head must be broken by now'
+        return 'the time after which a head breaks has passed'
 
     async def _release_one_member(self) -> None:
         for member in self._members_due_for_leave():
@@ -163,10 +163,10 @@
         if (
             reachable
             or not lost
-            or now - self._lost_asked_at < _LOST_RETRY_SECONDS
+            or now - self._lost_ordered_at < _LOST_RETRY_SECONDS
         ):
             return reachable
-        self._lost_asked_at = now
+        self._lost_ordered_at = now
         self._lost_attempts += 1
         return [lost[self._lost_attempts % len(lost)]]
 
--- a/src/cranecart/grouping/_transitions.py
+++ b/src/cranecart/grouping/_transitions.py
@@ -39,13 +39,15 @@
     ]
     if restarted:
         return Transition(
-            RecordState.ENDING, f'{", ".join(restarted)} lives anew'
+            RecordState.ENDING, f'{", ".join(restarted)} restarted'
         )
     unknown = [
         name for name in record.members if fleet.find_instance(name) is None
     ]
     if unknown:
-        return Transition(RecordState.ENDING, f'unlisted {", ".join(unknown)}')
+        return Transition(
+            RecordState.ENDING, f'not listed: {", ".join(unknown)}'
+        )
     head = fleet.find_instance(record.head)
     phase = None if head is None else head.phase_in(*replica_epoch)
     if phase is MemberPhase.BROKEN:
@@ -53,7 +55,9 @@
     if phase is MemberPhase.OPEN:
         left = _departed_members(record, fleet)
         if left:
-            return Transition(RecordState.ENDING, f'{", ".join(left)} left it')
+            return Transition(
+                RecordState.ENDING, f'{", ".join(left)} left the replica'
+            )
     if record.state is RecordState.CLOSING:
         return None
     return _transition_to_graceful_end(record, fleet, config, phase)
@@ -77,14 +81,14 @@
 ) -> Transition | None:
     if phase is MemberPhase.CLOSING:
         # A restored copy of the table may still show it as serving.
-        return Transition(RecordState.CLOSING, 'the head closes')
+        return Transition(RecordState.CLOSING, 'the head is closing')
     graceful_state = (
         RecordState.CLOSING if phase is MemberPhase.OPEN else RecordState.ENDING
     )
     members = (fleet.find_instance(name) for name in record.members)
     leaving = [one.id for one in members if one is not None and one.leaving]
     if leaving:
-        return Transition(graceful_state, f'{", ".join(leaving)} leaves')
+        return Transition(graceful_state, f'{", ".join(leaving)} is leaving')
     profile = config.services.get(record.service)
     model = (
         profile.engine.model(record.model)
@@ -92,5 +96,7 @@
         else None
     )
     if model is None or model.size != len(record.members):
-        return Transition(graceful_state, 'it is not declared any more')
+        return Transition(
+            graceful_state, 'its model is not declared with this size'
+        )
     return None
--- a/src/cranecart/grouping/_warmer.py
+++ b/src/cranecart/grouping/_warmer.py
@@ -24,7 +24,7 @@
 
 @attrs.define
 class Warmer:
-    """Sends the orders; repeats each one until the list shows its effect."""
+    """Sends warming orders, repeated until the list shows their effect."""
 
     _lease: Lease
     _orders: Orders
--- a/src/cranecart/placement/_plan.py
+++ b/src/cranecart/placement/_plan.py
@@ -42,7 +42,7 @@
         _end_replica(state, row) for row in excess if not row.retiring
     )
     actions.extend(
-        RetireReplica(row, 'its work has ended')
+        RetireReplica(row, 'its requests have completed')
         for row in remaining
         if row.retiring and state.is_drained(row, row.members[0])
     )
@@ -80,11 +80,11 @@
     free: FreeInstances,
 ) -> Iterator[Action]:
     wanted = spec.replicas_in(state.failure_domain)
-    present = sum(
+    existing = sum(
         row.model_key == spec.key and not row.retiring for row in remaining
     )
     names = _new_names(state, spec)
-    for number in range(present, wanted):
+    for number in range(existing, wanted):
         fabric = free.choose_fabric(spec.instances_per_replica, spec.prefer)
         if fabric is None:
             return
--- a/src/cranecart/placement/_repair.py
+++ b/src/cranecart/placement/_repair.py
@@ -33,21 +33,21 @@
         return ReplaceMembers(
             row,
             attrs.evolve(row, generation=row.generation + 1),
-            'restart as one: its members lost each other',
+            'restart all members: the replica is broken',
         )
     return None
 
 
 def _replace(
     row: ReplicaRow,
-    departed: Sequence[str],
+    outgoing: Sequence[str],
     free: FreeInstances,
 ) -> Action:
-    names = ', '.join(departed)
-    spares = free.take(row.fabric_domain, len(departed))
+    names = ', '.join(outgoing)
+    spares = free.take(row.fabric_domain, len(outgoing))
     if not spares:
-        return RetireReplica(row, f'no spare for {names}')
-    substitutes = dict(zip(departed, spares, strict=True))
+        return RetireReplica(row, f'no spare instance for {names}')
+    substitutes = dict(zip(outgoing, spares, strict=True))
     members = tuple(substitutes.get(member, member) for member in row.members)
     return ReplaceMembers(
         row,
--- a/tests/lib/fake_engines.py
+++ b/tests/lib/fake_engines.py
@@ -71,8 +71,8 @@
         factory=dict,
     )
     _member_left_at: dict[tuple[str, int], float] = attrs.field(factory=dict)
-    _epochs: dict[str, int] = attrs.field(factory=dict)
-    _ended: set[tuple[str, int]] = attrs.field(factory=set)
+    _last_epochs: dict[str, int] = attrs.field(factory=dict)
+    _ended_epochs: set[tuple[str, int]] = attrs.field(factory=set)
 
     async def join(
         self,
@@ -85,10 +85,10 @@
     ) -> None:
         """Make an instance a member, ready at once."""
         self._receive(instance, 'join')
-        if epoch < self._epochs.get(instance.id, 0):
-            raise OrderFencedError('an earlier epoch')
+        if epoch < self._last_epochs.get(instance.id, 0):
+            raise OrderFencedError('lower epoch than before')
         self._check_not_serving_elsewhere(instance.id, replica)
-        self._epochs[instance.id] = epoch
+        self._last_epochs[instance.id] = epoch
         self._members[replica, epoch] = tuple(members)
         rank = list(members).index(instance.id)
         self._publish(
@@ -152,7 +152,7 @@
         self._receive(instance, 'leave')
         current = self.fleet.find_instance(instance.id) or instance
         if current.phase_in(replica, epoch) is None:
-            raise OrderRefusedError('it is no member')
+            raise OrderRefusedError('not a member')
         self.interrupted += current.phase_in(replica, epoch) in _WORKING_PHASES
         self._member_left_at.setdefault((replica, epoch), time.monotonic())
         self._publish(attrs.evolve(current, membership=None))
@@ -173,12 +173,12 @@
         """Kill an instance and start it under its id: it has nothing."""
         known = self.fleet.find_instance(name)
         assert known is not None
-        self._epochs.pop(name, None)
+        self._last_epochs.pop(name, None)
         for replica_epoch, members in self._members.items():
             if name in members:
                 self._member_left_at.setdefault(replica_epoch, time.monotonic())
             if members[0] == name:
-                self._ended.add(replica_epoch)
+                self._ended_epochs.add(replica_epoch)
         self._publish(
             attrs.evolve(known, born=born, membership=None, loaded=()),
         )
@@ -220,7 +220,7 @@
         if (
             known is None
             or head in self.terminated
-            or replica_epoch in self._ended
+            or replica_epoch in self._ended_epochs
         ):
             return False
         left_at = self._member_left_at.get(replica_epoch, float('inf'))
@@ -237,7 +237,7 @@
     ) -> None:
         current = self.fleet.instances[name]
         if current.phase_in(replica, epoch) is None:
-            raise OrderRefusedError('it is no member')
+            raise OrderRefusedError('not a member')
         assert current.membership is not None
         membership = attrs.evolve(current.membership, phase=phase)
         self._publish(attrs.evolve(current, membership=membership))
--- a/tests/lib/placement_simulation.py
+++ b/tests/lib/placement_simulation.py
@@ -49,7 +49,7 @@
     fabrics: int
     fabric_size: int
     models: tuple[EngineModel, ...]
-    work: Mapping[str, float]
+    demand: Mapping[str, float]
     loads_per_second: float = 5
 
     @property
@@ -85,14 +85,14 @@
     def __init__(self, layout: SimulationLayout, source: random.Random) -> None:
         """Divide all instances, before any request, as placers do."""
         self.now: float = 0
-        self.work = layout.work
+        self.demand = layout.demand
         self.replicas: dict[str, _Replica] = {}
         self._layout = layout
         self._source = source
         self._numbers = itertools.count()
         self._free: dict[str, ListedInstance] = {}
         self._released: list[_ReleasedMembers] = []
-        self._returns: list[tuple[float, ListedInstance]] = []
+        self._pending_returns: list[tuple[float, ListedInstance]] = []
         self._stagings: dict[str, tuple[float, str]] = {}
         self._loads = layout.loads_per_second
         placers = -(-layout.fabrics // _FABRICS_PER_PLACER)
@@ -124,25 +124,27 @@
             if one.opens_at <= self.now
         )
 
-    def crash(self, count: int, away_seconds: float) -> None:
+    def crash(self, count: int, downtime_seconds: float) -> None:
         """Lose instances together; others take their places later."""
         alive = sorted(self._instances(), key=lambda one: one.id)
-        dead = {one.id for one in self._source.sample(alive, count)}
+        dead_ids = {one.id for one in self._source.sample(alive, count)}
         for one in alive:
-            if one.id in dead:
+            if one.id in dead_ids:
                 # What was on the host stays there.
                 back = attrs.evolve(
                     self._new(one.fabric_domain),
                     staged=one.staged,
                 )
-                self._returns.append((self.now + away_seconds, back))
+                self._pending_returns.append(
+                    (self.now + downtime_seconds, back)
+                )
         for name, replica in list(self.replicas.items()):
-            if any(one.id in dead for one in replica.members):
+            if any(one.id in dead_ids for one in replica.members):
                 self.replicas.pop(name)
-                self._end(replica, dead)
+                self._end(replica, dead_ids)
         for released in self._released:
-            released.members = _without(released.members, dead)
-        for name in dead:
+            released.members = _without(released.members, dead_ids)
+        for name in dead_ids:
             self._free.pop(name, None)
             self._stagings.pop(name, None)
 
@@ -189,8 +191,8 @@
     def _records(self) -> list[ReplicaRecord]:
         return [one.record for one in self._released if one.record is not None]
 
-    def _end(self, replica: _Replica, dead: set[str]) -> None:
-        head_died = replica.members[0].id in dead
+    def _end(self, replica: _Replica, dead_ids: set[str]) -> None:
+        head_died = replica.members[0].id in dead_ids
         wait = _STALL_SECONDS if head_died else 0
         self._released.append(
             _ReleasedMembers(
@@ -204,16 +206,16 @@
                 self._released.remove(released)
                 for member in released.members:
                     self._add(member)
-        for due in tuple(self._returns):
+        for due in tuple(self._pending_returns):
             if due[0] < self.now:
-                self._returns.remove(due)
+                self._pending_returns.remove(due)
                 self._add(due[1])
         for name, (at, model) in list(self._stagings.items()):
             if at < self.now:
                 del self._stagings[name]
-                self._stage(name, model)
+                self._set_staged(name, model)
 
-    def _stage(self, name: str, model: str) -> None:
+    def _set_staged(self, name: str, model: str) -> None:
         host = self._free.get(name)
         if host is not None:
             self._free[name] = attrs.evolve(host, staged=(model,))
@@ -258,7 +260,7 @@
             tuple({one.id: one for one in free}.values()),
             replica_counts,
             fabric_replica_counts,
-            self.work,
+            self.demand,
             tuple(self._members(own_fabrics)),
             {name: model for name, (_at, model) in self._stagings.items()},
             release_delays,
@@ -293,7 +295,7 @@
             )
         for new in found.replicas:
             self._form(new)
-        self._load(found.stagings)
+        self._start_stagings(found.stagings)
 
     def _form(self, new: NewReplica) -> None:
         if new.cold_members and self.now:
@@ -313,7 +315,7 @@
             new.cold_members,
         )
 
-    def _load(self, stagings: Sequence[Staging]) -> None:
+    def _start_stagings(self, stagings: Sequence[Staging]) -> None:
         seconds = {one.name: one.load_seconds for one in self._layout.models}
         for staging in stagings:
             name = staging.instance.id
--- a/tests/unit/test_allocation.py
+++ b/tests/unit/test_allocation.py
@@ -36,7 +36,7 @@
 _PROFILE = ServiceProfile(SERVICE, EngineProfile(_MODELS, 13, 0.3, 4, 1))
 
 
-def _warm(name: str, model: str, fabric: str = 'f') -> ListedInstance:
+def _warm_instance(name: str, model: str, fabric: str = 'f') -> ListedInstance:
     """Return an instance that has one model loaded and the other staged."""
     instance = listed(name, _ADDRESS, fabric)
     return attrs.evolve(
@@ -53,16 +53,16 @@
 class ObjectiveTest(unittest.TestCase):
     """What replicas are worth."""
 
-    def test_one_more_is_worth_less_and_less(self) -> None:
+    def test_marginal_value_decreases(self) -> None:
         """Whatever there is of the other model."""
         objective = _objective()
-        worth = [
+        scores = [
             objective.value({'large': count, 'small': 4}) for count in range(9)
         ]
-        gains = [after - before for before, after in itertools.pairwise(worth)]
+        gains = [after - before for before, after in itertools.pairwise(scores)]
         self.assertEqual(gains, sorted(gains, reverse=True))
 
-    def test_shares_stand_for_work_that_is_not_known(self) -> None:
+    def test_shares_replace_unknown_demand(self) -> None:
         """Two thirds of the instances for four, a third for two."""
         objective = build_objective(_MODELS, {}, 48)
         self.assertAlmostEqual(
@@ -72,28 +72,31 @@
         )
 
 
-class DivideTest(unittest.TestCase):
+class BestAllocationTest(unittest.TestCase):
     """One fabric domain."""
 
-    def test_as_good_as_every_other_way(self) -> None:
+    def test_matches_exhaustive_search(self) -> None:
         """Small cases, against all choices of members and closings."""
         source = random.Random(7)
         for _case in range(150):
-            pool = _drawn_pool(source)
+            pool = _random_pool(source)
             replica_counts = {'large': source.randint(1, 6), 'small': 4.0}
             found = best_allocation(pool, _objective(), replica_counts)
             best = max(
                 best_allocation(narrowed, _objective(), replica_counts).value
-                for narrowed in _narrowed(pool)
+                for narrowed in _restrictions(pool)
             )
             self.assertAlmostEqual(found.value, best)
 
     def test_survivors_wait_for_a_small_replica_to_close(self) -> None:
         """Three of four and two of a plenty make four again, and one spare."""
         survivors = [
-            Candidate(_warm(f'l{number}', 'large')) for number in range(3)
+            Candidate(_warm_instance(f'l{number}', 'large'))
+            for number in range(3)
         ]
-        small = tuple(_warm(f's{number}', 'small') for number in range(2))
+        small = tuple(
+            _warm_instance(f's{number}', 'small') for number in range(2)
+        )
         pool = FabricPool(
             tuple(survivors),
             (PreemptibleReplica('r', 'small', small),),
@@ -103,10 +106,12 @@
         self.assertEqual(found.preempted, ('r',))
         self.assertEqual([one.model for one in found.formed], ['large'])
 
-    def test_no_step_is_taken_back(self) -> None:
+    def test_no_step_is_reverted(self) -> None:
         """What was just formed is not closed by the same measure."""
         for large, small in itertools.product(range(1, 9), repeat=2):
-            members = tuple(_warm(f'l{number}', 'large') for number in range(4))
+            members = tuple(
+                _warm_instance(f'l{number}', 'large') for number in range(4)
+            )
             pool = FabricPool(tuple(Candidate(one) for one in members))
             replica_counts = {'large': large, 'small': small}
             formed = best_allocation(pool, _objective(), replica_counts).formed
@@ -129,10 +134,10 @@
             self.assertEqual(again.preempted, ())
 
 
-class StartTest(unittest.TestCase):
+class InitialPlanTest(unittest.TestCase):
     """Empty instances of three failure domains, and no request yet."""
 
-    def test_placers_agree_on_one_division(self) -> None:
+    def test_placers_agree_on_one_allocation(self) -> None:
         """Each plans for all; its part of that plan fits the others'."""
         free = tuple(
             listed(f'{fabric}-{number}', _ADDRESS, f'f{fabric}')
@@ -151,7 +156,7 @@
         self.assertEqual(parts, len(whole.replicas))
 
 
-class DeathsTest(unittest.TestCase):
+class FailuresTest(unittest.TestCase):
     """Members die every two seconds for good, as on the worst days."""
 
     def test_the_large_model_keeps_its_replicas(self) -> None:
@@ -181,7 +186,9 @@
         self.closing: list[list[ListedInstance]] = []
         for fabric, number in itertools.product(range(6), range(8)):
             model = 'large' if number < 4 else 'small'
-            self.free.append(_warm(f'{fabric}-{number}', model, f'f{fabric}'))
+            self.free.append(
+                _warm_instance(f'{fabric}-{number}', model, f'f{fabric}')
+            )
         self.place()
 
     def counts(self) -> Counter[str]:
@@ -214,7 +221,8 @@
             for member in set(group) & set(new.members):
                 group.remove(member)
         joined = [
-            _warm(one.id, new.model, one.fabric_domain) for one in new.members
+            _warm_instance(one.id, new.model, one.fabric_domain)
+            for one in new.members
         ]
         self.replicas[f'r{next(self._numbers)}'] = (new.model, joined)
 
@@ -238,23 +246,28 @@
     return whole.restricted_to(lambda one: one.fabric_domain in fabrics)
 
 
-def _drawn_pool(source: random.Random) -> FabricPool:
+def _random_pool(source: random.Random) -> FabricPool:
     free = tuple(
-        Candidate(_warm(f'i{number}', source.choice(('large', 'small'))))
+        Candidate(
+            _warm_instance(f'i{number}', source.choice(('large', 'small')))
+        )
         for number in range(source.randint(0, 6))
     )
     closable = tuple(
         PreemptibleReplica(
             f'r{number}',
             'small',
-            tuple(_warm(f'r{number}-{member}', 'small') for member in range(2)),
+            tuple(
+                _warm_instance(f'r{number}-{member}', 'small')
+                for member in range(2)
+            ),
         )
         for number in range(source.randint(0, 2))
     )
     return FabricPool(free, closable, drain_seconds=0.5)
 
 
-def _narrowed(pool: FabricPool) -> Iterable[FabricPool]:
+def _restrictions(pool: FabricPool) -> Iterable[FabricPool]:
     """Yield the pool with every choice of instances and of closables."""
     for free, preemptible in itertools.product(
         _subsets(pool.candidates),
--- a/tests/unit/test_grouping.py
+++ b/tests/unit/test_grouping.py
@@ -101,7 +101,7 @@
 
     def test_forms_both_models_and_stages_spares(self) -> None:
         """Four and three serve; each spare is staged for another model."""
-        curio.run(self._formed)
+        curio.run(self._form_and_stage)
         sizes = sorted(len(head.members) for head in self.testbed.heads())
         self.assertEqual(sizes, [3, 4])
         used = {name for one in self.testbed.heads() for name in one.members}
@@ -120,35 +120,35 @@
 
     def test_spares_load_their_model(self) -> None:
         """A spare needs no more time to join than a survivor."""
-        curio.run(self._warmed)
+        curio.run(self._wait_until_warmed)
         self.assertEqual(self.testbed.engines.violations, [])
 
     def test_no_member_is_warmed_before_it_is_free(self) -> None:
         """A dark head may still serve with the members that it has."""
         self.testbed.has_traffic = True
-        curio.run(self._head_lost_for_a_while)
+        curio.run(self._lose_head_briefly)
         self.assertEqual(self.testbed.engines.violations, [])
 
-    def test_evidence_is_looked_at_at_once(self) -> None:
+    def test_suspected_replica_is_checked_at_once(self) -> None:
         """All nodes hear of a lost member before the next turn."""
-        self.assertLess(curio.run(self._suspected), 0.03)
+        self.assertLess(curio.run(self._suspect_member), 0.03)
         self.assertEqual(len({name for name, _ in self.testbed.stopped}), 1)
 
-    def test_survivors_join_anew_at_once(self) -> None:
+    def test_survivors_rejoin_at_once(self) -> None:
         """A freed member waits for no order that was never sent."""
-        seconds = curio.run(self._repaired)
+        seconds = curio.run(self._lose_member)
         self.assertLess(seconds, 0.45)
         self.assertEqual(self.testbed.engines.violations, [])
 
-    def test_members_of_a_dark_head_wait_for_its_end(self) -> None:
+    def test_members_wait_for_an_unreachable_head(self) -> None:
         """Nobody joins elsewhere while the head may still serve."""
-        seconds = curio.run(self._head_lost)
+        seconds = curio.run(self._lose_head)
         self.assertGreater(seconds, _STALL_SECONDS)
         self.assertEqual(self.testbed.engines.violations, [])
 
     def test_a_head_that_stopped_listening_may_serve(self) -> None:
         """One that leaves finishes what it has behind a closed port."""
-        seconds = curio.run(self._head_closed)
+        seconds = curio.run(self._stop_listening_at_head)
         self.assertGreater(seconds, _STALL_SECONDS)
         self.assertEqual(self.testbed.engines.violations, [])
 
@@ -163,10 +163,10 @@
     def test_an_unanswered_order_is_sent_again(self) -> None:
         """An order whose answer is lost holds back nothing for long."""
         self.testbed.engines.dropping_answers.update(('i0', 'i1', 'i2'))
-        curio.run(self._formed)
+        curio.run(self._form_and_stage)
         self.assertEqual(self.testbed.engines.violations, [])
 
-    def test_a_leaving_member_ends_the_replica_softly(self) -> None:
+    def test_a_leaving_member_drains_the_replica(self) -> None:
         """The head is closed before its members are freed."""
         curio.run(self._member_leaves)
         self.assertIn(
@@ -178,9 +178,9 @@
         self.assertEqual(self.testbed.engines.interrupted, 0)
         self.assertEqual(self.testbed.engines.violations, [])
 
-    def test_a_successor_goes_on(self) -> None:
+    def test_a_successor_keeps_the_replicas(self) -> None:
         """Another placer takes over rows and opens nothing a second time."""
-        curio.run(self._succeeded)
+        curio.run(self._replace_placer)
         members = {name for one in self.testbed.heads() for name in one.members}
         joins = [
             name
@@ -189,21 +189,21 @@
         ]
         self.assertEqual(len(joins), 7)
 
-    def test_instances_that_come_one_by_one(self) -> None:
+    def test_instances_returning_one_by_one(self) -> None:
         """No replica loads a model while better members are on their way."""
-        curio.run(self._come_back)
+        curio.run(self._return_one_by_one)
         reasons = {
             record.reason for record in self.testbed.fleet.records.values()
         }
         self.assertEqual(reasons, {'0 members must load'})
 
-    async def _come_back(self) -> None:
+    async def _return_one_by_one(self) -> None:
         testbed = self.testbed
         testbed.has_traffic = True
-        everything = dict(testbed.fleet.instances)
+        instances = dict(testbed.fleet.instances)
         testbed.fleet.apply_instances({}, True)
         running = await curio.spawn(testbed.placer.run)
-        for number, instance in enumerate(everything.values()):
+        for number, instance in enumerate(instances.values()):
             model = BIG.name if number < 4 else SMALL.name
             staged = attrs.evolve(instance, staged=(model,))
             testbed.fleet.apply_instances({instance.id: staged}, False)
@@ -211,7 +211,7 @@
         await until(lambda: len(testbed.heads()) >= 2)
         await running.cancel()
 
-    async def _formed(self) -> None:
+    async def _form_and_stage(self) -> None:
         testbed = self.testbed
         running = await curio.spawn(testbed.placer.run)
         await until(lambda: len(testbed.heads()) == 2)
@@ -229,7 +229,7 @@
             ),
         )
 
-    async def _warmed(self) -> None:
+    async def _wait_until_warmed(self) -> None:
         testbed = self.testbed
         running = await curio.spawn(testbed.placer.run)
         await until(lambda: len(testbed.heads()) == 2)
@@ -240,15 +240,15 @@
         )
         await running.cancel()
 
-    async def _suspected(self) -> float:
+    async def _suspect_member(self) -> float:
         testbed = self.testbed
         running = await curio.spawn(testbed.placer.run)
         await until(lambda: len(testbed.heads()) == 2)
         big = testbed.fleet.heads(SERVICE, BIG.name)[0]
         # Nothing listens at the address of a process that has ended.
-        ended = socket.create_server(('127.0.0.1', 0))
-        address = Address(*ended.getsockname()[:2])
-        ended.close()
+        closed_listener = socket.create_server(('127.0.0.1', 0))
+        address = Address(*closed_listener.getsockname()[:2])
+        closed_listener.close()
         member = attrs.evolve(
             testbed.fleet.instances[big.members[1]],
             address=address,
@@ -262,7 +262,7 @@
         await running.cancel()
         return took
 
-    async def _head_lost_for_a_while(self) -> None:
+    async def _lose_head_briefly(self) -> None:
         testbed = self.testbed
         running = await curio.spawn(testbed.placer.run)
         await until(lambda: len(testbed.heads()) == 2)
@@ -289,7 +289,7 @@
         await curio.sleep(0.8)
         await running.cancel()
 
-    async def _repaired(self) -> float:
+    async def _lose_member(self) -> float:
         testbed = self.testbed
         running = await curio.spawn(testbed.placer.run)
         await until(lambda: len(testbed.heads()) == 2)
@@ -302,7 +302,7 @@
         await running.cancel()
         return float(took)
 
-    async def _head_lost(self) -> float:
+    async def _lose_head(self) -> float:
         testbed = self.testbed
         running = await curio.spawn(testbed.placer.run)
         await until(lambda: len(testbed.heads()) == 2)
@@ -314,14 +314,14 @@
         await running.cancel()
         return float(took)
 
-    async def _head_closed(self) -> float:
+    async def _stop_listening_at_head(self) -> float:
         testbed = self.testbed
         running = await curio.spawn(testbed.placer.run)
         await until(lambda: len(testbed.heads()) == 2)
         big = testbed.fleet.heads(SERVICE, BIG.name)[0]
         testbed.engines.refusing.add(big.id)
         testbed.placer.failure_detector.report_lost(
-            big.id, 'it accepts no connection'
+            big.id, 'no answer to connection attempts'
         )
         started = await curio.clock()
         await until(lambda: self._is_replaced(big))
@@ -341,7 +341,7 @@
         await until(lambda: self._is_replaced(big))
         await running.cancel()
 
-    async def _succeeded(self) -> None:
+    async def _replace_placer(self) -> None:
         testbed = self.testbed
         running = await curio.spawn(testbed.placer.run)
         await until(lambda: len(testbed.heads()) == 2)
@@ -368,15 +368,15 @@
 class FailingPlacerTest(unittest.TestCase):
     """A placer whose store has gone."""
 
-    def test_nothing_closes_for_what_cannot_be_written(self) -> None:
+    def test_a_failed_write_preempts_nothing(self) -> None:
         """A replica that made room would be lost for nothing."""
-        curio.run(self._want_room)
+        curio.run(self._fail_preemption_write)
 
-    def test_others_hear_of_it(self) -> None:
+    def test_the_lease_is_not_claimed_without_store(self) -> None:
         """It claims the duty no more, long before its lease ends."""
         curio.run(self._lose_store)
 
-    async def _want_room(self) -> None:
+    async def _fail_preemption_write(self) -> None:
         testbed = PlacerTestbed()
         staged = {
             name: attrs.evolve(one, staged=(BIG.name, SMALL.name))
--- a/tests/unit/test_grouping_faults.py
+++ b/tests/unit/test_grouping_faults.py
@@ -21,14 +21,22 @@
 from tests.unit.test_grouping import PlacerTestbed
 
 _STEP_SECONDS = 0.06
-TableCopy = tuple[int, dict[str, Row]]
+TableSnapshot = tuple[int, dict[str, Row]]
 _INSTANCES = 9
 _STORE_FAULTS = (REFUSED, FINE, LOST_ANSWER, FINE, LOST_WRITE, REFUSED)
 
-_events = st.lists(
+_fault_events = st.lists(
     st.tuples(
         st.sampled_from(
-            ('dark', 'gone', 'leaving', 'unanswered', 'store', 'new', 'placer'),
+            (
+                'unreachable',
+                'terminated',
+                'leaving',
+                'lost answer',
+                'store',
+                'new',
+                'placer',
+            ),
         ),
         st.integers(0, _INSTANCES - 1),
     ),
@@ -36,15 +44,15 @@
 )
 
 
-_returns = st.lists(
+_restore_events = st.lists(
     st.tuples(
         st.sampled_from(
             (
-                'copy',
-                'return',
-                'return',
-                'fresh',
-                'dark',
+                'snapshot',
+                'restore',
+                'restore',
+                'new node',
+                'unreachable',
                 'leaving',
                 'new',
                 'store',
@@ -58,13 +66,13 @@
 
 
 @attrs.define
-class _Play:
+class _FaultScenario:
     """One world, and the faults that strike it one after the other."""
 
     testbed: PlacerTestbed
     events: list[tuple[str, int]]
     running: curio.Task | None = None
-    copy: TableCopy = (0, {})
+    snapshot: TableSnapshot = (0, {})
 
     async def run(self) -> None:
         """Form, strike, and wait until nothing changes any more."""
@@ -72,19 +80,19 @@
         self.running = await curio.spawn(testbed.placer.run)
         await until(lambda: len(testbed.heads()) == 2)
         for kind, number in self.events:
-            await self._strike(kind, f'i{number}')
+            await self._inject(kind, f'i{number}')
             await curio.sleep(_STEP_SECONDS)
         testbed.table.faults = iter(())
         await until(self._is_settled, 12)
         await self.running.cancel()
 
-    async def _strike(self, kind: str, name: str) -> None:
+    async def _inject(self, kind: str, name: str) -> None:
         testbed = self.testbed
         instance = testbed.fleet.instances.get(name)
         match kind:
-            case 'dark':
+            case 'unreachable':
                 testbed.lose(name)
-            case 'gone' if instance is not None:
+            case 'terminated' if instance is not None:
                 testbed.engines.terminated.add(name)
                 testbed.fleet.apply_instances({name: None}, False)
                 testbed.placer.failure_detector.report_lost(
@@ -93,7 +101,7 @@
             case 'leaving' if instance is not None:
                 leaving = attrs.evolve(instance, leaving=True)
                 testbed.fleet.apply_instances({name: leaving}, False)
-            case 'unanswered':
+            case 'lost answer':
                 testbed.engines.dropping_answers.add(name)
             case 'store':
                 testbed.table.faults = iter(_STORE_FAULTS)
@@ -105,18 +113,18 @@
             case 'placer':
                 await self._replace_placer()
             case _:
-                await self._strike_table(kind)
+                await self._inject_table_fault(kind)
 
-    async def _strike_table(self, kind: str) -> None:
+    async def _inject_table_fault(self, kind: str) -> None:
         testbed = self.testbed
         match kind:
-            case 'copy':
-                self.copy = testbed.table.copied()
-            case 'return':
-                testbed.table.restore(self.copy)
+            case 'snapshot':
+                self.snapshot = testbed.table.copied()
+            case 'restore':
+                testbed.table.restore(self.snapshot)
                 testbed.fleet.apply_records(self._rows(), False)
-            case 'fresh':
-                await self._start_afresh()
+            case 'new node':
+                await self._restart_with_empty_fleet()
 
     def _rows(self) -> dict[str, ReplicaRecord]:
         """Return what a node reads of the table's records."""
@@ -128,7 +136,7 @@
         }
         return {key: one for key, one in read.items() if one is not None}
 
-    async def _start_afresh(self) -> None:
+    async def _restart_with_empty_fleet(self) -> None:
         """Kill the placer; the next one knows the list and the rows only."""
         testbed = self.testbed
         listed_now = dict(testbed.fleet.instances)
@@ -163,8 +171,8 @@
     """Whatever strikes, in whatever order."""
 
     @settings(max_examples=10, deadline=None)
-    @given(_events)
-    def test_never_two_and_never_in_part(
+    @given(_fault_events)
+    def test_no_overlap_and_no_partial_replica(
         self,
         events: list[tuple[str, int]],
     ) -> None:
@@ -172,8 +180,8 @@
         self._play(events)
 
     @settings(max_examples=10, deadline=None)
-    @given(_returns)
-    def test_never_two_over_returns_of_the_table(
+    @given(_restore_events)
+    def test_no_overlap_after_table_restores(
         self,
         events: list[tuple[str, int]],
     ) -> None:
@@ -183,7 +191,7 @@
     def _play(self, events: list[tuple[str, int]]) -> None:
         testbed = PlacerTestbed()
         try:
-            curio.run(_Play(testbed, events).run)
+            curio.run(_FaultScenario(testbed, events).run)
         finally:
             testbed.listener.close()
         self.assertEqual(testbed.engines.violations, [])
--- a/tests/unit/test_initial_allocation.py
+++ b/tests/unit/test_initial_allocation.py
@@ -84,20 +84,20 @@
     fleet.apply_records({record.key: record}, False)
 
 
-class FirstDivisionTest(unittest.TestCase):
+class InitialAllocationTest(unittest.TestCase):
     """Placers that are some tens of milliseconds apart."""
 
-    def test_one_is_ahead(self) -> None:
+    def test_a_late_placer_plans_the_same(self) -> None:
         """However much of its part it has formed, the others' stay."""
-        together = {one: _own_part(_fleet(), one) for one in _DOMAINS}
-        for ahead, late in itertools.permutations(_DOMAINS, 2):
+        expected = {one: _own_part(_fleet(), one) for one in _DOMAINS}
+        for first, late in itertools.permutations(_DOMAINS, 2):
             fleet = _fleet()
-            for new in together[ahead]:
-                _record(fleet, ahead, new)
-                with self.subTest(ahead=ahead, late=late):
-                    self._check_same(fleet, late, together[late])
+            for new in expected[first]:
+                _record(fleet, first, new)
+                with self.subTest(first=first, late=late):
+                    self._check_same(fleet, late, expected[late])
 
-    def test_the_rest_of_an_own_part(self) -> None:
+    def test_own_part_is_not_formed_twice(self) -> None:
         """What a placer has formed itself is not formed again."""
         for domain in _DOMAINS:
             fleet = _fleet()
--- a/tests/unit/test_large_replicas.py
+++ b/tests/unit/test_large_replicas.py
@@ -84,17 +84,17 @@
     )
 
 
-class RoomTest(unittest.TestCase):
+class PreemptionTest(unittest.TestCase):
     """Closing for a model with many members."""
 
-    def test_four_small_ones_make_room(self) -> None:
+    def test_four_small_replicas_are_preempted(self) -> None:
         """With 3 large replicas for the work of 3, and 36 small ones."""
         plan_input = _plan_input((), _serving(_SMALL, 9), 3, 36)
         found = plan(plan_input, PreemptionScope.ANYWHERE)
         self.assertEqual([one.model for one in found.replicas], ['large'])
         self.assertEqual(len(found.preempted), 4)
 
-    def test_a_large_one_is_not_closed_for_four(self) -> None:
+    def test_no_large_replica_is_preempted_for_four(self) -> None:
         """As it lasts a quarter as long, 7 are no plenty for work of 2.5."""
         members = (*_serving(_LARGE, 1), *_serving(_SMALL, 5))
         spare = listed('spare', _ADDRESS, 'f')
@@ -106,7 +106,7 @@
             plan(plan_input, PreemptionScope.ANYWHERE).preempted, ()
         )
 
-    def test_survivors_wait_where_room_is_made_a_little_later(self) -> None:
+    def test_survivors_wait_for_deferred_preemption(self) -> None:
         """Another placer has just made room; these must not close yet."""
         now = 10.0
         cooldown = PreemptionCooldown(lambda: now)
@@ -122,20 +122,20 @@
         self.assertEqual(len(found.preempted), 1)
         self.assertEqual([one.model for one in found.replicas], ['large'])
 
-    def test_the_pause_does_not_grow_with_the_time_to_close(self) -> None:
+    def test_cooldown_does_not_grow_with_drain_time(self) -> None:
         """Six fabric domains that lose members together take turns."""
         now = 10.0
         cooldown = PreemptionCooldown(lambda: now)
         record = ReplicaRecord('r', 1, SERVICE, 'small', 'east', 'g', ('a',))
-        making = attrs.evolve(record, reason=PREEMPTION_REASON)
+        preempted = attrs.evolve(record, reason=PREEMPTION_REASON)
         allowed = []
         for _look in range(4):
-            allowed.append(cooldown.scope([making]).allows(False))
+            allowed.append(cooldown.scope([preempted]).allows(False))
             now += 0.5
         self.assertEqual(allowed, [False, False, True, True])
 
 
-class LastingTest(unittest.TestCase):
+class AvailabilityTest(unittest.TestCase):
     """How long replicas last."""
 
     def test_more_members_are_worth_less(self) -> None:
@@ -145,11 +145,11 @@
             {'a': 3.0, 'b': 3.0},
             _INSTANCES,
         )
-        part_of = {
+        value_per_instance = {
             'a': objective.value({'a': 3}) / _LARGE.size,
             'b': objective.value({'b': 3}) / _SMALL.size,
         }
-        self.assertLess(part_of['a'], part_of['b'])
+        self.assertLess(value_per_instance['a'], value_per_instance['b'])
 
 
 class CrashTest(unittest.TestCase):
@@ -157,8 +157,8 @@
 
     def test_large_replicas_are_formed_again(self) -> None:
         """Means of six seeds; with what fits taken first, 4.4 of 6 to 7."""
-        work = {'large': 2.6, 'small': 13.8}
-        layout = SimulationLayout(6, 37, _MODELS, work)
+        demand = {'large': 2.6, 'small': 13.8}
+        layout = SimulationLayout(6, 37, _MODELS, demand)
         seen: list[tuple[int, int]] = []
         for seed in range(6):
             deployment = SimulatedDeployment(layout, random.Random(seed))
@@ -166,6 +166,6 @@
                 seen.extend(
                     (turn, counts['large']) for counts in deployment.run(2)
                 )
-                deployment.crash(29 if turn == 5 else 1, away_seconds=5)
+                deployment.crash(29 if turn == 5 else 1, downtime_seconds=5)
         after = [large for turn, large in seen if turn >= 6]
         self.assertGreater(sum(after) / len(after), 4.0)
--- a/tests/unit/test_liveness.py
+++ b/tests/unit/test_liveness.py
@@ -32,28 +32,28 @@
     """Answers connections as told; ``None`` is silence."""
 
     answers: Mapping[str, bool | None]
-    tried: list[str] = attrs.field(factory=list)
+    probed: list[str] = attrs.field(factory=list)
 
-    async def attempt(self, instance: ListedInstance) -> bool | None:
+    async def probe(self, instance: ListedInstance) -> bool | None:
         """Tell whether an instance listens."""
-        self.tried.append(instance.id)
+        self.probed.append(instance.id)
         return self.answers[instance.id]
 
 
-class WitnessTest(unittest.TestCase):
+class ReferenceInstancesTest(unittest.TestCase):
     """A replica of two members, beside others of the failure domain."""
 
-    def test_nobody_is_accused_where_nobody_answers(self) -> None:
+    def test_nothing_is_lost_without_any_answer(self) -> None:
         """The node's own link may be what is silent."""
         answers = dict.fromkeys('abxyz')
         self.assertEqual(_found_lost(answers), set())
 
-    def test_all_members_are_accused_where_others_answer(self) -> None:
+    def test_all_members_are_lost_if_others_answer(self) -> None:
         """They died together."""
         answers = {**dict.fromkeys('ab'), 'x': True, 'y': None, 'z': None}
         self.assertEqual(_found_lost(answers), {'a', 'b'})
 
-    def test_a_whole_fabric_domain_is_accused(self) -> None:
+    def test_members_lost_with_their_fabric_domain(self) -> None:
         """Its other instances died with the members; one elsewhere answers."""
         answers = {**dict.fromkeys('abxyz'), 'elsewhere': True}
         self.assertEqual(_found_lost(answers), {'a', 'b'})
@@ -63,14 +63,14 @@
         answers = {**dict.fromkeys('bxyz'), 'a': False}
         self.assertEqual(_found_lost(answers), {'a', 'b'})
 
-    def test_others_are_asked_only_where_no_member_answers(self) -> None:
+    def test_others_probed_only_if_no_member_answers(self) -> None:
         """Connections to instances are not free."""
         network = _Network({'a': None, **dict.fromkeys('bxyz', True)})
         self.assertEqual(_lost_by(network), {'a'})
-        self.assertEqual(sorted(network.tried), ['a', 'b'])
+        self.assertEqual(sorted(network.probed), ['a', 'b'])
 
     @given(st.lists(st.sampled_from([True, False, None]), min_size=5))
-    def test_whoever_listens_is_never_accused(
+    def test_listening_instances_are_never_lost(
         self,
         drawn: list[bool | None],
     ) -> None:
@@ -105,7 +105,7 @@
         found.append(record.name)
 
     failure_detector = FailureDetector(fleet, note)
-    failure_detector.liveness = LivenessCheck(network.attempt)
+    failure_detector.liveness = LivenessCheck(network.probe)
 
     async def run() -> None:  # noqa: WPS430
         failure_detector.suspect(_RECORD, 'silent')
--- a/tests/unit/test_placement_plan.py
+++ b/tests/unit/test_placement_plan.py
@@ -39,19 +39,19 @@
     return attrs.evolve(state, rows=rows, owners=owners)
 
 
-def _obey(state: DomainState) -> DomainState:
+def _follow_orders(state: DomainState) -> DomainState:
     """Let every instance that answers follow its orders at once."""
     reports = dict(state.reports)
     for order in plan_orders(state):
         if order.row is None:
             reports.update(idle_reports([order.instance.id]))
         else:
-            said = ready_reports(order.row)[order.instance.id]
-            reports[order.instance.id] = said
+            report = ready_reports(order.row)[order.instance.id]
+            reports[order.instance.id] = report
     return attrs.evolve(state, reports=reports)
 
 
-def _fresh(count: int, replicas: int, fabrics: int = 1) -> DomainState:
+def _empty_state(count: int, replicas: int, fabrics: int = 1) -> DomainState:
     instances = make_instances(count, fabrics)
     return DomainState(
         DOMAIN,
@@ -81,7 +81,7 @@
         st.integers(1, 3),
         st.lists(st.sets(st.integers(0, 23)), max_size=4),
     )
-    def test_ownership_always_holds(
+    def test_no_instance_is_owned_twice(
         self,
         count: int,
         replicas: int,
@@ -89,15 +89,15 @@
         losses: list[set[int]],
     ) -> None:
         """No instance in two replicas, one fabric, no more than declared."""
-        state = _fresh(count, replicas, fabrics)
+        state = _empty_state(count, replicas, fabrics)
         for lost in (set[int](), *losses):
             state = _lose(state, {f'e{number:02}' for number in lost})
-            state = _obey(_apply(state))
+            state = _follow_orders(_apply(state))
             self._check(state, replicas)
 
     def test_spare_replaces_a_lost_member(self) -> None:
         """The replica goes on in a new generation."""
-        state = _obey(_apply(_fresh(5, 1)))
+        state = _follow_orders(_apply(_empty_state(5, 1)))
         actions = plan(_lose(state, {'e01'}))
         self.assertEqual(len(actions), 1)
         action = actions[0]
@@ -107,13 +107,13 @@
 
     def test_without_spare_the_replica_is_dissolved(self) -> None:
         """Its instances are free for others rather than stranded."""
-        state = _obey(_apply(_fresh(4, 1)))
+        state = _follow_orders(_apply(_empty_state(4, 1)))
         actions = plan(_lose(state, {'e01'}))
         self.assertEqual([type(one) for one in actions], [RetireReplica])
 
     def test_leaving_member_waits_for_work_to_end(self) -> None:
         """Work in flight is never cut for a planned leave."""
-        state = _obey(_apply(_fresh(5, 1)))
+        state = _follow_orders(_apply(_empty_state(5, 1)))
         reports = dict(state.reports)
         reports['e02'] = attrs.evolve(reports['e02'], draining=True)
         reports['e00'] = attrs.evolve(reports['e00'], running=3)
@@ -125,9 +125,9 @@
         actions = plan(attrs.evolve(state, reports=reports))
         self.assertEqual([type(one) for one in actions], [ReplaceMembers])
 
-    def test_a_broken_replica_restarts_as_one(self) -> None:
+    def test_a_broken_replica_restarts_as_a_whole(self) -> None:
         """Its members are kept in a new generation."""
-        state = _obey(_apply(_fresh(4, 1)))
+        state = _follow_orders(_apply(_empty_state(4, 1)))
         reports = dict(state.reports)
         reports['e00'] = attrs.evolve(
             reports['e00'],
@@ -138,7 +138,7 @@
 
     def test_a_busy_instance_is_not_free(self) -> None:
         """An instance must let go of its work before it joins another."""
-        state = _fresh(4, 1)
+        state = _empty_state(4, 1)
         stray = ReplicaRow('x', 'm', 'v', 1, ('e00', 'e01'), DOMAIN, 'f0')
         reports = {**state.reports, **ready_reports(stray)}
         state = attrs.evolve(state, reports=reports)
@@ -161,23 +161,23 @@
             self.assertEqual(len(fabrics), 1)
 
 
-class RollingTest(unittest.TestCase):
+class RollingUpdateTest(unittest.TestCase):
     """A new version replaces the old one."""
 
     def test_with_room_the_old_stays_until_the_new_serves(self) -> None:
         """There is always a replica that serves."""
-        state = _obey(_apply(_fresh(8, 1)))
+        state = _follow_orders(_apply(_empty_state(8, 1)))
         new = attrs.evolve(state, models=(make_spec(1, version='v2'),))
         self.assertEqual([type(one) for one in plan(new)], [CreateReplica])
         new = _apply(new)
         self.assertEqual(plan(new), [])
-        new = _obey(new)
+        new = _follow_orders(new)
         self.assertEqual([type(one) for one in plan(new)], [DrainReplica])
 
-    def test_without_room_one_makes_room_at_a_time(self) -> None:
+    def test_without_room_one_drains_at_a_time(self) -> None:
         """Of two old replicas one serves on."""
-        state = _obey(_apply(_fresh(8, 2)))
+        state = _follow_orders(_apply(_empty_state(8, 2)))
         new = attrs.evolve(state, models=(make_spec(2, version='v2'),))
         self.assertEqual([type(one) for one in plan(new)], [DrainReplica])
-        draining = _obey(_apply(new))
+        draining = _follow_orders(_apply(new))
         self.assertEqual(plan(draining), [])
--- a/tests/unit/test_replica_plan.py
+++ b/tests/unit/test_replica_plan.py
@@ -23,7 +23,9 @@
 _ADDRESS = Address('127.0.0.1', 1)
 
 
-def _host(name: str, staged: str = '', fabric: str = 'f') -> ListedInstance:
+def _free_instance(
+    name: str, staged: str = '', fabric: str = 'f'
+) -> ListedInstance:
     instance = listed(name, _ADDRESS, fabric)
     return attrs.evolve(instance, staged=(staged,) if staged else ())
 
@@ -38,43 +40,53 @@
 
     def test_one_load_rather_than_three(self) -> None:
         """Three that have the big model wait for one more, not for all."""
-        hosts = [_host(f'b{number}', BIG.name) for number in range(3)]
-        found = _plan(*hosts, _host('new'), big=2, small=2)
+        free_instances = [
+            _free_instance(f'b{number}', BIG.name) for number in range(3)
+        ]
+        found = _plan(*free_instances, _free_instance('new'), big=2, small=2)
         self.assertEqual(len(found.replicas), 1)
         self.assertEqual(found.replicas[0].model, BIG.name)
         self.assertEqual(found.replicas[0].cold_members, 1)
 
     def test_survivors_of_one_model_serve_another(self) -> None:
         """Where that needs no load, and waiting for one would."""
-        hosts = [_host(f'b{number}', BIG.name) for number in range(3)]
+        free_instances = [
+            _free_instance(f'b{number}', BIG.name) for number in range(3)
+        ]
         survivors = [
             attrs.evolve(one, loaded=(BIG.name,), staged=(SMALL.name,))
-            for one in hosts
+            for one in free_instances
         ]
-        found = _plan(*survivors, _host('new'), big=3, small=3)
+        found = _plan(*survivors, _free_instance('new'), big=3, small=3)
         self.assertEqual(
             [(one.model, one.cold_members) for one in found.replicas],
             [(SMALL.name, 0)],
         )
 
-    def test_a_replica_goes_on_as_it_was(self) -> None:
+    def test_a_replica_keeps_its_model(self) -> None:
         """A spare that has the model spares survivors another one."""
-        hosts = [
+        free_instances = [
             attrs.evolve(
-                _host(f'b{number}'),
+                _free_instance(f'b{number}'),
                 loaded=(BIG.name,),
                 staged=(SMALL.name,),
             )
             for number in range(4)
         ]
-        found = _plan(*hosts, big=5, small=5)
+        found = _plan(*free_instances, big=5, small=5)
         self.assertEqual([one.model for one in found.replicas], [BIG.name])
 
     def test_every_instance_gets_a_second_model(self) -> None:
         """Members in use too, and what is loaded is not staged again."""
-        spare = attrs.evolve(_host('a'), loaded=('big',), staged=('big',))
-        member = attrs.evolve(_host('m'), loaded=('small',), staged=('small',))
-        done = attrs.evolve(_host('n'), loaded=('small',), staged=('big',))
+        spare = attrs.evolve(
+            _free_instance('a'), loaded=('big',), staged=('big',)
+        )
+        member = attrs.evolve(
+            _free_instance('m'), loaded=('small',), staged=('small',)
+        )
+        done = attrs.evolve(
+            _free_instance('n'), loaded=('small',), staged=('big',)
+        )
         plan_input = PlanInput(
             PROFILE,
             (spare,),
@@ -91,18 +103,22 @@
         ]
         self.assertEqual(stagings, [('a', 'small'), ('m', 'big')])
 
-    def test_no_replica_over_two_fabric_domains(self) -> None:
+    def test_no_replica_spans_two_fabric_domains(self) -> None:
         """It would be slow, and is never formed."""
-        hosts = [_host(f'a{number}', fabric='f1') for number in range(2)]
-        hosts.extend(_host(f'b{number}', fabric='f2') for number in range(2))
-        self.assertEqual(_plan(*hosts).replicas, ())
+        free_instances = [
+            _free_instance(f'a{number}', fabric='f1') for number in range(2)
+        ]
+        free_instances.extend(
+            _free_instance(f'b{number}', fabric='f2') for number in range(2)
+        )
+        self.assertEqual(_plan(*free_instances).replicas, ())
 
     def test_a_spare_for_each_model_before_a_second(self) -> None:
         """However the models' work and numbers differ for a moment."""
-        hosts = (_host('a'), _host('b'))
+        free_instances = (_free_instance('a'), _free_instance('b'))
         plan_input = PlanInput(
             PROFILE,
-            hosts,
+            free_instances,
             {BIG.name: 2, SMALL.name: 6},
             {('f', BIG.name): 1, ('f', SMALL.name): 1},
             {BIG.name: 3.0, SMALL.name: 3.0},
@@ -119,44 +135,46 @@
             max_size=24,
         ),
     )
-    def test_nobody_twice(self, kinds: list[tuple[str, str]]) -> None:
+    def test_no_instance_gets_two_roles(
+        self, kinds: list[tuple[str, str]]
+    ) -> None:
         """Whatever is free, each instance gets one job at the most."""
-        hosts = [
-            _host(f'i{number}', staged, fabric)
+        free_instances = [
+            _free_instance(f'i{number}', staged, fabric)
             for number, (fabric, staged) in enumerate(kinds)
         ]
-        found = _plan(*hosts)
-        jobs = [one.id for new in found.replicas for one in new.members]
-        jobs.extend(staging.instance.id for staging in found.stagings)
-        self.assertEqual(len(jobs), len(set(jobs)))
+        found = _plan(*free_instances)
+        roles = [one.id for new in found.replicas for one in new.members]
+        roles.extend(staging.instance.id for staging in found.stagings)
+        self.assertEqual(len(roles), len(set(roles)))
         for new in found.replicas:
             fabrics = {one.fabric_domain for one in new.members}
             self.assertEqual(fabrics, {new.fabric_domain})
 
 
-class ReshapeTest(unittest.TestCase):
+class PreemptionTest(unittest.TestCase):
     """A model that has lost its replicas to another."""
 
-    def test_makes_room(self) -> None:
+    def test_preempts_for_a_scarce_model(self) -> None:
         """Three and a spare become four where four are lacking."""
-        found = _room('big', 'r', spares=1, big=2, small=8)
+        found = _plan_preemption('big', 'r', spares=1, big=2, small=8)
         self.assertEqual(found.preempted, ('r',))
         self.assertEqual([one.model for one in found.replicas], ['big'])
 
-    def test_two_make_room_for_one(self) -> None:
+    def test_preempts_two_for_one(self) -> None:
         """Where no spare is left, six become four and two spares."""
-        found = _room('big', 'ab', spares=0, big=1, small=9)
+        found = _plan_preemption('big', 'ab', spares=0, big=1, small=9)
         self.assertEqual(found.preempted, ('a', 'b'))
         self.assertEqual([one.model for one in found.replicas], ['big'])
 
-    def test_small_differences_are_left(self) -> None:
+    def test_small_differences_are_ignored(self) -> None:
         """Chance alone brings them."""
-        found = _room('big', 'r', spares=1, big=7, small=6)
+        found = _plan_preemption('big', 'r', spares=1, big=7, small=6)
         self.assertEqual(found.preempted, ())
 
-    def test_not_where_the_other_would_have_to_load(self) -> None:
+    def test_no_preemption_if_the_other_must_load(self) -> None:
         """That would cost more than it brings."""
-        found = _room('small', 'r', spares=1, big=2, small=8)
+        found = _plan_preemption('small', 'r', spares=1, big=2, small=8)
         self.assertEqual(found.preempted, ())
 
     def test_one_placer_at_a_time(self) -> None:
@@ -173,7 +191,7 @@
         now += 1
         self.assertIs(cooldown.scope([record]), PreemptionScope.ANYWHERE)
 
-    def test_where_nothing_is_free_only_now_and_then(self) -> None:
+    def test_full_domains_are_compared_rarely(self) -> None:
         """All replicas of a failure domain are compared twice a second."""
         now = 10.0
         cooldown = PreemptionCooldown(lambda: now)
@@ -184,7 +202,7 @@
         self.assertFalse(PreemptionScope.WITH_FREE_INSTANCES.allows(False))
 
 
-def _room(
+def _plan_preemption(
     staged: str,
     replicas: str,
     spares: int,
@@ -193,7 +211,9 @@
     """Choose between small replicas whose members have a model staged."""
     members = tuple(
         ServingMember(
-            attrs.evolve(_host(f'{name}{number}', staged), loaded=('small',)),
+            attrs.evolve(
+                _free_instance(f'{name}{number}', staged), loaded=('small',)
+            ),
             name,
             'small',
         )
@@ -201,7 +221,7 @@
         for number in range(3)
     )
     unused = tuple(
-        attrs.evolve(_host(f's{number}', staged), loaded=('small',))
+        attrs.evolve(_free_instance(f's{number}', staged), loaded=('small',))
         for number in range(spares)
     )
     demand = {'big': 3.0, 'small': 3.0}
@@ -209,34 +229,34 @@
     return plan(plan_input, PreemptionScope.ANYWHERE)
 
 
-class SettlingTest(unittest.TestCase):
+class StabilizationTest(unittest.TestCase):
     """Instances that return one by one."""
 
-    def test_waits_for_those_that_come_together(self) -> None:
+    def test_waits_for_instances_returning_together(self) -> None:
         """The first three form nothing while others follow."""
         now = 10.0
         stabilization = ListStabilization(lambda: now)
-        hosts = [_host(f'i{number}') for number in range(9)]
-        stabilization.update(hosts[:3])
+        free_instances = [_free_instance(f'i{number}') for number in range(9)]
+        stabilization.update(free_instances[:3])
         now = 10.2
-        stabilization.update(hosts[:6])
-        self.assertFalse(stabilization.may_use(hosts[:3]))
+        stabilization.update(free_instances[:6])
+        self.assertFalse(stabilization.may_use(free_instances[:3]))
         now = 10.6
-        stabilization.update(hosts[:6])
-        self.assertTrue(stabilization.may_use(hosts[:3]))
+        stabilization.update(free_instances[:6])
+        self.assertTrue(stabilization.may_use(free_instances[:3]))
 
     def test_survivors_do_not_wait(self) -> None:
         """Others' coming or going says nothing about old members."""
         now = 10.0
         stabilization = ListStabilization(lambda: now)
-        hosts = [_host(f'i{number}') for number in range(9)]
-        stabilization.update(hosts[:4])
+        free_instances = [_free_instance(f'i{number}') for number in range(9)]
+        stabilization.update(free_instances[:4])
         now = 20.0
-        stabilization.update(hosts)
-        self.assertTrue(stabilization.may_use(hosts[:4]))
+        stabilization.update(free_instances)
+        self.assertTrue(stabilization.may_use(free_instances[:4]))
 
 
-class LoadsTest(unittest.TestCase):
+class LoadLimitTest(unittest.TestCase):
     """How many loads may run at once."""
 
     def setUp(self) -> None:
--- a/tests/unit/test_restored_records.py
+++ b/tests/unit/test_restored_records.py
@@ -21,7 +21,7 @@
 from tests.lib.waiting import until
 from tests.unit.test_grouping import PlacerTestbed
 
-_AIM_SECONDS = 1.0
+_TARGET_SECONDS = 1.0
 _WATCH_SECONDS = 1.5
 # The list is waited for, then the head that lacks a member has to break.
 _END_SECONDS = 8.0
@@ -35,71 +35,73 @@
         self.testbed = PlacerTestbed()
         self.addCleanup(self.testbed.listener.close)
 
-    def test_a_copy_lacks_records_of_serving_replicas(self) -> None:
+    def test_missing_records_are_written_again(self) -> None:
         """The placer writes them again."""
-        self._play(self._lose_records)
+        self._run_scenario(self._lose_records)
         self.assertEqual(self._recorded(), self._serving())
 
-    def test_a_successor_finds_no_records(self) -> None:
+    def test_a_successor_rewrites_missing_records(self) -> None:
         """It knows them from before the return and goes on with them."""
-        self._play(self._succeed)
+        self._run_scenario(self._replace_placer)
         self.assertEqual(self._recorded(), self._serving())
 
-    def test_a_copy_holds_replicas_that_were_given_up(self) -> None:
+    def test_resurrected_records_are_deleted(self) -> None:
         """Their rows go, and none of their members is ordered anything."""
-        self._play(self._bring_back)
+        self._run_scenario(self._resurrect_records)
 
-    def test_a_copy_shows_an_ending_replica_as_serving(self) -> None:
+    def test_ending_replica_restored_as_serving_ends(self) -> None:
         """It ends all the same."""
-        self._play(self._end)
+        self._run_scenario(self._restore_while_ending)
 
-    def test_nobody_knows_a_serving_replica(self) -> None:
+    def test_an_orphaned_replica_is_adopted(self) -> None:
         """All nodes are new, and the copy lacks its record."""
-        self._play(self._start_anew)
+        self._run_scenario(self._restart_all_nodes)
         self.assertEqual(self._serving(), self.first)
         self.assertEqual(self._recorded(), self.first)
 
-    def test_nobody_knows_a_replica_that_lacks_a_member(self) -> None:
+    def test_an_incomplete_orphan_is_ended(self) -> None:
         """It ends, and nothing is joined before its head has left."""
-        self._play(self._start_anew_without_one)
+        self._run_scenario(self._restart_without_one_member)
         self.assertEqual(len(self._serving()), 2)
         self.assertEqual(self._recorded(), self._serving())
 
-    def test_a_copy_shows_a_closing_replica_to_a_new_node(self) -> None:
+    def test_a_closing_replica_is_not_reopened(self) -> None:
         """It is not brought up again while its head finishes."""
-        self._play(self._close_head)
+        self._run_scenario(self._close_head)
 
     def test_nothing_is_ordered_before_the_rows_are_read(self) -> None:
         """A placer that has the duty may fail to read what others wrote."""
         curio.run(self._fail_to_read)
         self.assertEqual(self.testbed.engines.orders, [])
 
-    def test_a_whole_reading_of_a_copy(self) -> None:
+    def test_other_nodes_keep_records_a_copy_lacks(self) -> None:
         """Nodes that do not place keep the records that it lacks."""
-        self._play(self._read_whole)
+        self._run_scenario(self._read_whole)
         self.assertEqual(self._serving(), self.first)
 
-    def _play(self, scene: Callable[[], Awaitable[None]]) -> None:
-        curio.run(self._formed, scene)
+    def _run_scenario(self, scenario: Callable[[], Awaitable[None]]) -> None:
+        curio.run(self._run_after_forming, scenario)
         self.assertEqual(self.testbed.engines.violations, [])
 
-    async def _formed(self, scene: Callable[[], Awaitable[None]]) -> None:
+    async def _run_after_forming(
+        self, scenario: Callable[[], Awaitable[None]]
+    ) -> None:
         self.empty = self.testbed.table.copied()
         self.running = await curio.spawn(self.testbed.placer.run)
         await until(lambda: len(self.testbed.heads()) == 2)
         self.first = {head.replica for head in self.testbed.heads()}
-        await scene()
+        await scenario()
         await self.running.cancel()
 
     async def _lose_records(self) -> None:
         orders = self._orders()
         self.testbed.table.restore(self.empty)
-        await until(lambda: self._recorded() == self.first, _AIM_SECONDS)
+        await until(lambda: self._recorded() == self.first, _TARGET_SECONDS)
         await curio.sleep(_WATCH_SECONDS)
         self.assertEqual(self._serving(), self.first)
         self.assertEqual(self._orders(), orders)
 
-    async def _succeed(self) -> None:
+    async def _replace_placer(self) -> None:
         await self.running.cancel()
         orders = self._orders()
         self.testbed.table.restore(self.empty)
@@ -110,7 +112,7 @@
         self.assertEqual(self._serving(), self.first)
         self.assertEqual(self._orders(), orders)
 
-    async def _bring_back(self) -> None:
+    async def _resurrect_records(self) -> None:
         testbed = self.testbed
         earlier = testbed.table.copied()
         lost = testbed.heads()[0]
@@ -119,11 +121,11 @@
         await until(lambda: len(testbed.heads()) == 2)
         serving = self._serving()
         testbed.table.restore(earlier)
-        await until(lambda: self._recorded() == serving, _AIM_SECONDS)
+        await until(lambda: self._recorded() == serving, _TARGET_SECONDS)
         await curio.sleep(_WATCH_SECONDS)
         self.assertEqual(self._serving(), serving)
 
-    async def _end(self) -> None:
+    async def _restore_while_ending(self) -> None:
         testbed = self.testbed
         earlier = testbed.table.copied()
         testbed.engines.work_seconds = 1
@@ -139,14 +141,14 @@
         await curio.sleep(_WATCH_SECONDS)
         self.assertNotIn(head.replica, self._serving())
 
-    async def _start_anew(self) -> None:
+    async def _restart_all_nodes(self) -> None:
         orders = self._orders()
         await self._restart()
         await until(lambda: self._serving() == self.first)
         await curio.sleep(_WATCH_SECONDS)
         self.assertEqual(self._orders(), orders)
 
-    async def _start_anew_without_one(self) -> None:
+    async def _restart_without_one_member(self) -> None:
         testbed = self.testbed
         gone = testbed.heads()[0].members[1]
         await self._restart(gone)
@@ -189,14 +191,16 @@
 
     async def _fail_to_read(self) -> None:
         testbed = self.testbed
-        unread = mock.AsyncMock(side_effect=PlatformUnavailableError('busy'))
-        with mock.patch.object(FakePlatform, 'read_prefix', unread):
+        failing_read = mock.AsyncMock(
+            side_effect=PlatformUnavailableError('busy')
+        )
+        with mock.patch.object(FakePlatform, 'read_prefix', failing_read):
             running = await curio.spawn(testbed.placer.run)
             await until(lambda: testbed.placer.lease.is_held)
             await curio.sleep(_WATCH_SECONDS)
             await running.cancel()
         # No more often than five times a second.
-        self.assertLessEqual(unread.await_count, 5 * _WATCH_SECONDS + 2)
+        self.assertLessEqual(failing_read.await_count, 5 * _WATCH_SECONDS + 2)
 
     async def _read_whole(self) -> None:
         await self.running.cancel()
--- a/tests/unit/test_store_path.py
+++ b/tests/unit/test_store_path.py
@@ -21,7 +21,7 @@
 _READERS = ('list', 'records', 'configuration')
 
 
-class _Node:
+class _NodeReaders:
     """Three readers of one store that may be down."""
 
     def __init__(self) -> None:
@@ -46,23 +46,23 @@
             await tasks.spawn(follower.run)
         return tasks
 
-    def all_know(self) -> bool:
+    def all_synced(self) -> bool:
         """Tell whether each reader has read."""
         return all(held == {'a': '1'} for held in self.held.values())
 
 
-class StormTest(TestCase):
+class VersionBurstTest(TestCase):
     """Versions in quick succession.
 
     In a day with seven of them in six seconds 78 nodes read the configuration
     939 times, once each after every version.
     """
 
-    def test_versions_come_together(self) -> None:
+    def test_a_burst_of_versions_takes_few_reads(self) -> None:
         """The first is known at once, the last soon, by few reads."""
-        curio.run(self._storm)
+        curio.run(self._publish_burst)
 
-    async def _storm(self) -> None:
+    async def _publish_burst(self) -> None:
         source = FakeSource(items={'a': '0'})
         held = Held()
         follower = SourceFollower(
@@ -88,13 +88,13 @@
 class StorePathTest(TestCase):
     """One reader asks; all know soon after the store's return."""
 
-    def test_a_store_that_is_away(self) -> None:
+    def test_one_reader_polls_an_unreachable_store(self) -> None:
         """It is asked once by each reader, and then by one of them."""
-        curio.run(self._be_away)
+        curio.run(self._lose_store)
 
-    def test_one_source_fails_alone(self) -> None:
+    def test_one_source_fails_independently(self) -> None:
         """Another one's answers neither stop it nor make it hurry."""
-        curio.run(self._fail_alone)
+        curio.run(self._fail_one_source)
 
     def test_others_read_for_this_node(self) -> None:
         """It may ask more seldom then."""
@@ -103,7 +103,7 @@
             StoreReachability().max_retry_seconds,
         )
 
-    def test_few_look_for_a_placer_in_vain(self) -> None:
+    def test_lease_is_polled_rarely_while_cut_off(self) -> None:
         """The duty is looked at seldom until a reader has been answered."""
         lease = mock.Mock(is_held=False, keep=mock.AsyncMock())
         lease.keep.return_value = False
@@ -127,23 +127,23 @@
         curio.run(placer._keep_lease)
         self.assertEqual(lease.keep.await_count, 2)
 
-    def test_a_feed_that_fails_is_no_crash(self) -> None:
+    def test_a_failing_feed_is_not_logged_as_crash(self) -> None:
         """Each failure was logged with its traceback as a task's crash."""
         with self.assertNoLogs('curio', 'ERROR'):
             curio.run(self._fail_while_following)
 
-    def test_a_reader_that_is_turned_away(self) -> None:
+    def test_a_refused_reader_stops_no_others(self) -> None:
         """Others go on waiting for answers: their connections are good."""
-        curio.run(self._turn_away)
+        curio.run(self._refuse_one_reader)
 
-    async def _turn_away(self) -> None:
-        node = _Node()
+    async def _refuse_one_reader(self) -> None:
+        node = _NodeReaders()
         node.source.down = False
         refused = FakeSource(items={'a': '1'})
         node.followers[0]._source = refused
         node.source.wait_turns = 500
         tasks = await node.run()
-        await until(node.all_know)
+        await until(node.all_synced)
         await curio.sleep(0.3)
         reads = node.source.reads
         refused.down = True
@@ -153,28 +153,28 @@
         await tasks.cancel_remaining()
 
     async def _fail_while_following(self) -> None:
-        node = _Node()
+        node = _NodeReaders()
         node.source.down = False
         tasks = await node.run()
-        await until(node.all_know)
+        await until(node.all_synced)
         node.source.down = True
         await until(lambda: node.path.is_unreachable)
         await tasks.cancel_remaining()
 
-    async def _be_away(self) -> None:
-        node = _Node()
+    async def _lose_store(self) -> None:
+        node = _NodeReaders()
         tasks = await node.run()
         await curio.sleep(2.5)
         self.assertTrue(node.path.is_unreachable)
         # Pauses of 0.1, 0.2, 0.4, 0.8 and 1 s, each half as long at least.
         self.assertLessEqual(node.source.reads, len(_READERS) + 6)
         node.source.down = False
-        await until(node.all_know, 2)
+        await until(node.all_synced, 2)
         self.assertFalse(node.path.is_unreachable)
         await tasks.cancel_remaining()
 
-    async def _fail_alone(self) -> None:
-        node = _Node()
+    async def _fail_one_source(self) -> None:
+        node = _NodeReaders()
         node.source.down = False
         away = FakeSource(down=True)
         node.followers[0]._source = away
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -53,7 +53,7 @@
     Mechanism(
         'spares that load beforehand',
         'grouping/_plan_executor.py',
-        'if warming.instance.id not in bound_instances:',
+        'if warming.instance.id not in assigned_instances:',
         'if not warming:',
     ),
     Mechanism(
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -36,7 +36,7 @@
 
 _DRAWN_FAULTS = (
     'tests.unit.test_grouping_faults.GroupingFaultsTest'
-    '.test_never_two_and_never_in_part'
+    '.test_no_overlap_and_no_partial_replica'
 )
 _FOREIGN_ANSWERS = 'tests.unit.test_foreign_answers.StutterTest'
 _LIMIT_SHARES = 'tests.unit.test_limit_shares'
@@ -133,7 +133,7 @@
         'members-freed-at-once',
         'grouping/_teardown.py',
         """        if self._fleet.instance_list.has_ended(self.record.incarnations[0]):
-            return 'the head lives anew'
+            return 'the head has restarted'
         if self._member""",
         """        return 'at once'
         if self._member""",
@@ -142,7 +142,7 @@
     Mutation(
         'members-not-waited-for',
         'grouping/_formation.py',
-        'and not self._is_bound_elsewhere(name)',
+        'and not self._belongs_to_other_replica(name)',
         'and bool(name)',
         _DRAWN_FAULTS,
     ),
@@ -268,7 +268,8 @@
         'fleet/_path.py',
         'if self._asking == reader:',
         'if True:',
-        'tests.unit.test_store_path.StorePathTest.test_a_store_that_is_away',
+        'tests.unit.test_store_path.StorePathTest'
+        '.test_one_reader_polls_an_unreachable_store',
     ),
     Mutation(
         'broken-targets-are-told-to-nobody',
@@ -369,14 +370,14 @@
         'grouping/_record_store.py',
         'await self._rewrite_missing()',
         'self.records()',
-        f'{_RESTORED_RECORDS}.test_a_copy_lacks_records_of_serving_replicas',
+        f'{_RESTORED_RECORDS}.test_missing_records_are_written_again',
     ),
     Mutation(
         'members-without-a-record-are-free',
         'grouping/_inventory.py',
         'used.update(self._orphans.members())',
         'used.update(())',
-        f'{_RESTORED_RECORDS}.test_nobody_knows_a_serving_replica',
+        f'{_RESTORED_RECORDS}.test_an_orphaned_replica_is_adopted',
     ),
     Mutation(
         'what-is-read-whole-is-not-told',
