--- a/src/cranecart/claims/_claims.py
+++ b/src/cranecart/claims/_claims.py
@@ -41,27 +41,27 @@
 
 
 @attrs.frozen
-class Held:
+class AcquiredClaim:
     """The right to send one call, once."""
 
     row: Row
 
 
 @attrs.frozen
-class Replay:
+class RecordedResponse:
     """The recorded answer to an earlier copy of the same call."""
 
     response: Response
 
 
 @attrs.define
-class Claims:
+class ClaimStore:
     """Makes and settles claims for one node."""
 
     node_id: str
     _writes: WriteBatcher
 
-    async def make(self, call: Call) -> Held | Replay:
+    async def acquire(self, call: Call) -> AcquiredClaim | RecordedResponse:
         """Claim a call's key, or return what its earlier copy got.
 
         Raise ``PlatformAwayError`` where no copy was claimed, so that none
@@ -71,7 +71,7 @@
         try:
             return await curio.timeout_after(
                 call.seconds_left,
-                self._make,
+                self._acquire,
                 call,
             )
         except TaskTimeout as error:
@@ -79,7 +79,7 @@
                 'this copy was not sent: its deadline passed first',
             ) from error
 
-    async def settle(self, held: Held, response: Response) -> None:
+    async def complete(self, held: AcquiredClaim, response: Response) -> None:
         """Record the answer, so that repeats of the call hear it."""
         claim = decode_claim(held.row)
         body = response.body
@@ -94,12 +94,12 @@
         )
         await self._rewrite(held, done)
 
-    async def release(self, held: Held) -> None:
+    async def release(self, held: AcquiredClaim) -> None:
         """Record that the call did not run, so that a repeat may."""
         claim = decode_claim(held.row)
         await self._rewrite(held, attrs.evolve(claim, state=ClaimState.NOT_RUN))
 
-    async def _make(self, call: Call) -> Held | Replay:
+    async def _acquire(self, call: Call) -> AcquiredClaim | RecordedResponse:
         key = row_key(call)
         wanted = Claim(
             self.node_id,
@@ -124,7 +124,7 @@
         key: str,
         wanted: Claim,
         seen: Row | None,
-    ) -> Held | None:
+    ) -> AcquiredClaim | None:
         put = Put(key, encode_claim(wanted))
         check = Check(key, seen.version if seen else 0)
         index = Put(index_key(key, wanted.made_at), key)
@@ -139,7 +139,7 @@
                 'this copy was not sent, but whether an earlier one ran '
                 'cannot be read; repeat it with the same key',
             ) from error
-        return Held(Row(key, version, put.value))
+        return AcquiredClaim(Row(key, version, put.value))
 
     async def _read(self, key: str) -> Row | None:
         try:
@@ -152,7 +152,7 @@
                 'cannot be read; repeat it with the same key',
             ) from error
 
-    async def _rewrite(self, held: Held, claim: Claim) -> None:
+    async def _rewrite(self, held: AcquiredClaim, claim: Claim) -> None:
         row = held.row
         transaction = Transaction(
             (Check(row.key, row.version),),
@@ -164,20 +164,22 @@
             decision('claim_not_settled', key=row.key, why=str(error))
 
 
-def _judge(seen: Row | None, wanted: Claim) -> Held | Replay | None:
+def _judge(
+    seen: Row | None, wanted: Claim
+) -> AcquiredClaim | RecordedResponse | None:
     """Return what a row found after a failed insert means for the call."""
     if seen is None:
         return None
     found = decode_claim(seen)
     if found.nonce == wanted.nonce:
-        return Held(seen)
+        return AcquiredClaim(seen)
     if found.fingerprint != wanted.fingerprint:
         raise KeyReusedError('the idempotency key belongs to another call')
     match found.state:
         case ClaimState.NOT_RUN:
             return None
         case ClaimState.DONE:
-            return Replay(
+            return RecordedResponse(
                 Response(
                     found.status,
                     {
--- a/src/cranecart/claims/_rows.py
+++ b/src/cranecart/claims/_rows.py
@@ -10,7 +10,7 @@
 from cranecart.targets import Call, ServiceCall
 
 # How long a repeat of a call hears what became of it.
-KEEP_SECONDS = 86400
+RETENTION_SECONDS = 86400
 _BUCKET_SECONDS = 60
 
 
--- a/src/cranecart/claims/_sweeper.py
+++ b/src/cranecart/claims/_sweeper.py
@@ -9,13 +9,13 @@
 import curio
 
 from cranecart.claims._rows import (
-    KEEP_SECONDS,
+    RETENTION_SECONDS,
     bucket_of,
     bucket_prefix,
     decode_claim,
 )
-from cranecart.duties import Lease
 from cranecart.exceptions import LeaseLostError, PlatformError
+from cranecart.leases import Lease
 from cranecart.logs import decision
 from cranecart.native import PlatformClient
 from cranecart.ports import Check, Put, Row, Transaction
@@ -41,8 +41,8 @@
         """Keep the lease and sweep, until cancelled."""
         while not self._stopped:
             try:
-                if await self.lease.keep():
-                    await self.sweep_next()
+                if await self.lease.acquire_or_renew():
+                    await self.sweep_next_bucket()
             except (PlatformError, LeaseLostError) as error:
                 _LOG.debug('sweeping waits: %s', error)
             await curio.sleep(_TICK_SECONDS)
@@ -52,10 +52,10 @@
         """Take the duty no more."""
         self._stopped = True
 
-    async def sweep_next(self) -> bool:
+    async def sweep_next_bucket(self) -> bool:
         """Sweep the oldest bucket that is due; return whether one was."""
         pointer = (await self._platform.read_keys([_POINTER])).get(_POINTER)
-        newest = bucket_of(self._now() - KEEP_SECONDS) - 1
+        newest = bucket_of(self._now() - RETENTION_SECONDS) - 1
         bucket = int(pointer.value) + 1 if pointer else newest - _LOOK_BACK
         if bucket > newest:
             return False
@@ -76,7 +76,7 @@
     async def _delete(self, index: Sequence[Row]) -> None:
         """Delete index rows, and their claims unless they were made anew."""
         claims = await self._platform.read_keys([row.value for row in index])
-        limit = self._now() - KEEP_SECONDS
+        limit = self._now() - RETENTION_SECONDS
         old = [
             claim
             for claim in claims.values()
--- a/src/cranecart/clients/_gateway.py
+++ b/src/cranecart/clients/_gateway.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from cranecart.claims import Claims, Held, Replay
+from cranecart.claims import AcquiredClaim, ClaimStore, RecordedResponse
 from cranecart.clients._attempts import CallAttempts, within_deadline
 from cranecart.clients._errors import error_response
 from cranecart.clients._relay import StreamRelay, leader_runner
@@ -49,7 +49,7 @@
     _router: Router
     _engines: EngineClient
     _services: ServiceClient
-    _claims: Claims
+    _claims: ClaimStore
     _admission: Admission
     _observe: Observer
     _guard: RequestGuard
@@ -97,7 +97,7 @@
 
     async def _answer_call(self, call: Call, responder: Responder) -> None:
         claim = await self._claim(call)
-        if isinstance(claim, Replay):
+        if isinstance(claim, RecordedResponse):
             await _send_response(call, claim.response, responder)
             return
         try:
@@ -107,13 +107,15 @@
                 await self._claims.release(claim)
             raise
         if claim is not None and response is not None:
-            await self._claims.settle(claim, response)
+            await self._claims.complete(claim, response)
 
-    async def _claim(self, call: Call) -> Held | Replay | None:
+    async def _claim(
+        self, call: Call
+    ) -> AcquiredClaim | RecordedResponse | None:
         # Without a key of its client's, no other copy can be told from it.
         if call.repeatable or not call.idempotency_key:
             return None
-        return await self._claims.make(call)
+        return await self._claims.acquire(call)
 
     async def _forward(
         self,
--- a/src/cranecart/fleet/__init__.py
+++ b/src/cranecart/fleet/__init__.py
@@ -1,11 +1,8 @@
 """What a node knows of instances and replicas, and which of them serve."""
 
 from cranecart.fleet._fleet import Fleet, ServingHead
-from cranecart.fleet._follower import LONG_POLL_SECONDS, SourceFollower
 from cranecart.fleet._leaving import mark_leaving
-from cranecart.fleet._news import Extent, News, UpdateSharing
-from cranecart.fleet._path import StoreReachability
-from cranecart.fleet._records import (
+from cranecart.fleet._record_rows import (
     RECORDS_PART,
     RECORDS_TABLE,
     RecordState,
@@ -16,12 +13,15 @@
     record_key,
     records_prefix,
 )
+from cranecart.fleet._source_follower import LONG_POLL_SECONDS, SourceFollower
+from cranecart.fleet._store_reachability import StoreReachability
+from cranecart.fleet._updates import Extent, SourceUpdate, UpdateSharing
 
 __all__ = (
     'Extent',
     'UpdateSharing',
     'Fleet',
-    'News',
+    'SourceUpdate',
     'RecordState',
     'ReplicaRecord',
     'ServingHead',
--- a/src/cranecart/fleet/_fleet.py
+++ b/src/cranecart/fleet/_fleet.py
@@ -5,9 +5,9 @@
 import attrs
 
 from cranecart.clocks import since_boot
-from cranecart.fleet._listing import InstanceList
-from cranecart.fleet._recorded import ReplicaEpoch, ReplicaRecords
-from cranecart.fleet._records import RecordState, ReplicaRecord
+from cranecart.fleet._instance_list import InstanceList
+from cranecart.fleet._record_rows import RecordState, ReplicaRecord
+from cranecart.fleet._replica_records import ReplicaEpoch, ReplicaRecords
 from cranecart.logs import decision
 from cranecart.ports import Incarnation, ListedInstance, MemberPhase
 
--- a/src/cranecart/fleet/_listing.py
+++ b/src/cranecart/fleet/_instance_list.py
@@ -4,8 +4,11 @@
 
 import attrs
 
-from cranecart.fleet._lives import IncarnationMatch, IncarnationTracker
-from cranecart.fleet._remembered import RecentIncarnations, UnconfirmedEntries
+from cranecart.fleet._incarnations import IncarnationMatch, IncarnationTracker
+from cranecart.fleet._recent_entries import (
+    RecentIncarnations,
+    UnconfirmedEntries,
+)
 from cranecart.logs import decision
 from cranecart.ports import Incarnation, ListedInstance
 
--- a/src/cranecart/fleet/_recorded.py
+++ b/src/cranecart/fleet/_replica_records.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from cranecart.fleet._records import RecordState, ReplicaRecord
+from cranecart.fleet._record_rows import RecordState, ReplicaRecord
 from cranecart.ports import era_of
 
 # Keys of dropped rows that are remembered; a feed is never further behind.
--- a/src/cranecart/fleet/_follower.py
+++ b/src/cranecart/fleet/_source_follower.py
@@ -18,15 +18,15 @@
     PlatformUnavailableError,
     ReadRenewedError,
 )
-from cranecart.fleet._held_items import ItemCache
-from cranecart.fleet._news import (
+from cranecart.fleet._item_cache import ItemCache
+from cranecart.fleet._store_reachability import StoreReachability
+from cranecart.fleet._updates import (
     Extent,
     ItemsConsumer,
-    News,
     RestoredItemsConsumer,
+    SourceUpdate,
     UpdateSharing,
 )
-from cranecart.fleet._path import StoreReachability
 from cranecart.logs import decision
 from cranecart.ports import Source, era_of
 
@@ -137,7 +137,7 @@
             else:
                 await self._rest(started)
 
-    def apply_update(self, news: News[Item]) -> None:
+    def apply_update(self, news: SourceUpdate[Item]) -> None:
         """Take over what another node has read, if nothing is between."""
         self._note_fresh()
         if not self._is_whole or news.version < self._version:
@@ -179,7 +179,7 @@
         # At a start each node reads for itself.
         if earlier >= 0 and self._sharing is not None:
             self._sharing.publish(
-                News(
+                SourceUpdate(
                     earlier,
                     snapshot.version,
                     differences,
@@ -253,7 +253,9 @@
         self._take_changes(changes.version, changes.items)
         if self._sharing is not None:
             self._sharing.publish(
-                News(min(earlier, since), changes.version, changes.items),
+                SourceUpdate(
+                    min(earlier, since), changes.version, changes.items
+                ),
             )
 
     def _take_changes(
--- a/src/cranecart/fleet/_news.py
+++ b/src/cranecart/fleet/_updates.py
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen
-class News(Generic[Item]):
+class SourceUpdate(Generic[Item]):
     """What a node has read, as of one version.
 
     It holds what differs from the last change before it, that of the version
@@ -60,7 +60,7 @@
     """
 
     announced_version: Callable[[], int | None]
-    publish: Callable[[News[Item]], None]
+    publish: Callable[[SourceUpdate[Item]], None]
     wait_seconds: float = SHARED_POLL_SECONDS
     gap_seconds: Callable[[], float] = float
     turn: Callable[[], int] = int
--- a/src/cranecart/grouping/_context.py
+++ b/src/cranecart/grouping/_context.py
@@ -4,8 +4,8 @@
 
 import attrs
 
-from cranecart.duties import Lease
 from cranecart.fleet import ReplicaRecord
+from cranecart.leases import Lease
 from cranecart.ports import Orders
 
 ReplicaCallback = Callable[[ReplicaRecord, str], None]
--- a/src/cranecart/grouping/_placer.py
+++ b/src/cranecart/grouping/_placer.py
@@ -5,7 +5,6 @@
 import curio
 
 from cranecart.clocks import since_boot
-from cranecart.duties import Lease
 from cranecart.exceptions import LeaseLostError, PlatformError
 from cranecart.fleet import Fleet, RecordState, ReplicaRecord
 from cranecart.grouping._context import PlacerContext
@@ -21,6 +20,7 @@
 from cranecart.grouping._teardown import ReplicaTeardown
 from cranecart.grouping._transitions import Transition, required_transition
 from cranecart.grouping._warmer import Warmer
+from cranecart.leases import Lease
 from cranecart.logs import decision
 from cranecart.models import RouteConfig
 from cranecart.ports import Orders, Table
@@ -137,7 +137,7 @@
     async def hand_over(self) -> None:
         """Release the lease, so that another node can take it at once."""
         self._stopped = True
-        await self.lease.hand_over()
+        await self.lease.release()
 
     async def suspect(
         self, replica_epoch: tuple[str, int], evidence: str
@@ -206,7 +206,9 @@
             return
         self._lease_checked_at = now
         self._record_store.invalidate()
-        if await self.lease.keep(is_patient=self._environment.is_isolated()):
+        if await self.lease.acquire_or_renew(
+            may_be_isolated=self._environment.is_isolated()
+        ):
             await self._read_records()
             self._is_failing = False
 
@@ -214,10 +216,10 @@
         """Return whether to read again, as the table has been restored."""
         if now - self._lease_checked_at < _REREAD_SECONDS:
             return False
-        return self._record_store.is_stale or not self.lease.is_of_this_era
+        return self._record_store.is_stale or not self.lease.is_current_era
 
     async def _renew(self) -> None:
-        await self.lease.keep()
+        await self.lease.acquire_or_renew()
         if self.lease.is_held and self._record_store.is_stale:
             await self._read_records()
         self._is_failing = False
--- a/src/cranecart/grouping/_record_store.py
+++ b/src/cranecart/grouping/_record_store.py
@@ -4,7 +4,6 @@
 
 import attrs
 
-from cranecart.duties import Lease
 from cranecart.exceptions import WriteUnknownError
 from cranecart.fleet import (
     Fleet,
@@ -13,6 +12,7 @@
     records_prefix,
 )
 from cranecart.grouping._plan_types import NewReplica
+from cranecart.leases import Lease
 from cranecart.logs import decision
 from cranecart.ports import Put, Table, Transaction, era_of
 
@@ -78,7 +78,7 @@
         except WriteUnknownError:
             # The renewal changes the lease's row, so a pending commit can no
             # longer succeed and what is read afterwards is final.
-            await self.lease.keep()
+            await self.lease.acquire_or_renew()
             await self.read()
             raise
         self._fleet.apply_records(
--- a/src/cranecart/grouping/_stager.py
+++ b/src/cranecart/grouping/_stager.py
@@ -6,10 +6,10 @@
 import curio
 
 from cranecart.clocks import since_boot
-from cranecart.duties import Lease
 from cranecart.exceptions import OrderError
 from cranecart.grouping._load_budget import LoadBudget
 from cranecart.grouping._plan_types import Staging, StagingUse
+from cranecart.leases import Lease
 from cranecart.logs import decision
 from cranecart.models import EngineProfile
 from cranecart.ports import Incarnation, ListedInstance, Orders
--- a/src/cranecart/grouping/_warmer.py
+++ b/src/cranecart/grouping/_warmer.py
@@ -12,9 +12,9 @@
 import curio
 
 from cranecart.clocks import since_boot
-from cranecart.duties import Lease
 from cranecart.exceptions import OrderError
 from cranecart.grouping._plan_types import Warming
+from cranecart.leases import Lease
 from cranecart.logs import decision
 from cranecart.ports import Incarnation, Orders
 
--- a/src/cranecart/duties/_lease.py
+++ b/src/cranecart/leases/_lease.py
@@ -41,15 +41,15 @@
 
 
 @attrs.frozen
-class LeaseTimes:
+class LeaseTimeouts:
     """How long a lease is trusted, and how long others wait, in seconds.
 
     Who may be cut off from the holder waits for ``patient`` at least.
     """
 
-    trusted: float = 6.0
-    takeover: float = 8.0
-    patient: float = 0
+    valid_seconds: float = 6.0
+    takeover_seconds: float = 8.0
+    isolated_takeover_seconds: float = 0
 
 
 @attrs.frozen
@@ -66,7 +66,7 @@
     duty: str
     node_id: str
     _table: Table
-    _times: LeaseTimes = attrs.field(factory=LeaseTimes)
+    _times: LeaseTimeouts = attrs.field(factory=LeaseTimeouts)
     _clock: Callable[[], float] = since_boot
     _seen: Row | None = attrs.field(default=None, init=False)
     _seen_at: float = attrs.field(default=0, init=False)
@@ -106,7 +106,7 @@
         return _decode(self._seen).holder if self._seen else ''
 
     @property
-    def is_of_this_era(self) -> bool:
+    def is_current_era(self) -> bool:
         """Tell whether the row that was seen last can be a condition."""
         return (
             self._seen is not None
@@ -122,23 +122,23 @@
             raise LeaseLostError(f'{self.duty} is not held any more')
         return Check(self.key, self._seen.version)
 
-    async def keep(self, *, is_patient: bool = False) -> bool:
+    async def acquire_or_renew(self, *, may_be_isolated: bool = False) -> bool:
         """Renew the lease or try to take it; return whether it is held.
 
         Raise ``PlatformError`` when the table cannot be asked.
         """
-        if self.is_held and self.is_of_this_era:
+        if self.is_held and self.is_current_era:
             await self._write(self._seen, self._fencing)
-            if not self.is_held or self.is_of_this_era:
+            if not self.is_held or self.is_current_era:
                 return self.is_held
         await self._look()
         if self.is_held and self._was_taken_since():
             self._trusted_until = float('-inf')
-        if self.is_held or self._may_take(is_patient):
+        if self.is_held or self._may_take(may_be_isolated):
             await self._take()
         return self.is_held
 
-    async def hand_over(self) -> None:
+    async def release(self) -> None:
         """Give the lease up, so that the next holder need not wait."""
         if not self.is_held or self._seen is None:
             return
@@ -191,12 +191,12 @@
         # A holder's row that a copy lacks is waited for like one that stands.
         self._has_seen_a_row = self._has_seen_a_row or row is not None
 
-    def _may_take(self, is_patient: bool) -> bool:
+    def _may_take(self, may_be_isolated: bool) -> bool:
         if self._is_free():
             return True
-        wait = self._times.takeover
-        if is_patient:
-            wait = max(wait, self._times.patient)
+        wait = self._times.takeover_seconds
+        if may_be_isolated:
+            wait = max(wait, self._times.isolated_takeover_seconds)
         return self._clock() - self._seen_at > wait
 
     def _is_free(self) -> bool:
@@ -248,7 +248,7 @@
         if fencing != self._fencing:
             self._taken_at = self._clock()
         self._fencing = fencing
-        self._trusted_until = started + self._times.trusted
+        self._trusted_until = started + self._times.valid_seconds
 
 
 def _encode(value: _Value) -> str:
--- a/src/cranecart/mesh/_messages.py
+++ b/src/cranecart/mesh/_messages.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from cranecart.fleet import News
+from cranecart.fleet import SourceUpdate
 from cranecart.mesh._target_messages import (
     Broken,
     Leaving,
@@ -118,14 +118,14 @@
     """Changes of the platform's list of instances, as read by the sender."""
 
     sender: str
-    news: News[ListedInstance]
+    news: SourceUpdate[ListedInstance]
 
 
 class RecordNews(msgspec.Struct, tag='record_news', array_like=True):
     """Changes of the rows of replicas and nodes, as read by the sender."""
 
     sender: str
-    news: News[Row]
+    news: SourceUpdate[Row]
 
 
 SourceNews = ListNews | RecordNews
--- a/src/cranecart/mesh/_state.py
+++ b/src/cranecart/mesh/_state.py
@@ -5,7 +5,7 @@
 import attrs
 
 from cranecart.clocks import since_boot
-from cranecart.fleet import News
+from cranecart.fleet import SourceUpdate
 from cranecart.mesh._messages import Stopped, Suspect
 from cranecart.mesh._peer_state import PeerState
 from cranecart.mesh._roster import Roster
@@ -51,8 +51,8 @@
     on_stopped: Callable[[Stopped], object]
     on_suspect: Callable[[Suspect], Awaitable[None]]
     on_cases: Callable[[RequestCases], bool]
-    on_list_news: Callable[[News[ListedInstance]], None]
-    on_record_news: Callable[[News[Row]], None]
+    on_list_news: Callable[[SourceUpdate[ListedInstance]], None]
+    on_record_news: Callable[[SourceUpdate[Row]], None]
     read_in_flight: Callable[[], Mapping[str, int]]
     read_config: Callable[[], RouteConfig | None]
     on_config: Callable[[RouteConfig], None]
--- a/src/cranecart/node/_control.py
+++ b/src/cranecart/node/_control.py
@@ -8,11 +8,11 @@
 import curio
 
 from cranecart.claims import Sweeper
-from cranecart.duties import Lease
+from cranecart.leases import Lease
 from cranecart.native import PlatformClient
 from cranecart.operators import AdminInterface, NodeStatus
 from cranecart.placement import Placer
-from cranecart.rollout import CurrentConfig, Follower, History
+from cranecart.rollout import ActiveConfig, ConfigHistory, ConfigPoller
 from cranecart.settings import NodeSettings
 from cranecart.signals import raise_first_error
 from cranecart.targets import EngineClient, ReportRegistry
@@ -23,9 +23,9 @@
     """Follows the configuration and holds the duties that fall to it."""
 
     _settings: NodeSettings
-    _config: CurrentConfig
-    _history: History
-    _follower: Follower
+    _config: ActiveConfig
+    _history: ConfigHistory
+    _follower: ConfigPoller
     _placer: Placer
     _sweeper: Sweeper
 
@@ -35,11 +35,11 @@
         settings: NodeSettings,
         platform: PlatformClient,
         reports: ReportRegistry,
-        config: CurrentConfig,
+        config: ActiveConfig,
         source: random.Random,
     ) -> Self:
         """Build the parts; nothing runs until ``run``."""
-        history = History(platform)
+        history = ConfigHistory(platform)
         duty = f'placer/{settings.failure_domain}'
         placer = Placer(
             settings.failure_domain,
@@ -48,7 +48,7 @@
             reports,
             EngineClient(),
         )
-        follower = Follower(config, history, platform, source)
+        follower = ConfigPoller(config, history, platform, source)
         sweeper = Sweeper(
             Lease('sweeper', settings.node_id, platform),
             platform,
@@ -67,8 +67,8 @@
         """Give the duties up, so that other nodes take them at once."""
         self._placer.stop()
         self._sweeper.stop()
-        await self._placer.lease.hand_over()
-        await self._sweeper.lease.hand_over()
+        await self._placer.lease.release()
+        await self._sweeper.lease.release()
 
     def duties(self) -> dict[str, str]:
         """Return who holds each duty, as this node saw last."""
--- a/src/cranecart/node/_node.py
+++ b/src/cranecart/node/_node.py
@@ -6,7 +6,7 @@
 import curio
 import msgspec
 
-from cranecart.claims import Claims
+from cranecart.claims import ClaimStore
 from cranecart.clients import Gateway
 from cranecart.clocks import awake, since_boot
 from cranecart.gossip import Topic
@@ -19,7 +19,7 @@
 from cranecart.node._control import Control
 from cranecart.node._peering import Peering
 from cranecart.operators import NodeStatus
-from cranecart.rollout import CurrentConfig
+from cranecart.rollout import ActiveConfig
 from cranecart.selection import Router, policy_from_name
 from cranecart.settings import NodeSettings
 from cranecart.signals import StopSignal, raise_first_error, stop_signal
@@ -51,7 +51,7 @@
         self._informed = False
         self._started_at = since_boot()
         self._metrics = Metrics()
-        self._config = CurrentConfig()
+        self._config = ActiveConfig()
         self._reports = ReportRegistry(settings.node_id)
         source = random.Random(f'{settings.seed}{settings.node_id}')
         self._platform = PlatformClient(settings.platform)
@@ -96,7 +96,7 @@
             ),
             EngineClient(),
             ServiceClient(),
-            Claims(settings.node_id, WriteBatcher(platform)),
+            ClaimStore(settings.node_id, WriteBatcher(platform)),
             self._admission,
             self._metrics.observe_request,
             self._guard,
--- a/src/cranecart/node/_peering.py
+++ b/src/cranecart/node/_peering.py
@@ -28,7 +28,7 @@
 from cranecart.node._demand_sharing import DemandSharing
 from cranecart.node._shared_state import SharedState
 from cranecart.quarantine import RequestGuard, Runner
-from cranecart.rollout import CurrentConfig
+from cranecart.rollout import ActiveConfig
 from cranecart.settings import NodeSettings
 from cranecart.signals import raise_first_error
 from cranecart.targets import ReportRegistry, TargetDirectory
@@ -51,7 +51,7 @@
         cls,
         settings: NodeSettings,
         directory: TargetDirectory,
-        config: CurrentConfig,
+        config: ActiveConfig,
         shares: LimitShares,
         source: random.Random,
     ) -> Self:
--- a/src/cranecart/node/_shared_state.py
+++ b/src/cranecart/node/_shared_state.py
@@ -20,7 +20,7 @@
 from cranecart.instances import Instance
 from cranecart.node._demand_sharing import DemandSharing
 from cranecart.quarantine import CaseUpdate
-from cranecart.rollout import CurrentConfig, Release
+from cranecart.rollout import ActiveConfig, Release
 from cranecart.targets import (
     DomainSummary,
     ProbeOutcome,
@@ -49,7 +49,7 @@
     _store: EntryStore
     _reports: ReportRegistry
     _directory: TargetDirectory
-    _config: CurrentConfig
+    _config: ActiveConfig
     _demand_sharing: DemandSharing
     # Told what other nodes know of requests that end targets, and who says so.
     on_case: Callable[[CaseUpdate, str], object] = attrs.field(
@@ -125,7 +125,7 @@
     def take_config(self, held: EncodedConfig) -> None:
         """Put a configuration in force that a peer gave."""
         release = Release(held.version, held.sha256)
-        self._config.put_in_force(release, held.encoded)
+        self._config.activate(release, held.encoded)
 
     def versions(self) -> DomainVersions:
         """Return how far the nodes of this failure domain have come."""
--- a/src/cranecart/operators/_admin.py
+++ b/src/cranecart/operators/_admin.py
@@ -20,7 +20,7 @@
 )
 from cranecart.gossip import MemberInfo
 from cranecart.http import Request, Responder, Response, json_response
-from cranecart.rollout import CurrentConfig, Follower, History
+from cranecart.rollout import ActiveConfig, ConfigHistory, ConfigPoller
 from cranecart.targets import ServingReplica
 
 _OK = 200
@@ -65,9 +65,9 @@
     """Answers operators and the machines that watch a node."""
 
     _key_sha256: str
-    _history: History
-    _current: CurrentConfig
-    _follower: Follower
+    _history: ConfigHistory
+    _current: ActiveConfig
+    _follower: ConfigPoller
     _is_ready: Callable[[], bool]
     _status: Callable[[], NodeStatus]
     _metrics: Callable[[], bytes]
@@ -135,7 +135,7 @@
             encoded,
             message.note,
         )
-        self._current.put_in_force(change.release, encoded)
+        self._current.activate(change.release, encoded)
         return json_response(_OK, change)
 
     async def _declarations(self, request: Request) -> Response:
--- a/src/cranecart/placement/_placer.py
+++ b/src/cranecart/placement/_placer.py
@@ -7,13 +7,13 @@
 
 from cranecart.clocks import since_boot
 from cranecart.declarations import Declarations, FencingSupport
-from cranecart.duties import Lease
 from cranecart.exceptions import (
     LeaseLostError,
     PlatformError,
     TargetError,
 )
 from cranecart.instances import Instance, InstanceKind
+from cranecart.leases import Lease
 from cranecart.logs import decision
 from cranecart.native import PlatformClient
 from cranecart.placement._actions import Action, Order
@@ -73,7 +73,7 @@
     async def _keep_lease(self) -> None:
         now = since_boot()
         if now - self._renewed_at > _RENEW_SECONDS:
-            await self.lease.keep()
+            await self.lease.acquire_or_renew()
             self._renewed_at = now
 
     async def _read_rows(self) -> PlacementRows:
--- a/src/cranecart/rollout/__init__.py
+++ b/src/cranecart/rollout/__init__.py
@@ -1,7 +1,7 @@
 """Bring accepted configuration into force on every node."""
 
-from cranecart.rollout._current import CurrentConfig, Release
-from cranecart.rollout._follower import Follower
-from cranecart.rollout._history import Change, History
+from cranecart.rollout._active_config import ActiveConfig, Release
+from cranecart.rollout._history import Change, ConfigHistory
+from cranecart.rollout._poller import ConfigPoller
 
-__all__ = ('Change', 'CurrentConfig', 'Follower', 'History', 'Release')
+__all__ = ('Change', 'ActiveConfig', 'ConfigPoller', 'ConfigHistory', 'Release')
--- a/src/cranecart/rollout/_current.py
+++ b/src/cranecart/rollout/_active_config.py
@@ -18,7 +18,7 @@
 
 
 @attrs.define
-class CurrentConfig:
+class ActiveConfig:
     """Holds one release and what it says."""
 
     _release: Release = attrs.field(
@@ -42,7 +42,7 @@
         """Return the declarations in force, if any are."""
         return self._declarations
 
-    def put_in_force(self, release: Release, encoded: bytes) -> bool:
+    def activate(self, release: Release, encoded: bytes) -> bool:
         """Take a newer release; return whether it is in force now.
 
         Raise ``DamagedObjectError`` for bytes that do not match it.
--- a/src/cranecart/rollout/_history.py
+++ b/src/cranecart/rollout/_history.py
@@ -14,7 +14,7 @@
 )
 from cranecart.native import PlatformClient
 from cranecart.ports import Check, Put, Row, Transaction
-from cranecart.rollout._current import Release
+from cranecart.rollout._active_config import Release
 
 HEAD_KEY = 'config/head'
 _CHANGES = 'config/change/'
@@ -39,7 +39,7 @@
 
 
 @attrs.define
-class History:
+class ConfigHistory:
     """Appends to and reads the one history of a deployment."""
 
     _platform: PlatformClient
--- a/src/cranecart/rollout/_follower.py
+++ b/src/cranecart/rollout/_poller.py
@@ -8,8 +8,8 @@
 
 from cranecart.exceptions import PlatformError
 from cranecart.native import PlatformClient
-from cranecart.rollout._current import CurrentConfig, Release
-from cranecart.rollout._history import History
+from cranecart.rollout._active_config import ActiveConfig, Release
+from cranecart.rollout._history import ConfigHistory
 
 _LOG = logging.getLogger(__name__)
 _POLL_SECONDS = 2.0
@@ -17,11 +17,11 @@
 
 
 @attrs.define
-class Follower:
+class ConfigPoller:
     """Polls the head and fetches what it does not have yet."""
 
-    _current: CurrentConfig
-    _history: History
+    _current: ActiveConfig
+    _history: ConfigHistory
     _platform: PlatformClient
     _random: random.Random
 
@@ -44,7 +44,7 @@
     async def fetch(self, release: Release) -> None:
         """Fetch a release from the object store if it is newer."""
         if release.version > self._current.release.version:
-            self._current.put_in_force(release, await self.read(release))
+            self._current.activate(release, await self.read(release))
 
     async def read(self, release: Release) -> bytes:
         """Return what a release says; raise ``PlatformError``."""
--- a/src/cranecart/serving/_knowledge.py
+++ b/src/cranecart/serving/_knowledge.py
@@ -10,9 +10,9 @@
 from cranecart.fleet import (
     LONG_POLL_SECONDS,
     Fleet,
-    News,
     ReplicaRecord,
     SourceFollower,
+    SourceUpdate,
     StoreReachability,
     UpdateSharing,
     record_from_row,
@@ -116,11 +116,11 @@
         """Tell whether list and records were read at least once."""
         return self._instances.is_informed and self._records.is_informed
 
-    def take_list_news(self, news: News[ListedInstance]) -> None:
+    def take_list_news(self, news: SourceUpdate[ListedInstance]) -> None:
         """Take over what another node has read of the list."""
         self._instances.apply_update(news)
 
-    def take_record_news(self, news: News[Row]) -> None:
+    def take_record_news(self, news: SourceUpdate[Row]) -> None:
         """Take over what another node has read of the records."""
         self._records.apply_update(news)
 
@@ -211,7 +211,7 @@
 def _sharing(
     mesh: Mesh,
     source: str,
-    message: Callable[[str, News[Item]], SourceNews],
+    message: Callable[[str, SourceUpdate[Item]], SourceNews],
 ) -> UpdateSharing[Item]:
     return UpdateSharing(
         lambda: mesh.announced_version(source),
--- a/src/cranecart/serving/_placement.py
+++ b/src/cranecart/serving/_placement.py
@@ -1,8 +1,8 @@
 """Make this node's placer. Importing this loads all that placement needs."""
 
-from cranecart.duties import Lease, LeaseTimes
 from cranecart.fleet import placement_duty
 from cranecart.grouping import GroupPlacer, PlacerEnvironment, PlacerScope
+from cranecart.leases import Lease, LeaseTimeouts
 from cranecart.ports import Table
 from cranecart.serving._placing import PlacerParts
 from cranecart.settings import ServingSettings
@@ -49,7 +49,7 @@
         placement_duty(settings.failure_domain),
         settings.node_id,
         table,
-        LeaseTimes(_TRUSTED_SECONDS, _TAKEOVER_SECONDS, _PATIENT_SECONDS),
+        LeaseTimeouts(_TRUSTED_SECONDS, _TAKEOVER_SECONDS, _PATIENT_SECONDS),
     )
 
 
--- a/tests/platform/test_other_writers.py
+++ b/tests/platform/test_other_writers.py
@@ -16,9 +16,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cranecart.duties import Lease
 from cranecart.exceptions import PlatformError, PlatformUnavailableError
 from cranecart.fleet import Fleet, ReplicaRecord, record_from_row
+from cranecart.leases import Lease
 from cranecart.logs import UnreadableRows
 from cranecart.platform import (
     PlatformDeclarations,
@@ -208,7 +208,7 @@
 
 async def _keep_until_it_writes(lease: Lease, client: RowsOf) -> None:
     """Look at a lease; raise where it isn't waited for."""
-    await lease.keep()
+    await lease.acquire_or_renew()
     if lease.is_held:
         raise AssertionError('it was taken at once')
     client.written = {}
@@ -221,12 +221,12 @@
     now = [100.0]
     table = PlatformTable(StoreClient(address))
     first = Lease('all/east', 'one', table, clock=lambda: now[0])
-    await first.keep()
+    await first.acquire_or_renew()
     store.put('lease', 'all', 'east', 'not a lease')
     second = Lease('all/east', 'two', table, clock=lambda: now[0])
-    await second.keep()
+    await second.acquire_or_renew()
     now[0] += 60
-    await second.keep()
+    await second.acquire_or_renew()
     await table.commit(Transaction((second.check(),), (Put('t/p/k', 'v'),)))
     await task.cancel()
     return first.fencing, second.fencing
--- a/tests/platform/test_restored_store.py
+++ b/tests/platform/test_restored_store.py
@@ -6,7 +6,7 @@
 
 import curio
 
-from cranecart.duties import Lease, LeaseTimes
+from cranecart.leases import Lease, LeaseTimeouts
 from cranecart.platform import PlatformTable, StoreClient
 from tests.lib.store_rig import (
     StoreRig,
@@ -25,7 +25,7 @@
 # Longer than until all is read once more; entries are back sooner.
 _WATCH_SECONDS = 3.0
 _AGAIN_SECONDS = 1.5
-_TIMES = LeaseTimes(5.0, 1.2, 3.5)
+_TIMES = LeaseTimeouts(5.0, 1.2, 3.5)
 
 
 class RestoredStoreTest(unittest.TestCase):
@@ -150,10 +150,10 @@
             Lease('x/y', name, PlatformTable(StoreClient(address)), _TIMES)
             for name in ('first', 'second')
         )
-        self.assertTrue(await first.keep())
+        self.assertTrue(await first.acquire_or_renew())
         store.restore(earlier)
-        await second.keep()
-        await curio.sleep(_TIMES.takeover + 0.1)
-        self.assertTrue(await second.keep())
+        await second.acquire_or_renew()
+        await curio.sleep(_TIMES.takeover_seconds + 0.1)
+        self.assertTrue(await second.acquire_or_renew())
         self.assertGreater(second.fencing, first.fencing)
         await server.cancel()
--- a/tests/unit/test_follower.py
+++ b/tests/unit/test_follower.py
@@ -8,7 +8,7 @@
 import curio
 
 from cranecart.exceptions import HistoryLostError, PlatformUnavailableError
-from cranecart.fleet import Extent, News, SourceFollower, UpdateSharing
+from cranecart.fleet import Extent, SourceFollower, SourceUpdate, UpdateSharing
 from cranecart.http import Address
 from cranecart.mesh import ListNews, decode_mesh_message, encode_mesh_message
 from cranecart.ports import Changes, Snapshot, version_in
@@ -119,7 +119,7 @@
     def _announced(self) -> int | None:
         return self.reader.last_change_version if self.feeds else None
 
-    def _pass_on(self, news: News[str]) -> None:
+    def _pass_on(self, news: SourceUpdate[str]) -> None:
         if not self.loses_news:
             self.fed.apply_update(news)
 
@@ -179,10 +179,14 @@
         follower._take_all(9, {'a': '1'}, Extent.COMPLETE)
         later = version_in(1, 5)
         differences = {'a': None, 'b': '2'}
-        follower.apply_update(News(9, later, differences, Extent.COMPLETE, 9))
+        follower.apply_update(
+            SourceUpdate(9, later, differences, Extent.COMPLETE, 9)
+        )
         self.assertEqual(held, {'a': '1'})
         self.assertEqual(restored, [{'b': '2'}])
-        follower.apply_update(News(later, later, {}, Extent.COMPLETE, later))
+        follower.apply_update(
+            SourceUpdate(later, later, {}, Extent.COMPLETE, later)
+        )
         self.assertEqual(held, {'b': '2'})
 
     def test_differences_after_first_readings_of_other_versions(self) -> None:
@@ -195,7 +199,9 @@
             random.Random(1),
         )
         follower._take_all(9, {'a': '1'}, Extent.COMPLETE)
-        follower.apply_update(News(7, 12, {'b': '2'}, Extent.COMPLETE, 10))
+        follower.apply_update(
+            SourceUpdate(7, 12, {'b': '2'}, Extent.COMPLETE, 10)
+        )
         self.assertEqual(held, {'a': '1', 'b': '2'})
 
     def test_differences_from_something_else(self) -> None:
@@ -208,17 +214,23 @@
             random.Random(1),
         )
         follower._take_all(9, {'a': '1'}, Extent.COMPLETE)
-        follower.apply_update(News(10, 12, {'b': '2'}, Extent.COMPLETE, 11))
+        follower.apply_update(
+            SourceUpdate(10, 12, {'b': '2'}, Extent.COMPLETE, 11)
+        )
         self.assertEqual(held, {'a': '1'})
-        follower.apply_update(News(6, 12, {'b': '2'}, Extent.COMPLETE, 8))
+        follower.apply_update(
+            SourceUpdate(6, 12, {'b': '2'}, Extent.COMPLETE, 8)
+        )
         self.assertEqual(held, {'a': '1'})
-        follower.apply_update(News(9, 12, {'b': '2'}, Extent.COMPLETE, 9))
+        follower.apply_update(
+            SourceUpdate(9, 12, {'b': '2'}, Extent.COMPLETE, 9)
+        )
         self.assertEqual(held, {'a': '1', 'b': '2'})
 
     def test_news_over_the_wire(self) -> None:
         """Entries of the list survive their way between nodes."""
         instance = listed('i', Address('127.0.0.1', 1))
-        message = ListNews('n', News(1, 2, {'i': instance, 'j': None}))
+        message = ListNews('n', SourceUpdate(1, 2, {'i': instance, 'j': None}))
         decoded = decode_mesh_message(encode_mesh_message(message))
         self.assertEqual(decoded, message)
 
@@ -268,7 +280,7 @@
         before = pair.source.reads
         self.assertLess(before, 8)
         pair.source.put('a', '2')
-        news = News(pair.reader.last_change_version, 2, {'a': '2'})
+        news = SourceUpdate(pair.reader.last_change_version, 2, {'a': '2'})
         pair.fed.apply_update(news)
         await curio.sleep(0.2)
         self.assertEqual(pair.second, {'a': '2'})
--- a/tests/unit/test_grouping.py
+++ b/tests/unit/test_grouping.py
@@ -8,10 +8,10 @@
 import attrs
 import curio
 
-from cranecart.duties import Lease, LeaseTimes
 from cranecart.fleet import Fleet, RecordState, ReplicaRecord, ServingHead
 from cranecart.grouping import GroupPlacer, PlacerEnvironment, PlacerScope
 from cranecart.http import Address
+from cranecart.leases import Lease, LeaseTimeouts
 from cranecart.models import RouteConfig
 from tests.lib.fake_engines import (
     BIG,
@@ -28,7 +28,7 @@
 _CONFIG = RouteConfig(1, (), {SERVICE: PROFILE})
 _STALL_SECONDS = 0.4
 # Only one placer runs at a time here, so that a dead one is soon replaced.
-_TIMES = LeaseTimes(trusted=2.5, takeover=0.3)
+_TIMES = LeaseTimeouts(valid_seconds=2.5, takeover_seconds=0.3)
 
 
 class PlacerTestbed:
--- a/tests/unit/test_lease.py
+++ b/tests/unit/test_lease.py
@@ -6,8 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cranecart.duties import Lease, LeaseTimes
 from cranecart.exceptions import LeaseLostError, PlatformError
+from cranecart.leases import Lease, LeaseTimeouts
 from tests.lib.fake_platform import FAULTS, FakePlatform
 from tests.lib.run import run_now
 
@@ -32,7 +32,7 @@
 
 def _keep(lease: Lease) -> bool:
     try:
-        return run_now(lease.keep())
+        return run_now(lease.acquire_or_renew())
     except PlatformError:
         return lease.is_held
 
@@ -164,25 +164,27 @@
         """
         clock = _Clock()
         platform = FakePlatform()
-        times = LeaseTimes(6, 1.2, 4)
+        times = LeaseTimeouts(6, 1.2, 4)
         holder, cut, other = (
             Lease('placer/x', name, platform, times, clock) for name in _NODES
         )
-        run_now(holder.keep())
+        run_now(holder.acquire_or_renew())
         for _renewal in range(3):
-            run_now(cut.keep(is_patient=True))
+            run_now(cut.acquire_or_renew(may_be_isolated=True))
             clock.now += 2
-            self.assertFalse(run_now(cut.keep(is_patient=True)))
-            run_now(holder.keep())
-        run_now(other.keep())
+            self.assertFalse(
+                run_now(cut.acquire_or_renew(may_be_isolated=True))
+            )
+            run_now(holder.acquire_or_renew())
+        run_now(other.acquire_or_renew())
         clock.now += 1.3
-        self.assertTrue(run_now(other.keep()))
+        self.assertTrue(run_now(other.acquire_or_renew()))
 
     def test_handing_over_needs_no_wait(self) -> None:
         """The next node takes a lease that was given up at once."""
         leases = _leases(FakePlatform(), _Clock())
         _keep(leases['a'])
-        run_now(leases['a'].hand_over())
+        run_now(leases['a'].release())
         self.assertTrue(_keep(leases['b']))
 
     def _keep_rising(self, lease: Lease, taken: dict[int, str]) -> None:
--- a/tests/unit/test_leaving_targets.py
+++ b/tests/unit/test_leaving_targets.py
@@ -8,7 +8,7 @@
 import curio
 
 from cranecart.exceptions import HistoryLostError, PlatformUnavailableError
-from cranecart.fleet import News, SourceFollower
+from cranecart.fleet import SourceFollower, SourceUpdate
 from cranecart.ports import Changes, ListedInstance, Snapshot
 from cranecart.routing import RoutingRequest
 from tests.lib.fake_targets import CONFIG, ENGINES, MODEL, PLAIN, GatewayWorld
@@ -180,13 +180,17 @@
 
 def _hear_that_it_went(node: Listening) -> None:
     node.source.is_down = True
-    node.follower.apply_update(News(_LEFT_AT, _LEFT_AT + 1, {'i1': None}))
+    node.follower.apply_update(
+        SourceUpdate(_LEFT_AT, _LEFT_AT + 1, {'i1': None})
+    )
 
 
 def _hear_of_the_past(node: Listening) -> None:
     node.source.is_down = True
-    node.follower.apply_update(News(_FIRST, _LEFT_AT - 1, node.before))
-    node.follower.apply_update(News(_LEFT_AT + 1, _LEFT_AT + 2, node.before))
+    node.follower.apply_update(SourceUpdate(_FIRST, _LEFT_AT - 1, node.before))
+    node.follower.apply_update(
+        SourceUpdate(_LEFT_AT + 1, _LEFT_AT + 2, node.before)
+    )
 
 
 def _go_back(node: Listening) -> None:
--- a/tests/unit/test_lives.py
+++ b/tests/unit/test_lives.py
@@ -14,8 +14,8 @@
 import curio
 
 from cranecart.fleet import Fleet, RecordState, ReplicaRecord, ServingHead
-from cranecart.fleet._listing import InstanceList
-from cranecart.fleet._lives import IncarnationTracker
+from cranecart.fleet._incarnations import IncarnationTracker
+from cranecart.fleet._instance_list import InstanceList
 from cranecart.forwarding import TargetConnectionPool
 from cranecart.grouping._failure_detector import FailureDetector
 from cranecart.http import Address
--- a/tests/unit/test_mesh.py
+++ b/tests/unit/test_mesh.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cranecart.fleet import News
+from cranecart.fleet import SourceUpdate
 from cranecart.mesh import Broken, ConfigAsk, ListNews, RequestCases, Stopped
 from cranecart.mesh._stop_notices import StopNotices
 from cranecart.models import RouteConfig
@@ -392,7 +392,7 @@
         cluster.sent.clear()
         reader = cluster.nodes['node-004']
         reader.mesh.publish_news(
-            ListNews('node-004', News(1, 2, {'one': None}))
+            ListNews('node-004', SourceUpdate(1, 2, {'one': None}))
         )
         cluster.deliver()
         heard = [node.versions for node in cluster.alive if node is not reader]
@@ -407,7 +407,7 @@
         cluster = SimulatedCluster.of(_LARGE)
         reader = cluster.nodes['node-004']
         for version in (2, 3):
-            news: News[ListedInstance] = News(
+            news: SourceUpdate[ListedInstance] = SourceUpdate(
                 version - 1, version, {'one': None}
             )
             reader.mesh.publish_news(ListNews('node-004', news))
--- a/tests/unit/test_restored_list.py
+++ b/tests/unit/test_restored_list.py
@@ -4,8 +4,8 @@
 
 import attrs
 
-from cranecart.fleet._listing import InstanceList
-from cranecart.fleet._lives import IncarnationTracker
+from cranecart.fleet._incarnations import IncarnationTracker
+from cranecart.fleet._instance_list import InstanceList
 from cranecart.http import Address
 from cranecart.ports import ListedInstance
 from tests.lib.fake_engines import SERVICE, listed
--- a/tests/unit/test_returning_list.py
+++ b/tests/unit/test_returning_list.py
@@ -12,9 +12,9 @@
 import attrs
 import curio
 
-from cranecart.fleet import Fleet, News, SourceFollower
-from cranecart.fleet._listing import InstanceList
-from cranecart.fleet._lives import IncarnationTracker
+from cranecart.fleet import Fleet, SourceFollower, SourceUpdate
+from cranecart.fleet._incarnations import IncarnationTracker
+from cranecart.fleet._instance_list import InstanceList
 from cranecart.http import Address
 from cranecart.ports import ListedInstance
 from tests.lib.fake_engines import SERVICE, listed
@@ -110,7 +110,7 @@
         curio.run(self.follower._read)
         self.assertFalse(self.follower.repopulated_at)
         self.now += 3.7
-        self.follower.apply_update(News(1, 2, {'b': '2'}))
+        self.follower.apply_update(SourceUpdate(1, 2, {'b': '2'}))
         self.assertEqual(self.follower.repopulated_at, self.now + 2)
         self.now += 2
         self.assertFalse(self.follower.repopulated_at)
--- a/tests/unit/test_store_path.py
+++ b/tests/unit/test_store_path.py
@@ -105,8 +105,8 @@
 
     def test_lease_is_polled_rarely_while_cut_off(self) -> None:
         """The duty is looked at seldom until a reader has been answered."""
-        lease = mock.Mock(is_held=False, keep=mock.AsyncMock())
-        lease.keep.return_value = False
+        lease = mock.Mock(is_held=False, acquire_or_renew=mock.AsyncMock())
+        lease.acquire_or_renew.return_value = False
         environment = mock.Mock()
         environment.is_held_elsewhere.return_value = False
         environment.is_store_unreachable.return_value = True
@@ -117,15 +117,15 @@
         placer._environment = environment
         placer._lease_checked_at = since_boot() - 1
         curio.run(placer._keep_lease)
-        lease.keep.assert_not_awaited()
+        lease.acquire_or_renew.assert_not_awaited()
         environment.is_store_unreachable.return_value = False
         curio.run(placer._keep_lease)
-        lease.keep.assert_awaited_once()
+        lease.acquire_or_renew.assert_awaited_once()
         # One reader alone may fail for long, while the duty can be had.
         environment.is_store_unreachable.return_value = True
         placer._lease_checked_at = since_boot() - 3.1
         curio.run(placer._keep_lease)
-        self.assertEqual(lease.keep.await_count, 2)
+        self.assertEqual(lease.acquire_or_renew.await_count, 2)
 
     def test_a_failing_feed_is_not_logged_as_crash(self) -> None:
         """Each failure was logged with its traceback as a task's crash."""
--- a/tests/unit/test_suspension.py
+++ b/tests/unit/test_suspension.py
@@ -15,9 +15,9 @@
 from unittest.mock import patch
 
 from cranecart.clocks import SuspensionWatch
-from cranecart.duties import Lease, LeaseTimes
 from cranecart.exceptions import LeaseLostError
 from cranecart.forwarding import TargetConnectionPool
+from cranecart.leases import Lease, LeaseTimeouts
 from cranecart.mesh import Beat
 from cranecart.mesh._peer_state import PeerState
 from cranecart.retries import RetryLimits, SharedRetryBudget
@@ -56,8 +56,8 @@
 
     def test_lease(self) -> None:
         """It gives no order by a lease that others have taken over."""
-        lease = Lease('placing', 'n0', FakePlatform(), LeaseTimes())
-        self.assertTrue(run_now(lease.keep()))
+        lease = Lease('placing', 'n0', FakePlatform(), LeaseTimeouts())
+        self.assertTrue(run_now(lease.acquire_or_renew()))
         with _suspended():
             self.assertFalse(lease.is_held)
             with self.assertRaises(LeaseLostError):
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -80,7 +80,7 @@
     ),
     Mutation(
         'lease-taken-without-waiting',
-        'duties/_lease.py',
+        'leases/_lease.py',
         'return self._clock() - self._seen_at > wait',
         'return True',
         'tests.unit.test_lease',
@@ -94,14 +94,14 @@
     ),
     Mutation(
         'older-versions-are-taken',
-        'rollout/_current.py',
+        'rollout/_active_config.py',
         'release.version <= self._release.version',
         'release == self._release',
         'tests.unit.test_rollout',
     ),
     Mutation(
         'checksums-are-not-compared',
-        'rollout/_current.py',
+        'rollout/_active_config.py',
         'hashlib.sha256(encoded).hexdigest() != release.sha256',
         'not encoded',
         'tests.unit.test_rollout',
@@ -257,7 +257,7 @@
     ),
     Mutation(
         'entries-that-lapsed-in-an-outage-are-gone',
-        'fleet/_listing.py',
+        'fleet/_instance_list.py',
         'if kept_until and self._are_many(gone):',
         'if False:',
         'tests.unit.test_returning_list.MissingEntriesTest'
@@ -265,7 +265,7 @@
     ),
     Mutation(
         'each-reader-asks-a-store-that-is-away',
-        'fleet/_path.py',
+        'fleet/_store_reachability.py',
         'if self._asking == reader:',
         'if True:',
         'tests.unit.test_store_path.StorePathTest'
@@ -325,7 +325,7 @@
     ),
     Mutation(
         'own-word-of-leaving-is-forgotten',
-        'fleet/_listing.py',
+        'fleet/_instance_list.py',
         'if entry.leaving or entry.incarnation not in self._leaving:',
         'if entry:',
         'tests.unit.test_said_to_leave.FleetTest',
@@ -346,21 +346,21 @@
     ),
     Mutation(
         'fences-start-anew',
-        'duties/_lease.py',
+        'leases/_lease.py',
         'fencing = version_in(self._table.era, 1)',
         'fencing = 1',
         'tests.unit.test_lease.LeaseTest.test_a_holder_goes_on_after_a_return',
     ),
     Mutation(
         'a-copy-is-everything',
-        'fleet/_follower.py',
+        'fleet/_source_follower.py',
         'self._apply_restored(items)',
         'self._take(items, True)',
         f'{_RESTORED}.test_new_target_lost_with_a_copy',
     ),
     Mutation(
         'what-had-gone-is-not-awaited',
-        'fleet/_listing.py',
+        'fleet/_instance_list.py',
         'if name not in self.instances and item.incarnation in self._gone',
         'if not name',
         f'{_RESTORED}.test_gone_target_taken_again_from_a_copy',
@@ -381,7 +381,7 @@
     ),
     Mutation(
         'what-is-read-whole-is-not-told',
-        'fleet/_follower.py',
+        'fleet/_source_follower.py',
         'if earlier >= 0 and self._sharing is not None:',
         'if earlier < 0 and self._sharing is not None:',
         'tests.platform.test_reads_of_a_return.ReadsOfAReturnTest'
