--- a/src/cranecart/forwarding/__init__.py
+++ b/src/cranecart/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""Pass clients' requests on to targets by the routes in force."""
+"""Forward client requests to targets according to the configured routes."""
 
 from cranecart.forwarding._call import RoutedCall
 from cranecart.forwarding._connections import TargetConnectionPool
--- a/src/cranecart/forwarding/_admit.py
+++ b/src/cranecart/forwarding/_admit.py
@@ -1,4 +1,4 @@
-"""Find a request's route, organisation and service, or refuse it."""
+"""Determine a request's route, organisation and service, or reject it."""
 
 import random
 from urllib.parse import urlsplit
@@ -25,18 +25,18 @@
     trace: RequestTrace,
     now: float,
 ) -> RoutedCall:
-    """Check a request that came at ``now`` against the configuration.
+    """Match a request received at ``now`` against the configuration.
 
     Raise ``NotConfiguredError``, ``NotFoundError`` or ``UnauthorizedError``.
     """
     if config is None:
         raise NotConfiguredError(
-            'this node has no configuration yet',
+            'this node has not received a configuration yet',
             retry_after=_STARTUP_RETRY_AFTER_SECONDS,
         )
     route = config.route(facts.host, _path(request.target))
     if route is None:
-        raise NotFoundError(f'no route begins {request.target!r}')
+        raise NotFoundError(f'no route matches {request.target!r}')
     holder = _find_holder(config, route, facts)
     rank = route.rank
     if holder is not None and holder.rank is not None:
@@ -59,7 +59,7 @@
     try:
         return urlsplit(target).path
     except ValueError:
-        # No route begins like that; the client is told so.
+        # An unparsable target matches no route, so the client gets "not found".
         return ''
 
 
@@ -72,7 +72,7 @@
         return None
     holder = config.holder(facts.key) if facts.key else None
     if holder is None and not route.public:
-        raise UnauthorizedError('the key is not known')
+        raise UnauthorizedError('unknown API key')
     return holder
 
 
--- a/src/cranecart/forwarding/_attempts.py
+++ b/src/cranecart/forwarding/_attempts.py
@@ -1,4 +1,4 @@
-"""Decide whether a request goes to another target."""
+"""Retry a request at other targets where the route and budget allow it."""
 
 from collections.abc import Awaitable, Callable
 
@@ -19,19 +19,19 @@
     TargetWithdrawnError,
     TimeoutPassedError,
 )
-from cranecart.forwarding._call import RoutedCall, routing_criteria
+from cranecart.forwarding._call import RoutedCall, routing_request
 from cranecart.quarantine import AttemptProgress, RequestGuard
 from cranecart.retries import SharedRetryBudget
 from cranecart.routing import RoutingRequest, Target, TargetRouter
 
-# When to come back with more time left, in seconds.
+# Retry-after sent with requests that arrive with too little time left.
 _NO_TIME_RETRY_AFTER_SECONDS = 0.2
-# What has less time left than this part of its objective would be cut before
-# any target could answer it; objectives begin at 0.1 s on the users' sheets.
+# With less time left than this, a request would time out before any target
+# could answer. Operators configure objectives from 0.1 s upwards.
 _MIN_OBJECTIVE_FRACTION = 0.1
 _MIN_SECONDS_LEFT = 0.02
-# Targets that could not be reached at all count in no limit of the route,
-# but are not tried for ever.
+# Unreachable targets do not count towards the route's limit of attempts, so
+# they need a limit of their own.
 _MAX_UNREACHABLE_TARGETS = 3
 _NOT_SENT_ERRORS = (TargetNotReachedError, TargetWithdrawnError)
 _NO_TARGET_ERRORS = (HeldError, NoReplicaError, NotTakenError, OverloadedError)
@@ -39,7 +39,11 @@
 
 @attrs.define
 class RoutedAttempts:
-    """The targets that one request was sent to, and what came of it."""
+    """The attempts at one request, each at another target.
+
+    ``tried`` lists the instances that were chosen so far, ``has_begun`` tells
+    whether any of them has sent an event of a stream.
+    """
 
     call: RoutedCall
     _router: TargetRouter
@@ -50,19 +54,22 @@
     _sent_count: int = attrs.field(default=0, init=False)
     _unreachable_count: int = attrs.field(default=0, init=False)
     _last_error: TargetError | None = attrs.field(default=None, init=False)
-    _watch: AttemptProgress | None = attrs.field(default=None, init=False)
+    _progress: AttemptProgress | None = attrs.field(default=None, init=False)
 
     async def run(self, attempt: Callable[[Target], Awaitable[None]]) -> None:
-        """Attempt until one succeeds; raise ``RequestError`` for the last."""
+        """Repeat until an attempt succeeds.
+
+        Raise the ``RequestError`` that the client gets if none does.
+        """
         self._budget.record_request(self.call.service)
         while not await self._succeeds(attempt, self._choose()):
             if not self._may_retry():
                 raise self._final_error()
 
     def may_try_another(self) -> bool:
-        """Tell whether one more target is there and allowed.
+        """Return whether an untried target exists and may still be tried.
 
-        The present one is counted only once its attempt has ended.
+        The current attempt is not in ``_sent_count`` until it has ended.
         """
         call = self.call
         if not call.may_repeat or self._sent_count + 1 >= call.route.attempts:
@@ -75,17 +82,17 @@
         )
 
     def record_progress(self, target: Target) -> None:
-        """Take over that an event came, maybe the first after a move."""
-        if self._watch is not None:
-            self._watch.record_progress()
+        """Record that an event arrived from the current target."""
+        if self._progress is not None:
+            self._progress.record_progress()
         if not self.has_begun:
             self._router.record_first_event(target, self.call.facts.model)
         self.has_begun = True
 
     def record_answer_started(self) -> None:
-        """Take over that the present target has begun to answer."""
-        if self._watch is not None:
-            self._watch.record_begun()
+        """Record that the current target has started to answer."""
+        if self._progress is not None:
+            self._progress.record_begun()
 
     async def _succeeds(
         self,
@@ -94,8 +101,8 @@
     ) -> bool:
         watching = self._guard.watch(self._identity, target.instance)
         try:
-            async with watching as watch:
-                self._watch = watch
+            async with watching as progress:
+                self._progress = progress
                 with self._router.track_in_flight(target):
                     await attempt(target)
         except TargetError as error:
@@ -104,8 +111,8 @@
         self._router.record_success(target.instance.incarnation)
         return True
 
-    def _routing_criteria(self) -> RoutingRequest:
-        return routing_criteria(
+    def _routing_request(self) -> RoutingRequest:
+        return routing_request(
             self.call,
             self.tried,
             self._guard.instances_to_avoid(self._identity),
@@ -116,7 +123,7 @@
         call = self.call
         try:
             self._check_time_left()
-            target = self._router.choose(self._routing_criteria())
+            target = self._router.choose(self._routing_request())
         except _NO_TARGET_ERRORS as error:
             if isinstance(error, HeldError):
                 call.trace.add('held', identity=call.identity)
@@ -156,7 +163,8 @@
             self._sent_count += 1
         is_disconnected = isinstance(error, TargetDisconnectedError)
         self._report_failure(target, error)
-        # Once it may have run, a later refusal does not make it 'not run'.
+        # Once an attempt may have run, a later refusal by another target must
+        # not turn the outcome into 'not run'.
         if not self._may_have_run:
             self._last_error = error
         self.call.trace.is_notable = True
@@ -173,7 +181,7 @@
     def _report_failure(self, target: Target, error: TargetError) -> None:
         incarnation = target.instance.incarnation
         if isinstance(error, TargetWithdrawnError):
-            # That it said so in time is no failure.
+            # It announced this before anything was sent, which is no failure.
             return
         if (
             isinstance(error, TargetDisconnectedError)
@@ -185,15 +193,15 @@
         self._router.record_failure(incarnation, reached=is_reached)
 
     def _log_disconnect(self, target: Target) -> None:
-        """Log what shows whether the request has ended its target."""
-        watch = self._watch
+        """Log what helps to tell whether the request crashed its target."""
+        progress = self._progress
         self.call.trace.add(
             'target_disconnected',
             instance=target.instance.id,
             born=target.instance.born,
             identity=self.call.identity,
-            begun=watch is not None and watch.has_begun,
-            progress_for=watch and round(watch.progress_seconds, 3),
+            begun=progress is not None and progress.has_begun,
+            progress_for=progress and round(progress.progress_seconds, 3),
             beside=self._router.load(target.instance.id),
         )
 
@@ -201,15 +209,15 @@
         return self.call.identity
 
     def _outweighs(self, error: RequestError) -> bool:
-        """Tell whether what came of it before weighs more than an error.
+        """Return whether the earlier outcome takes precedence over an error.
 
-        That it is held is told unless the request may have run.
+        ``HeldError`` is reported unless the request may have run.
         """
         return self._may_have_run or not isinstance(error, HeldError)
 
     @property
     def _may_have_run(self) -> bool:
-        """Tell whether a target may have run the request."""
+        """Return whether a target may have run the request."""
         last_error = self._last_error
         return (
             last_error is not None
@@ -227,16 +235,19 @@
             return False
         if not call.may_repeat and self._may_have_run:
             return False
-        # What has reached no target costs none of them anything yet.
+        # Only retries after a request was sent are charged to the budget:
+        # attempts that reached no target put no load on any.
         return not self._sent_count or self._budget.withdraw(call.service)
 
     def _final_error(self) -> RequestError:
         last_error = self._last_error
         if last_error is not None and last_error.execution is Execution.NOT_RUN:
-            criteria = routing_criteria(self.call, (), has_begun=self.has_begun)
+            request_for_retry = routing_request(
+                self.call, (), has_begun=self.has_begun
+            )
             return NotTakenError(
                 str(last_error),
-                retry_after=self._router.retry_after_seconds(criteria),
+                retry_after=self._router.retry_after_seconds(request_for_retry),
             )
         if isinstance(last_error, TargetTimeoutError):
             return TimeoutPassedError(str(last_error))
--- a/src/cranecart/forwarding/_buffered.py
+++ b/src/cranecart/forwarding/_buffered.py
@@ -1,4 +1,4 @@
-"""Get a whole answer from a target, then pass it on."""
+"""Read a complete response from a target before it is sent to the client."""
 
 import attrs
 
@@ -14,14 +14,17 @@
 
 @attrs.define
 class BufferedExchange:
-    """One request whose answer is passed on only once it is whole."""
+    """One request whose response is forwarded only once it is complete.
+
+    ``response`` is the latest response that any target sent, also a failed one.
+    """
 
     _sender: Sender
     _attempts: RoutedAttempts
     response: Response | None = attrs.field(default=None, init=False)
 
     async def attempt(self, target: Target) -> None:
-        """Fetch an answer; raise ``TargetError`` where another may do."""
+        """Fetch a response; raise ``TargetError`` if another target may do."""
         call = self._attempts.call
         started = since_boot()
         limits = self._silence_limits()
@@ -43,10 +46,10 @@
     def _silence_limits(self) -> SilenceLimits:
         """Leave half of the objective for another target.
 
-        Some targets take requests and never answer while they look healthy;
-        without this such a request was held to its end. Where all are slow,
-        that is known from the answers that came, and up to the longest silence
-        that is ever suspected is usual.
+        Some targets accept requests and never answer while they look healthy,
+        which would hold a request until its deadline. If all targets are slow,
+        the response times seen so far raise the limit, up to the longest
+        silence that is considered normal.
         """
         if not self._attempts.may_try_another():
             return SilenceLimits(float('inf'), float('inf'))
--- a/src/cranecart/forwarding/_call.py
+++ b/src/cranecart/forwarding/_call.py
@@ -1,4 +1,4 @@
-"""One client's request on its way, with all that decides about it."""
+"""An admitted client request and the data that decides how it is routed."""
 
 import functools
 from collections.abc import Collection
@@ -13,16 +13,17 @@
 from cranecart.quarantine import request_identity
 from cranecart.routing import RoutingRequest
 
-# A client that names no deadline waits as long as its route allows.
+# Without a deadline of the client's, the route's timeout applies.
 _NO_DEADLINE = float('inf')
 
 
 @attrs.frozen
 class RoutedCall:
-    """A checked request; ``ends_at`` is a time of ``since_boot``.
+    """An admitted request.
 
-    ``returned_seconds`` is how long before it came its client first asked,
-    zero if it was not refused before.
+    ``rank`` is the priority, lower first. ``started_at`` and ``ends_at`` are
+    times of ``since_boot``. ``retrying_for_seconds`` is how long the client had
+    already been retrying when this request arrived, zero for a first try.
     """
 
     request: Request
@@ -39,12 +40,12 @@
 
     @property
     def request_id(self) -> str:
-        """Return the client's id of the request."""
+        """Return the request id that the client sent."""
         return self.facts.request_id
 
     @functools.cached_property
     def identity(self) -> str:
-        """Return what all tries of its client at this request share."""
+        """Return a digest that is the same for all retries of this request."""
         request = self.request
         return request_identity(
             self.organisation,
@@ -56,23 +57,23 @@
 
     @property
     def seconds_left(self) -> float:
-        """Return how long the client and the route still allow."""
+        """Return the time left until the client's or the route's deadline."""
         return self.ends_at - since_boot()
 
     @property
     def may_repeat(self) -> bool:
-        """Tell whether the request may run more than once."""
+        """Return whether the request may run more than once."""
         return self.route.is_idempotent
 
 
-def routing_criteria(
+def routing_request(
     call: RoutedCall,
     tried: Collection[str],
     passed_over: Collection[str] = (),
     *,
     has_begun: bool,
 ) -> RoutingRequest:
-    """Return what the router needs to know of a call now."""
+    """Return the router's input for a call at this moment."""
     elapsed = since_boot() - call.started_at
     return RoutingRequest(
         call.config,
@@ -91,7 +92,7 @@
 
 
 def expiry_of(route: Route, facts: CallFacts, now: float) -> float:
-    """Return when a request is given up, as a time of ``since_boot``."""
+    """Return when a request expires, as a time of ``since_boot``."""
     deadline = facts.deadline_seconds
     client_seconds = _NO_DEADLINE if deadline is None else deadline
     return now + min(client_seconds, route.timeout_seconds)
--- a/src/cranecart/forwarding/_connections.py
+++ b/src/cranecart/forwarding/_connections.py
@@ -1,4 +1,4 @@
-"""Kept connections to targets, as long as they are surely alive."""
+"""A pool of keep-alive connections to targets."""
 
 import re
 from collections import defaultdict
@@ -12,24 +12,24 @@
 from cranecart.logs import decision
 from cranecart.ports import Incarnation, ListedInstance
 
-# A live target answers a new connection within a few milliseconds on the
-# deployments' links; a lost first packet is sent again after a second, which
-# is longer than the answer is wanted. What another target may still answer
-# in time must not wait for long: objectives begin at 0.1 to 0.3 s.
+# A live target accepts a connection within a few milliseconds. The kernel
+# resends a lost SYN after one second, which is too late for objectives that
+# start at 0.1 to 0.3 s, so a request moves on to another target before that.
 _CONNECT_TIMEOUT_SECONDS = 0.08
-# Connections are closed this long before the target would close them.
+# How long before the target's own idle timeout a connection is closed.
 _KEEP_ALIVE_MARGIN_SECONDS = 1.0
-# How long a connection is kept where the target tells no time.
+# Idle timeout for targets that send no Keep-Alive header.
 _DEFAULT_KEEP_ALIVE_SECONDS = 4.0
-# A request that must not run twice goes only on a connection that was used
-# this lately, as the target may forget an idle one without notice.
+# Non-repeatable requests only reuse connections that were in use this recently,
+# as the target may drop an idle connection without notice.
 _RECENT_USE_SECONDS = 1.0
-# A target that sent an answer too many, or broke a connection, may do so again:
-# for this long, which is short against the minutes that such troubles last,
-# what must not run twice goes on connections of its own.
+# How long non-repeatable requests use new connections only after a target sent
+# a surplus response or broke a connection. Such faults last for minutes, and
+# each later one extends this time.
 _UNRELIABLE_SECONDS = 10.0
 _MAX_IDLE = 16
-# Calls that must not run twice take none of these, and would leave one each.
+# Non-repeatable requests to an unreliable target reuse no idle connection, but
+# each would add one.
 _MAX_IDLE_UNRELIABLE = 2
 _TIMEOUT_PARAMETER = re.compile(r'timeout=(\d+)')
 
@@ -43,9 +43,10 @@
 
 @attrs.define
 class TargetConnectionPool:
-    """Idle connections by life of an instance.
+    """Idle connections by incarnation of an instance.
 
-    ``uneven`` counts those that brought more answers than were asked for.
+    ``opened`` counts the connections that were opened, ``desynchronized`` those
+    that carried more responses than requests.
     """
 
     _clock: Callable[[], float] = since_boot
@@ -71,8 +72,8 @@
     ) -> HttpConnection:
         """Return a connection; raise ``TargetNotReachedError``.
 
-        One that ``is_sure`` to be alive was used lately, one that ``is_new``
-        never.
+        With ``require_recent`` an idle connection is reused only if it was in
+        use a moment ago, with ``require_new`` a new one is always opened.
         """
         idle_connections = self._idle.get(instance.incarnation)
         must_open = require_new or (
@@ -105,7 +106,7 @@
     def record_keep_alive(
         self, instance: ListedInstance, head: ResponseHead
     ) -> None:
-        """Remember for how long a target keeps idle connections."""
+        """Store the idle timeout from a target's Keep-Alive header."""
         timeout = _TIMEOUT_PARAMETER.search(head.headers.get('keep-alive', ''))
         if timeout:
             seconds = float(timeout.group(1)) - _KEEP_ALIVE_MARGIN_SECONDS
@@ -116,7 +117,7 @@
         instance: ListedInstance,
         connection: HttpConnection,
     ) -> None:
-        """Keep a connection whose answer was read whole; close any other."""
+        """Return a connection; it is closed if it cannot be reused."""
         if connection.has_surplus_data:
             self.desynchronized += 1
             self.mark_unreliable(instance)
@@ -141,22 +142,22 @@
         idle_connections.append(_Idle(connection, now, now + seconds))
 
     async def close_idle(self, instance: ListedInstance) -> None:
-        """Close an instance's idle connections, as one has just failed.
+        """Close an instance's idle connections after one of them failed.
 
-        What made one silent may have made all of them so, and each would
-        cost the next request its objective.
+        The others may be broken as well, and each would cost the next request
+        its objective.
         """
         for idle in self._idle.pop(instance.incarnation, ()):
             await idle.connection.close()
 
     def mark_unreliable(self, instance: ListedInstance) -> None:
-        """Take over that a target broke a connection, or said too much."""
+        """Record a broken connection or a surplus response of a target."""
         self._unreliable_until[instance.incarnation] = (
             self._clock() + _UNRELIABLE_SECONDS
         )
 
     def idle_count(self, instance_id: str) -> int:
-        """Return how many connections to an instance are kept."""
+        """Return the number of idle connections to an instance."""
         return sum(
             len(idle_connections)
             for incarnation, idle_connections in self._idle.items()
@@ -164,7 +165,7 @@
         )
 
     async def close_expired(self, listed: Collection[Incarnation]) -> None:
-        """Close connections that are past their time or to gone instances."""
+        """Close connections that timed out or whose instance is not listed."""
         now = self._clock()
         for incarnation, idle_connections in list(self._idle.items()):
             unexpired = [
--- a/src/cranecart/forwarding/_gateway.py
+++ b/src/cranecart/forwarding/_gateway.py
@@ -1,4 +1,4 @@
-"""Answer clients' requests: admit, route, send, pass on."""
+"""Handle client requests: admit, route, forward and respond."""
 
 import logging
 import random
@@ -29,7 +29,7 @@
 from cranecart.quarantine import RequestGuard
 from cranecart.retries import SharedRetryBudget
 
-# Told of each request's outcome and of the seconds to its first byte.
+# Called with each request's outcome and the seconds to its first byte.
 Observer = Callable[[str, float | None], None]
 
 _LOG = logging.getLogger(__name__)
@@ -39,9 +39,14 @@
 
 @attrs.define
 class RoutedGateway:
-    """The path of a client's request through one node."""
+    """Handles client requests according to the configured routes.
 
-    _current: Callable[[], RouteConfig | None]
+    ``_current_config`` returns the configuration in force, ``_success_log_fraction``
+    the fraction of successful requests to log. ``in_flight`` is the number of
+    requests being handled, ``received_count`` that of all requests so far.
+    """
+
+    _current_config: Callable[[], RouteConfig | None]
     _sender: Sender
     _budget: SharedRetryBudget
     _guard: RequestGuard
@@ -49,7 +54,7 @@
     _observe: Observer
     _success_log_fraction: Callable[[], float]
     _on_admitted: Callable[[RoutedCall], None]
-    # Told of each stream that ended well, and how many events it had.
+    # Called for each completed stream with its number of events.
     _on_streamed: Callable[[RoutedCall, int], None]
     _startup_gate: StartupGate = attrs.field(factory=StartupGate)
     _returns: ClientRetryDetector = attrs.field(
@@ -59,7 +64,7 @@
     received_count: int = attrs.field(default=0, init=False)
 
     async def handle(self, request: Request, responder: Responder) -> None:
-        """Answer one request; its work ends at once if its client leaves."""
+        """Handle one request; it is cancelled if the client disconnects."""
         self.in_flight += 1
         self.received_count += 1
         handling = await curio.current_task()
@@ -95,7 +100,7 @@
                 admit(
                     request,
                     facts,
-                    self._current(),
+                    self._current_config(),
                     self._random,
                     trace,
                     started,
@@ -113,7 +118,7 @@
             trace.add('client_left', after=_elapsed_since(started))
             raise
         except Exception as error:
-            _LOG.exception('a request met a fault of this node')
+            _LOG.exception('unexpected error while handling a request')
             client_error = InternalFaultError(repr(error))
             outcome = client_error.code
             await self._refuse(trace, client_error, responder, started)
@@ -122,7 +127,7 @@
             self._write_trace(trace, outcome)
 
     def _with_retry_time(self, call: RoutedCall) -> RoutedCall:
-        """Note since when a client that was refused has been asking."""
+        """Add for how long the client has been retrying a refused request."""
         returned = self._returns.elapsed_seconds(
             call.route.name,
             call.facts.deadline_seconds,
@@ -131,7 +136,7 @@
         return attrs.evolve(call, retrying_for_seconds=returned)
 
     def _write_trace(self, trace: RequestTrace, outcome: str) -> None:
-        """Log a request, but only a share of the ordinary ones."""
+        """Log a request, but only a fraction of the unremarkable ones."""
         hash_fraction = zlib.crc32(trace.request_id.encode()) / _CRC_RANGE
         is_drawn = hash_fraction < self._success_log_fraction()
         if is_drawn or trace.is_notable or outcome != 'answered':
@@ -155,8 +160,9 @@
         except Exception as error:
             if not attempts.tried:
                 raise
-            # A target may have run it, so that nobody may say it has not.
-            _LOG.exception('a request met a fault of this node')
+            # A target may have run the request, so it must not be reported as
+            # not run.
+            _LOG.exception('unexpected error while forwarding a request')
             raise OutcomeUnknownError(repr(error)) from error
 
     async def _attempt(
@@ -203,7 +209,9 @@
             return_after=error.retry_after,
         )
         if responder.has_started:
-            raise ConnectionBrokenError('cut short') from error
+            raise ConnectionBrokenError(
+                'response aborted after it had started',
+            ) from error
         await responder.send(
             self._sender.form.refusal(
                 trace.request_id,
@@ -219,7 +227,7 @@
     attempts: RoutedAttempts,
     buffered: BufferedExchange,
 ) -> None:
-    """Run the attempts; a target's own failure stands if none does better."""
+    """Run the attempts; a target's error response is kept if all fail."""
     try:
         await attempts.run(buffered.attempt)
     except RequestError:
--- a/src/cranecart/forwarding/_own_response.py
+++ b/src/cranecart/forwarding/_own_response.py
@@ -1,4 +1,4 @@
-"""Read on to the answer that names a request."""
+"""Find the response that belongs to a request on a connection."""
 
 import attrs
 
@@ -9,10 +9,11 @@
 
 @attrs.define
 class OwnResponseReader:
-    """The head of a request's own answer, behind whatever comes before it.
+    """Reads the head of a request's own response, discarding any others.
 
-    Targets may answer twice, and the second answer may name nothing: all that
-    does not name this request was taken for its answer once.
+    A target may send a second response to an earlier request, and that may
+    carry no request id. Only a response with this request's id is accepted;
+    anything else was once taken for the response of the next request.
     """
 
     _form: CallForm
@@ -21,7 +22,7 @@
     _has_foreign_response: bool = attrs.field(default=False, init=False)
 
     async def read(self) -> ResponseHead:
-        """Return the head; an interrupted call may be repeated."""
+        """Return the head; may be called again after an interruption."""
         while True:
             if self._has_foreign_response:
                 await self._connection.discard_response()
--- a/src/cranecart/forwarding/_sender.py
+++ b/src/cranecart/forwarding/_sender.py
@@ -1,4 +1,4 @@
-"""Send one attempt to one target, and make sure whose answer comes back."""
+"""Send one attempt to one target and verify that the response belongs to it."""
 
 import contextlib
 from collections.abc import AsyncGenerator, Awaitable, Callable
@@ -27,24 +27,29 @@
 
 Answer = TypeVar('Answer')
 
-# Told that a replica may stand still, and what shows it.
+# Called with a replica that may have stopped, and the evidence for it.
 SuspicionReporter = Callable[[tuple[str, int], str], Awaitable[None]]
 
-# Statuses that promise that a request has not run; without the target's own
-# word such an answer is taken for an unknown outcome.
+# Statuses that imply that a request was not run. Without the target's explicit
+# confirmation the outcome counts as unknown nevertheless.
 _NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
-# How often a wait looks whether its replica was found to have stopped, and
-# how often once it has been silent for so long that this may be any moment.
+# How often a waiting attempt checks whether its replica was found to have
+# stopped.
 _POLL_SECONDS = 0.025
-# By how many ranks those step back that cannot be in time any more: behind all
-# of the ranks that operators give on the users' sheets.
+# Added to the rank of requests that will miss their objective, so that they are
+# queued after all ranks that operators configure.
 _LATE_RANK_PENALTY = 5
+# Replaces _POLL_SECONDS once the replica is suspected, as that result may then
+# come at any moment.
 _SUSPECT_POLL_SECONDS = 0.006
 
 
 @attrs.frozen
 class TargetAnswer:
-    """The head of an answer that belongs to the request, and its rest."""
+    """A target's response: its head, verified, and the connection to read on.
+
+    ``facts`` is what the head says in the platform's own headers.
+    """
 
     head: ResponseHead
     facts: AnswerFacts
@@ -55,10 +60,10 @@
 class SilenceLimits:
     """How long a target may be silent, in seconds.
 
-    After ``suspect`` the silence is told as evidence; after ``most`` the
-    target is given up, after ``still`` if it gives its other streams nothing
-    either, and at once if it is found to have stopped, unless ``is_last``:
-    then nothing is gained by leaving it.
+    After ``suspect_after`` the silence is reported as evidence. The attempt
+    fails after ``give_up_after``, after ``stalled_after`` if the target's other
+    streams receive nothing either, and at once if the replica is found to have
+    stopped, unless ``is_final_attempt``: then there is no other target to try.
     """
 
     suspect_after: float
@@ -69,7 +74,10 @@
 
 @attrs.define
 class Sender:
-    """Sends attempts and checks the answers' heads."""
+    """Sends attempts and verifies the heads of the responses.
+
+    ``_has_stopped`` returns whether a replica is known to have stopped.
+    """
 
     form: CallForm
     router: TargetRouter
@@ -85,10 +93,10 @@
         limits: SilenceLimits,
         resume_after: str = '',
     ) -> AsyncGenerator[TargetAnswer, None]:
-        """Send an attempt; give the head of its own answer.
+        """Send an attempt and yield its response; raise ``TargetError``.
 
-        Raise ``TargetError``. The connection is kept only if the answer was
-        read whole within the context.
+        The connection is reused later only if the response was read to its end
+        within the context.
         """
         connection = await self._connect(call, target)
         try:
@@ -98,7 +106,7 @@
             head = await self.read_with_limits(
                 call, target, limits, reading.read
             )
-            yield await self._check_response(target, connection, head, sent_at)
+            yield await self._verify(target, connection, head, sent_at)
         except (TargetBrokenError, TargetTimeoutError):
             await self.connections.close_idle(target.instance)
             raise
@@ -112,10 +120,11 @@
         limits: SilenceLimits,
         read: Callable[[], Awaitable[Answer]],
     ) -> Answer:
-        """Read from a target, which may fall silent or break off.
+        """Await ``read`` while checking the target against the limits.
 
-        Raise ``TargetTimeoutError`` at the call's end and
-        ``TargetBrokenError`` where the target stands still or broke off.
+        Raise ``TargetTimeoutError`` at the call's deadline and
+        ``TargetBrokenError`` if the target is given up or disconnects. ``read``
+        is interrupted and called again, so it must not lose what it has read.
         """
         started = since_boot()
         silence = float(0)
@@ -140,7 +149,7 @@
                 )
 
     async def report_suspicion(self, target: Target, evidence: str) -> None:
-        """Tell that a target may stand still."""
+        """Report that a target's replica may have stopped."""
         if target.replica_epoch is not None:
             await self._report_suspicion(target.replica_epoch, evidence)
 
@@ -152,7 +161,7 @@
         silence: float,
     ) -> None:
         if call.seconds_left <= 0:
-            raise TargetTimeoutError('the answer was not whole in time')
+            raise TargetTimeoutError('no complete response before the deadline')
         replica_key = target.replica_epoch
         is_stopped = replica_key is not None and self._has_stopped(replica_key)
         if is_stopped and not limits.is_final_attempt:
@@ -162,7 +171,7 @@
             target, model
         ):
             raise TargetBrokenError(
-                f'{target.instance.id} gives its streams nothing',
+                f'{target.instance.id} sends no events on any of its streams',
             )
         if silence > limits.give_up_after:
             raise TargetBrokenError(
@@ -178,8 +187,8 @@
             return await self.connections.acquire(
                 target.instance,
                 require_recent=not call.may_repeat,
-                # No answer can name a request that has no name: what comes on
-                # a connection of its own is its own.
+                # Without a request id responses cannot be matched, so only a
+                # new connection makes sure that the response is its own.
                 require_new=not call.request_id,
             )
         except TargetNotReachedError as error:
@@ -194,9 +203,10 @@
         resume_after: str,
     ) -> None:
         if not self.router.throttle.may_send(target.instance.incarnation):
-            # While it waited for a connection another answer asked for rest.
+            # Another response asked for a pause while this attempt waited for
+            # a connection.
             raise TargetWithdrawnError(
-                f'{target.instance.id} takes nothing any more',
+                f'{target.instance.id} accepts no requests at the moment',
             )
         rank_penalty = _LATE_RANK_PENALTY if target.is_deferred else 0
         dispatch = Dispatch(
@@ -214,7 +224,7 @@
             self.connections.mark_unreliable(target.instance)
             raise TargetDisconnectedError(str(error)) from error
 
-    async def _check_response(
+    async def _verify(
         self,
         target: Target,
         connection: HttpConnection,
@@ -230,7 +240,7 @@
             await self.report_suspicion(
                 target, f'cannot work without {facts.at_fault}'
             )
-        _check_answer(target, head, facts)
+        _raise_for_answer(target, head, facts)
         return TargetAnswer(head, facts, connection)
 
 
@@ -244,7 +254,7 @@
     return min(_POLL_SECONDS, limits.suspect_after - silence)
 
 
-def _check_answer(
+def _raise_for_answer(
     target: Target,
     head: ResponseHead,
     facts: AnswerFacts,
@@ -253,6 +263,10 @@
     if facts.not_run:
         raise TargetRefusedError(f'{name} refused with {head.status}')
     if head.status in _NOT_RUN_STATUSES:
-        raise TargetBrokenError(f'{name} answered {head.status} unexplained')
+        raise TargetBrokenError(
+            f'{name} answered {head.status} without saying "not run"'
+        )
     if head.is_success and not facts.is_genuine:
-        raise TargetBrokenError(f'{name} sent an answer that is not its own')
+        raise TargetBrokenError(
+            f'{name} sent a response without a valid signature'
+        )
--- a/src/cranecart/forwarding/_sse.py
+++ b/src/cranecart/forwarding/_sse.py
@@ -1,4 +1,4 @@
-"""Cut a stream into whole events and remember the id of the last one."""
+"""Split a stream of server-sent events and track the last event id."""
 
 import itertools
 import re
@@ -14,25 +14,25 @@
 
 @attrs.define
 class EventSplitter:
-    """Holds back what has come of an event that is not whole yet."""
+    """Buffers incomplete events, so that only complete ones are forwarded."""
 
     last_id: str = ''
     event_count: int = 0
     _partial: bytes = b''
-    # Whether ids must rise: from the first attempt at a stream on, over all
-    # the targets that it moves between.
+    # Set from the first attempt on: ids must ascend over all attempts at a
+    # stream, whichever targets they come from.
     _requires_ascending_ids: bool = False
 
     @property
     def is_between_events(self) -> bool:
-        """Tell whether nothing of an event is held back."""
+        """Return whether no incomplete event is buffered."""
         return not self._partial
 
     def feed(self, chunk: bytes) -> bytes:
-        """Take what one read brought; return the whole events in it.
+        """Add received bytes; return the events that are complete by now.
 
-        Raise ``TargetBrokenError`` where a stream that should go on behind
-        the last event starts over: a caller would get events twice.
+        Raise ``TargetBrokenError`` if event ids do not ascend, as in a resumed
+        stream that starts over: the client would get events twice.
         """
         buffered = self._partial + chunk if self._partial else chunk
         complete_end = buffered.rfind(_EVENT_END) + len(_EVENT_END)
@@ -49,7 +49,7 @@
         return complete
 
     def restart(self) -> None:
-        """Drop what is held back, as its stream has broken off."""
+        """Discard an incomplete event before the next attempt starts."""
         self._partial = b''
         self._requires_ascending_ids = True
 
@@ -63,5 +63,5 @@
         numbers = [int(one) for one in ids_so_far if one.isdecimal()]
         if any(later <= one for one, later in itertools.pairwise(numbers)):
             raise TargetBrokenError(
-                f'its events fall back behind {self.last_id}',
+                f'event ids do not ascend after {self.last_id}',
             )
--- a/src/cranecart/forwarding/_startup.py
+++ b/src/cranecart/forwarding/_startup.py
@@ -1,9 +1,9 @@
-"""Let requests wait for a node that has just started.
+"""Hold requests back until a node that has just started can route them.
 
-Load answered: all nodes lose power at once and come back within a second,
-while their clients ask anew; a kill of one node, to which its balancer goes on
-sending for some seconds. Refused at once, every request of that second is lost,
-as clients ask only twice; what waits is served late.
+This covers a power loss of all nodes that ends within a second while clients
+retry, and a killed node to which its load balancer goes on sending for some
+seconds. Clients retry only once, so rejecting requests at once would lose all
+of that second; requests that wait are answered late.
 """
 
 from collections.abc import Callable
@@ -18,10 +18,11 @@
     RequestError,
 )
 
-# On half a core a node has read what it must know within half a second of its
-# start; one that has not meets a store that is slow or away, for seconds.
+# With half a CPU core a node has read its state within 0.5 s of its start. If
+# it has not, the store is slow or unavailable, which lasts for seconds.
 _MAX_WAIT_SECONDS = 1.2
-# Of the time that its client has left, so that there is enough to be served.
+# Share of the client's remaining time that may be spent waiting; the rest is
+# left for the request itself.
 _MAX_DEADLINE_FRACTION = 0.5
 _POLL_SECONDS = 0.01
 _RETRY_AFTER_SECONDS = 0.5
@@ -29,14 +30,14 @@
 
 @attrs.define
 class StartupGate:
-    """Lets requests through once the node knows where they may go."""
+    """Lets requests through once the node has read its routing state."""
 
     _is_informed: Callable[[], bool] = attrs.field(default=lambda: True)
     _clock: Callable[[], float] = since_boot
     _started_at: float = attrs.field(init=False)
 
     async def wait(self, deadline_seconds: float | None) -> None:
-        """Return once the node knows enough, or waiting does not pay."""
+        """Return once the node is informed or the longest wait is over."""
         wait_until = self._started_at + _MAX_WAIT_SECONDS
         if deadline_seconds is not None:
             wait_until = min(
@@ -47,11 +48,15 @@
             await curio.sleep(_POLL_SECONDS)
 
     def error_for_client(self, error: RequestError) -> RequestError:
-        """Return what to tell: who has not read of replicas denies none."""
+        """Return the error that the client gets.
+
+        Until the node has read the list of replicas, ``NoReplicaError`` is
+        replaced, as replicas may well exist.
+        """
         if self._is_informed() or not isinstance(error, NoReplicaError):
             return error
         return NotInformedError(
-            'this node has not read yet which replicas serve',
+            'this node has started and has not read the list of replicas yet',
             retry_after=_RETRY_AFTER_SECONDS,
         )
 
--- a/src/cranecart/forwarding/_stream.py
+++ b/src/cranecart/forwarding/_stream.py
@@ -1,4 +1,4 @@
-"""Pass a stream on event by event; go on elsewhere when it stops."""
+"""Relay a stream event by event; resume it at another target if one fails."""
 
 import attrs
 
@@ -10,18 +10,19 @@
 from cranecart.http import Responder, Response
 from cranecart.routing import StreamActivity, Target
 
-# Without its placer's finding a stream is moved after this silence only: in
-# plays with too few replicas, live engines were silent for over half a
-# second, and moving away from them lost requests that had been served.
+# A stream moves to another target after this silence if the replica was not
+# found to have stopped earlier. With too few replicas live engines were silent
+# for over 0.5 s, and moving away from them lost requests they would have served.
 _GIVE_UP_SECONDS = 0.8
 _FIRST_EVENT_GIVE_UP_SECONDS = 1.2
-# The first event waits for the prompt and for others' prompts.
+# Fraction of the objective after which a missing first event is reported. It
+# takes longer than later ones, as the engine reads this prompt and others first.
 _FIRST_EVENT_SUSPECT_FRACTION = 0.8
 
 
 @attrs.define
 class StreamTiming:
-    """When events were passed on, in seconds from the start."""
+    """When events were relayed, in seconds since the start."""
 
     _started_at: float = attrs.field(factory=since_boot, init=False)
     _previous_at: float | None = attrs.field(default=None, init=False)
@@ -29,9 +30,9 @@
     longest_gap_seconds: float = attrs.field(default=0, init=False)
 
     def record_event(self) -> float | None:
-        """Take over that an event, or some at once, was passed on now.
+        """Record that one or more events were relayed just now.
 
-        Return the seconds since the one before, if there was one.
+        Return the seconds since the previous ones, or ``None`` for the first.
         """
         now = since_boot()
         previous_at = self._previous_at
@@ -46,7 +47,11 @@
 
 @attrs.define
 class StreamingExchange:
-    """One client's stream over all attempts at it."""
+    """One client's stream over all its attempts.
+
+    ``response`` is set if a target failed before the stream started and its
+    error response is to be sent instead.
+    """
 
     _sender: Sender
     _attempts: RoutedAttempts
@@ -56,7 +61,7 @@
     timing: StreamTiming = attrs.field(factory=StreamTiming, init=False)
 
     async def attempt(self, target: Target) -> None:
-        """Relay from one target; raise ``TargetError`` where it stops."""
+        """Relay from one target; raise ``TargetError`` if it fails."""
         call = self._attempts.call
         self.splitter.restart()
         record_answer_started = self._sender.start_attempt(
@@ -90,7 +95,7 @@
             await self._relay_events(target, answer, pulse)
         if not self.splitter.is_between_events:
             raise TargetDisconnectedError(
-                f'{target.instance.id} cut an event off',
+                f'{target.instance.id} ended its stream within an event',
             )
 
     async def _relay_events(
@@ -145,8 +150,8 @@
         if self._attempts.may_try_another():
             pause = self._attempts.call.route.pause_seconds
             return SilenceLimits(suspect_after, _GIVE_UP_SECONDS, pause)
-        # What must not run again waits for the run it has: a replica that
-        # stands still breaks it off itself within seconds.
+        # There is no other target to try, so wait on: a replica that stalls
+        # aborts the request itself within seconds.
         return SilenceLimits(suspect_after, float('inf'), is_final_attempt=True)
 
     def _first_event_limits(self) -> SilenceLimits:
@@ -157,8 +162,8 @@
             * _FIRST_EVENT_SUSPECT_FRACTION
         )
         if self._attempts.may_try_another():
-            # A replica that gives its other streams nothing will not begin
-            # this one: leaving it at once may still meet the objective.
+            # A replica whose other streams stall will not start this one, and
+            # leaving it at once may still meet the objective.
             give_up_after = max(suspect_after, _FIRST_EVENT_GIVE_UP_SECONDS)
             return SilenceLimits(suspect_after, give_up_after, stalled_after=0)
         return SilenceLimits(suspect_after, float('inf'))
