--- a/tests/lib/simulated_cluster.py
+++ b/tests/lib/simulated_cluster.py
@@ -1,4 +1,4 @@
-"""Many nodes of a mesh without sockets, on a clock that tests turn."""
+"""Simulation of a cluster of mesh nodes, without sockets, on a fake clock."""
 
 import contextlib
 import random
@@ -26,17 +26,17 @@
 from cranecart.transport import PeerTransport
 
 BEAT_SECONDS = 0.25
-_DOMAINS = 3
-# What answers itself for ever is found out, and does not hang a test.
-_MOST_AT_ONCE = 20000
+_DOMAIN_COUNT = 3
+# Messages that cause each other for ever fail a test instead of hanging it.
+_MAX_DELIVERIES = 20000
 
 
 class SimulatedTransport(PeerTransport[MeshMessage]):
-    """A link that hands messages to a world instead of sockets."""
+    """A transport that hands messages to the simulation, not to sockets."""
 
     def __init__(self, cluster: 'SimulatedCluster', name: str) -> None:  # noqa: WPS612
-        """Remember whose link it is."""
-        self._world = cluster
+        """Set the cluster and the name of the sending node."""
+        self._cluster = cluster
         self._name = name
 
     def send_all(
@@ -44,10 +44,10 @@
         addresses: Iterable[str],
         message: MeshMessage,
     ) -> None:
-        """Hand a message over, as it looks on the wire."""
+        """Queue a message for several nodes, encoded as on the wire."""
         encoded = encode_mesh_message(message)
         for address in addresses:
-            self._world.carry(self._name, address, encoded)
+            self._cluster.enqueue(self._name, address, encoded)
 
     def disconnect(self, address: str) -> None:
         """Do nothing, as there is no socket."""
@@ -58,20 +58,22 @@
 
 @attrs.define
 class SimulatedCluster:
-    """Nodes by name, the messages under way, and what fails."""
+    """Nodes by name, the messages in transit, and the injected faults."""
 
     now: float = 100
     nodes: dict[str, 'SimulatedNode'] = attrs.field(factory=dict, init=False)
     sent: Counter[str] = attrs.field(factory=Counter, init=False)
     sent_bytes: Counter[str] = attrs.field(factory=Counter, init=False)
-    far_bytes: int = attrs.field(default=0, init=False)
+    cross_domain_bytes: int = attrs.field(default=0, init=False)
     dead: set[str] = attrs.field(factory=set, init=False)
-    # Nodes of different groups do not reach each other.
-    groups: dict[str, int] = attrs.field(factory=dict, init=False)
-    # Senders and receivers between whom alone nothing passes.
+    # Network partitions: nodes of different groups do not reach each other.
+    partitions: dict[str, int] = attrs.field(factory=dict, init=False)
+    # Pairs of sender and receiver between which all messages are lost.
     lost_paths: set[tuple[str, str]] = attrs.field(factory=set, init=False)
-    loses_stopped: bool = attrs.field(default=False, init=False)
-    _wire: list[tuple[str, str, bytes]] = attrs.field(factory=list, init=False)
+    drops_stop_messages: bool = attrs.field(default=False, init=False)
+    _in_transit: list[tuple[str, str, bytes]] = attrs.field(
+        factory=list, init=False
+    )
     _random: random.Random = attrs.field(
         factory=lambda: random.Random(1),
         init=False,
@@ -79,7 +81,7 @@
 
     @classmethod
     def of(cls, count: int) -> 'SimulatedCluster':
-        """Start so many nodes, each knowing all from the table."""
+        """Start ``count`` nodes, each knowing all others from the store."""
         cluster = cls()
         for number in range(count):
             cluster.start(f'node-{number:03}')
@@ -87,13 +89,13 @@
 
     @property
     def alive(self) -> list['SimulatedNode']:
-        """Return the nodes that are not dead."""
+        """Return the nodes that are running."""
         return [
             node for name, node in self.nodes.items() if name not in self.dead
         ]
 
     def start(self, name: str) -> None:
-        """Start a node, anew if there is one of that name."""
+        """Start a node, or restart it with empty state if it exists."""
         self.dead.discard(name)
         self.nodes[name] = SimulatedNode.in_cluster(self, name)
         rows = {
@@ -103,49 +105,51 @@
         for node in self.alive:
             node.mesh.update_peers(rows, True)
 
-    def carry(self, sender: str, address: str, encoded: bytes) -> None:
-        """Take a message on its way."""
-        self._wire.append((sender, address, encoded))
+    def enqueue(self, sender: str, address: str, encoded: bytes) -> None:
+        """Put a message in transit and count it."""
+        self._in_transit.append((sender, address, encoded))
         self.sent[sender] += 1
         self.sent_bytes[sender] += len(encoded)
         if self.nodes[address].domain != self.nodes[sender].domain:
-            self.far_bytes += len(encoded)
+            self.cross_domain_bytes += len(encoded)
 
     def run(self, seconds: float) -> None:
-        """Let the time go on, beat by beat."""
-        for turn in range(round(seconds / BEAT_SECONDS)):
+        """Advance the clock, with a beat of each node per interval."""
+        for beat_number in range(round(seconds / BEAT_SECONDS)):
             for node in self.alive:
                 self.now += BEAT_SECONDS / len(self.alive)
-                node.message_sender.send_beat(include_silent=turn % 8 == 0)
+                node.message_sender.send_beat(
+                    include_silent=beat_number % 8 == 0
+                )
                 node.message_sender.request_newer_config()
                 self.deliver()
 
     def deliver(self) -> None:
-        """Deliver what is under way to those who can be reached."""
-        for _number in range(_MOST_AT_ONCE):
-            if not self._wire:
+        """Deliver all messages in transit to nodes that can be reached."""
+        for _number in range(_MAX_DELIVERIES):
+            if not self._in_transit:
                 return
-            sender, address, encoded = self._wire.pop(0)
-            if address not in self.dead and self._is_open(sender, address):
-                self.nodes[address].hear(encoded)
-        raise AssertionError('the messages do not end')
+            sender, address, encoded = self._in_transit.pop(0)
+            if address not in self.dead and self._can_reach(sender, address):
+                self.nodes[address].receive(encoded)
+        raise AssertionError('nodes keep sending messages to each other')
 
     def stop_replica(self, sender: str, name: str) -> None:
-        """Have a node tell all that a replica has stopped."""
+        """Make a node announce that a replica has stopped."""
         node = self.nodes[sender]
         node.stopped.add(name)
         node.mesh.publish_stopped(Stopped(sender, name, 1, 'lost'))
         self.deliver()
 
-    def _is_open(self, sender: str, address: str) -> bool:
+    def _can_reach(self, sender: str, address: str) -> bool:
         if (sender, address) in self.lost_paths:
             return False
-        return self.groups.get(sender) == self.groups.get(address)
+        return self.partitions.get(sender) == self.partitions.get(address)
 
 
 @attrs.define
 class SimulatedNode:
-    """One node: its mesh, and what it was told."""
+    """One node: its mesh, and the messages that its callbacks received."""
 
     mesh: Mesh
     state: MeshState
@@ -155,7 +159,7 @@
     stopped: set[str]
     versions: list[int]
     configs: list[RouteConfig]
-    book: CaseRegistry
+    cases: CaseRegistry
     broken: set[str]
     limits: list[LimitUpdate]
     leaving: set[str]
@@ -165,21 +169,21 @@
     def in_cluster(
         cls, cluster: SimulatedCluster, name: str
     ) -> 'SimulatedNode':
-        """Build a node of the failure domain that its number says."""
-        domain = f'domain-{int(name.rpartition("-")[2]) % _DOMAINS}'
+        """Create a node; its number determines its failure domain."""
+        domain = f'domain-{int(name.rpartition("-")[2]) % _DOMAIN_COUNT}'
         in_flight: Counter[str] = Counter()
         stopped: set[str] = set()
         versions: list[int] = []
         configs: list[RouteConfig] = []
-        book = CaseRegistry(lambda: cluster.now)
+        cases = CaseRegistry(lambda: cluster.now)
         broken: set[str] = set()
         limits: list[LimitUpdate] = []
         leaving: set[str] = set()
-        events = MeshCallbacks(
+        callbacks = MeshCallbacks(
             lambda message: stopped.add(message.replica),
-            _no_suspect,
+            _ignore_suspect,
             lambda message: any(
-                [book.merge(one, is_own=False) for one in message.cases],
+                [cases.merge(one, is_own=False) for one in message.cases],
             ),
             lambda news: versions.append(news.version),
             _ignore,
@@ -193,7 +197,7 @@
         )
         transport = SimulatedTransport(cluster, name)
         local = LocalState(name, name, domain)
-        mesh = Mesh(local, transport, events, lambda: cluster.now)
+        mesh = Mesh(local, transport, callbacks, lambda: cluster.now)
         return cls(
             mesh,
             mesh.state,
@@ -203,7 +207,7 @@
             stopped,
             versions,
             configs,
-            book,
+            cases,
             broken,
             limits,
             leaving,
@@ -215,20 +219,20 @@
         """Return the node's failure domain."""
         return self.state.local.failure_domain
 
-    def hear(self, encoded: bytes) -> None:
-        """Take a message over."""
+    def receive(self, encoded: bytes) -> None:
+        """Decode and handle a message."""
         message = decode_mesh_message(encoded)
-        if self.cluster.loses_stopped and isinstance(message, Stopped):
+        if self.cluster.drops_stop_messages and isinstance(message, Stopped):
             return
-        taking = self.message_handler.handle(message)
-        # Nothing that it does here has to be waited for.
+        handling = self.message_handler.handle(message)
+        # The handler never blocks here, so one step runs it to its end.
         with contextlib.suppress(StopIteration):
-            taking.send(None)
+            handling.send(None)
 
 
-async def _no_suspect(_message: object) -> None:
-    """Take evidence over, and do nothing."""
+async def _ignore_suspect(_message: object) -> None:
+    """Ignore evidence."""
 
 
 def _ignore(_news: object) -> None:
-    """Take news over, and do nothing."""
+    """Ignore updates."""
--- a/tests/unit/test_mesh.py
+++ b/tests/unit/test_mesh.py
@@ -1,4 +1,4 @@
-"""What nodes know of each other, by beats and by relays."""
+"""State exchange between nodes, directly and through relays."""
 
 import unittest
 
@@ -13,57 +13,58 @@
 from cranecart.quarantine import CaseUpdate, Termination, Verdict
 from tests.lib.simulated_cluster import SimulatedCluster
 
-_SMALL = 9
-_LARGE = 30
-_LARGER = 60
-# Until all have spoken, the relays have, and those of other domains have.
-_MEET_SECONDS = 1.5
-# A silent node is tried again within two seconds.
-_FIND_SECONDS = 4.0
+_SMALL_COUNT = 9
+_LARGE_COUNT = 30
+_DOUBLE_COUNT = 60
+# Enough for the beats of all nodes, then the digests of the relays, and then
+# the summaries of the other failure domains.
+_CONVERGENCE_SECONDS = 1.5
+# Silent peers are sent a beat every two seconds.
+_REDISCOVERY_SECONDS = 4.0
 
 
 class SmallMeshTest(unittest.TestCase):
-    """Few nodes tell each other everything themselves."""
+    """In a small deployment all nodes send beats to each other directly."""
 
-    def test_everybody_hears_everybody(self) -> None:
-        """Counts are a beat old at most, without a relay between."""
-        cluster = SimulatedCluster.of(_SMALL)
-        cluster.run(_MEET_SECONDS)
+    def test_all_nodes_hear_all_others(self) -> None:
+        """Counts reach all nodes within one beat, without relays."""
+        cluster = SimulatedCluster.of(_SMALL_COUNT)
+        cluster.run(_CONVERGENCE_SECONDS)
         cluster.nodes['node-008'].in_flight['one'] = 3
         cluster.sent.clear()
         cluster.run(0.25)
         first = cluster.nodes['node-000'].mesh
-        self.assertEqual(first.live_node_count(), _SMALL)
+        self.assertEqual(first.live_node_count(), _SMALL_COUNT)
         self.assertEqual(first.in_flight_elsewhere('one'), 3)
-        self.assertEqual(set(cluster.sent.values()), {_SMALL - 1})
+        self.assertEqual(set(cluster.sent.values()), {_SMALL_COUNT - 1})
 
-    def test_a_silent_node_is_not_counted(self) -> None:
-        """Its figures are old after a second."""
-        cluster = SimulatedCluster.of(_SMALL)
-        cluster.run(_MEET_SECONDS)
+    def test_silent_node_is_not_counted(self) -> None:
+        """A node without beats for a second does not count as alive."""
+        cluster = SimulatedCluster.of(_SMALL_COUNT)
+        cluster.run(_CONVERGENCE_SECONDS)
         cluster.dead.add('node-000')
         cluster.run(1)
         self.assertEqual(
             {node.mesh.live_node_count() for node in cluster.alive},
-            {_SMALL - 1},
+            {_SMALL_COUNT - 1},
         )
 
 
 class RelayedMeshTest(unittest.TestCase):
-    """Many nodes tell a relay of their failure domain."""
+    """In a large deployment nodes send beats through relays."""
 
     def setUp(self) -> None:
-        """Let the nodes meet."""
-        self.cluster = SimulatedCluster.of(_LARGE)
-        self.cluster.run(_MEET_SECONDS)
+        """Start a cluster and let all nodes learn of each other."""
+        self.cluster = SimulatedCluster.of(_LARGE_COUNT)
+        self.cluster.run(_CONVERGENCE_SECONDS)
         self.nodes = self.cluster.nodes
 
     def test_all_count_the_same_nodes(self) -> None:
-        """The retry budget is divided by them."""
-        self._expect_nodes(_LARGE)
+        """All nodes divide the retry budget by the same number."""
+        self._expect_nodes(_LARGE_COUNT)
 
-    def test_counts_of_all_are_known_everywhere(self) -> None:
-        """No request is counted twice, and none left out."""
+    def test_in_flight_counts_of_all_nodes_are_known_everywhere(self) -> None:
+        """Each request in flight is counted exactly once everywhere."""
         for node in self.cluster.alive:
             node.in_flight['one'] = 1
         self.cluster.run(1)
@@ -72,43 +73,50 @@
                 node.mesh.in_flight_elsewhere('one')
                 for node in self.cluster.alive
             },
-            {_LARGE - 1},
+            {_LARGE_COUNT - 1},
         )
 
-    def test_demand_of_all_is_known_everywhere(self) -> None:
-        """Each placer plans for the work of all nodes."""
+    def test_demand_of_all_nodes_is_known_everywhere(self) -> None:
+        """Each placer plans for the total demand of all nodes."""
         for node in self.cluster.alive:
             node.mesh.local.demand = {'large': 0.5}
         self.cluster.run(1)
         for node in self.cluster.alive:
             demand = node.mesh.demand()['large']
-            self.assertAlmostEqual(demand, _LARGE / 2)
+            self.assertAlmostEqual(demand, _LARGE_COUNT / 2)
 
-    def test_the_first_reader_of_all_goes_on(self) -> None:
-        """Others read no more, wherever it is."""
+    def test_only_the_first_reader_continues(self) -> None:
+        """Of several readers only the one with the first name continues.
+
+        The other nodes take its version, in whatever failure domain they are.
+        """
         for name in ('node-005', 'node-010'):
-            self._announce(name)
+            self._announce_source(name)
         self.cluster.run(1)
-        told = {
+        versions = {
             name: node.mesh.announced_version('list')
             for name, node in self.nodes.items()
         }
-        self.assertIsNone(told.pop('node-005'))
-        self.assertEqual(set(told.values()), {7})
+        self.assertIsNone(versions.pop('node-005'))
+        self.assertEqual(set(versions.values()), {7})
+
+    def test_dead_reader_is_no_longer_announced(self) -> None:
+        """Without a live reader no version is announced any more.
 
-    def test_a_reader_that_dies_is_missed(self) -> None:
-        """A leaving instance may get requests for two seconds only."""
-        self._announce('node-000')
+        Other nodes have to read soon, as a leaving instance may get requests
+        for two seconds only.
+        """
+        self._announce_source('node-000')
         self.cluster.run(1)
         self.cluster.dead.add('node-000')
         self.cluster.run(1.5)
-        told = {
+        versions = {
             node.mesh.announced_version('list') for node in self.cluster.alive
         }
-        self.assertEqual(told, {None})
+        self.assertEqual(versions, {None})
 
-    def test_the_placer_is_known_beside_it_and_elsewhere(self) -> None:
-        """Evidence goes to it, and others do not ask for its duty."""
+    def test_placer_is_known_in_all_domains(self) -> None:
+        """All nodes know the placer, and evidence goes to it alone."""
         placer = self.nodes['node-020'].mesh
         placer.local.placer_domain = 'domain-2'
         self.cluster.run(1)
@@ -124,8 +132,8 @@
         )
         self.assertEqual(sum(self.cluster.sent.values()), 1)
 
-    def test_a_placer_tells_nobody_what_it_judges_itself(self) -> None:
-        """Its own evidence concerns no other node."""
+    def test_placer_sends_no_evidence_to_others(self) -> None:
+        """Evidence of the placer itself is sent to no other node."""
         placer = self.nodes['node-020'].mesh
         placer.local.placer_domain = 'domain-2'
         self.cluster.run(1)
@@ -133,117 +141,135 @@
         placer.send_to_placer('domain-2', Stopped('', 'one', 1, ''))
         self.assertEqual(sum(self.cluster.sent.values()), 0)
 
-    def test_a_dead_placer_is_missed_as_soon_as_before(self) -> None:
-        """Its failure domain hears it directly."""
+    def test_dead_placer_is_detected_without_relays(self) -> None:
+        """Nodes beside the placer get its beats directly, not from a relay.
+
+        So they detect its death within a second, as in a small deployment.
+        """
         placer = self.nodes['node-020'].mesh
         placer.local.placer_domain = 'domain-2'
         self.cluster.run(1)
         self.cluster.dead.add('node-020')
         self.cluster.run(1)
-        beside = [
+        domain_nodes = [
             node for node in self.cluster.alive if node.domain == 'domain-2'
         ]
         self.assertFalse(
-            any(node.mesh.has_other_placer('domain-2') for node in beside),
+            any(
+                node.mesh.has_other_placer('domain-2') for node in domain_nodes
+            ),
         )
 
-    def test_a_stopped_replica_is_told_by_relays(self) -> None:
-        """All hear at once, and nobody speaks to nodes far away but relays.
+    def test_stop_notice_is_forwarded_by_relays(self) -> None:
+        """All nodes learn of it at once, other domains through their relays.
 
-        Told straight to each, 194 connections stayed open with a heartbeat
-        each, and 72 KB/s a node went between failure domains.
+        When it was sent to each node directly, 194 connections stayed open with
+        a heartbeat each, and each node sent 72 KB/s to other failure domains.
         """
         self.cluster.sent.clear()
         self.cluster.stop_replica('node-020', 'one')
         self.assertTrue(
             all('one' in node.stopped for node in self.cluster.alive),
         )
-        teller = self.nodes['node-020'].mesh
-        far = len(
-            teller.state.roster.remote_relay_addresses(include_silent=True)
+        sender = self.nodes['node-020'].mesh
+        remote_relay_count = len(
+            sender.state.roster.remote_relay_addresses(include_silent=True)
+        )
+        domain_peer_count = _LARGE_COUNT // 3 - 1
+        self.assertLessEqual(
+            self.cluster.sent['node-020'],
+            domain_peer_count + remote_relay_count,
         )
-        beside = _LARGE // 3 - 1
-        self.assertLessEqual(self.cluster.sent['node-020'], beside + far)
-        self.assertLess(far, _LARGE // 3)
+        self.assertLess(remote_relay_count, _LARGE_COUNT // 3)
+
+    def test_lagging_node_requests_config_once_a_second(self) -> None:
+        """A node whose requests get no reply repeats them once a second.
 
-    def test_who_is_behind_asks_once_a_second(self) -> None:
-        """Asked with each beat, a large one was sent again and again."""
-        behind = self.nodes['node-004']
+        Requested with each beat, a large configuration was sent many times.
+        """
+        lagging = self.nodes['node-004']
         self.nodes['node-005'].configs.append(RouteConfig(3, (), {}))
-        asks: list[float] = []
-        transport = behind.message_sender._transport
+        request_times: list[float] = []
+        transport = lagging.message_sender._transport
         send = transport.send
         transport.send = lambda address, message: (  # type: ignore[method-assign]
-            asks.append(self.cluster.now)
+            request_times.append(self.cluster.now)
             if isinstance(message, ConfigAsk)
             else send(address, message)
         )
         self.cluster.run(4)
-        self.assertGreaterEqual(len(asks), 2)
-        self.assertLessEqual(len(asks), 4)
+        self.assertGreaterEqual(len(request_times), 2)
+        self.assertLessEqual(len(request_times), 4)
 
-    def test_turns(self) -> None:
-        """One goes on at once, one of each other domain next, then all."""
-        turns = [
+    def test_takeover_ranks(self) -> None:
+        """One node takes over first, then one per other domain, then all."""
+        ranks = [
             node.mesh.state.roster.takeover_rank()
             for node in self.nodes.values()
         ]
-        counted = [turns.count(turn) for turn in range(3)]
-        self.assertEqual(counted, [1, 2, _LARGE - 3])
+        counted = [ranks.count(rank) for rank in range(3)]
+        self.assertEqual(counted, [1, 2, _LARGE_COUNT - 3])
 
-    def test_an_isolated_node_knows(self) -> None:
-        """Who hears nobody beside it may be the one that is cut off."""
-        self.cluster.groups['node-020'] = 1
+    def test_isolated_node_detects_isolation(self) -> None:
+        """Only the node that is cut off from its domain reports isolation."""
+        self.cluster.partitions['node-020'] = 1
         self.cluster.run(3)
         for name, node in self.nodes.items():
             isolated = node.mesh.state.roster.is_isolated()
             self.assertEqual(isolated, name == 'node-020')
 
-    def test_a_dead_relay_leaves_no_gap(self) -> None:
-        """The next speaks before what the first one said is forgotten."""
+    def test_dead_relay_leaves_no_gap(self) -> None:
+        """The standby takes over before the last digest expires."""
         self.cluster.dead.add('node-000')
         for _turn in range(10):
             self.cluster.run(0.25)
             for node in self.cluster.alive:
-                self.assertGreaterEqual(node.mesh.live_node_count(), _LARGE - 1)
+                self.assertGreaterEqual(
+                    node.mesh.live_node_count(), _LARGE_COUNT - 1
+                )
         self.cluster.run(1)
-        self._expect_nodes(_LARGE - 1)
+        self._expect_nodes(_LARGE_COUNT - 1)
 
-    def test_two_dead_relays(self) -> None:
-        """The third takes over."""
+    def test_third_node_replaces_two_dead_relays(self) -> None:
+        """If relay and standby die together, a third node takes over."""
         self.cluster.dead.update(('node-000', 'node-003'))
-        self.cluster.run(_FIND_SECONDS)
-        self._expect_nodes(_LARGE - 2)
+        self.cluster.run(_REDISCOVERY_SECONDS)
+        self._expect_nodes(_LARGE_COUNT - 2)
 
-    def test_a_failure_domain_is_cut_off_and_returns(self) -> None:
-        """Both sides go on for themselves, and find each other again."""
+    def test_partitioned_failure_domain_rejoins(self) -> None:
+        """Both sides of a partition keep working, and merge again after it."""
         for name, node in self.nodes.items():
-            self.cluster.groups[name] = int(node.domain == 'domain-1')
-        self.cluster.run(_FIND_SECONDS)
+            self.cluster.partitions[name] = int(node.domain == 'domain-1')
+        self.cluster.run(_REDISCOVERY_SECONDS)
         for node in self.cluster.alive:
             share = 1 if node.domain == 'domain-1' else 2
-            self.assertEqual(node.mesh.live_node_count(), _LARGE * share / 3)
-        self.cluster.groups.clear()
-        self.cluster.run(_FIND_SECONDS)
-        self._expect_nodes(_LARGE)
+            self.assertEqual(
+                node.mesh.live_node_count(), _LARGE_COUNT * share / 3
+            )
+        self.cluster.partitions.clear()
+        self.cluster.run(_REDISCOVERY_SECONDS)
+        self._expect_nodes(_LARGE_COUNT)
 
-    def test_a_restarted_relay_is_heard_again(self) -> None:
-        """It knows nothing and relays at once."""
+    def test_restarted_relay_takes_over_again(self) -> None:
+        """A restarted relay, which has lost its state, takes over again."""
         self.cluster.dead.add('node-000')
-        self.cluster.run(_FIND_SECONDS)
+        self.cluster.run(_REDISCOVERY_SECONDS)
         self.cluster.start('node-000')
-        self.cluster.run(_FIND_SECONDS)
-        self._expect_nodes(_LARGE)
+        self.cluster.run(_REDISCOVERY_SECONDS)
+        self._expect_nodes(_LARGE_COUNT)
+
+    def test_starting_node_counts_listed_peers(self) -> None:
+        """A node that just started counts peers that it has not heard yet.
 
-    def test_a_node_that_starts_counts_the_listed(self) -> None:
-        """Its part of the retry budget is not larger than others'."""
+        Otherwise its share of the retry budget would be too large.
+        """
         self.cluster.dead.add('node-010')
         self.cluster.start('node-010')
         started = self.nodes['node-010'].mesh
-        self.assertEqual(started.live_node_count(), _LARGE)
+        self.assertEqual(started.live_node_count(), _LARGE_COUNT)
 
-    def test_a_node_that_stops_is_not_counted(self) -> None:
-        """Also a relay hands over at once."""
+    def test_stopping_relay_is_not_counted(self) -> None:
+        """A relay that stops is not counted, and its standby takes over."""
         relay = self.nodes['node-000'].mesh
         relay.local.stopping = True
         relay.broadcast(relay.message_sender.build_beat())
@@ -251,18 +277,20 @@
         self.cluster.run(1.5)
         other_nodes = [node.mesh for node in self.cluster.alive][1:]
         self.assertEqual(
-            {mesh.live_node_count() for mesh in other_nodes}, {_LARGE - 1}
+            {mesh.live_node_count() for mesh in other_nodes}, {_LARGE_COUNT - 1}
         )
 
-    def test_who_one_relay_does_not_hear_is_heard(self) -> None:
-        """A single broken path leaves nobody out."""
+    def test_node_unheard_by_one_relay_is_still_counted(self) -> None:
+        """A node whose path to the relay is broken is relayed by another."""
         self.cluster.lost_paths = {('node-027', 'node-000')}
-        self.cluster.run(_FIND_SECONDS)
+        self.cluster.run(_REDISCOVERY_SECONDS)
         for node in self.cluster.alive:
             if node.domain == 'domain-0':
-                self.assertGreaterEqual(node.mesh.live_node_count(), _LARGE)
+                self.assertGreaterEqual(
+                    node.mesh.live_node_count(), _LARGE_COUNT
+                )
 
-    def _announce(self, name: str) -> None:
+    def _announce_source(self, name: str) -> None:
         reader = self.nodes[name].mesh
         reader.local.source_versions = {'list': 7}
 
@@ -275,52 +303,55 @@
         self.assertEqual(set(counted.values()), {count}, counted)
 
 
-class BrokenTest(unittest.TestCase):
-    """An instance that broke a connection is passed over everywhere."""
+class BrokenConnectionTest(unittest.TestCase):
+    """Reports of an instance that broke a connection reach all nodes."""
 
-    def test_all_nodes_hear_of_it(self) -> None:
-        """In a small deployment and by relays, within a beat."""
-        for size in (_SMALL, _LARGE):
+    def test_report_reaches_all_nodes(self) -> None:
+        """They arrive within a beat, directly and through relays."""
+        for size in (_SMALL_COUNT, _LARGE_COUNT):
             with self.subTest(nodes=size):
                 cluster = SimulatedCluster.of(size)
-                cluster.run(_MEET_SECONDS)
-                teller = cluster.nodes['node-001']
-                teller.mesh.publish(Broken('node-001', 'i1', 7))
+                cluster.run(_CONVERGENCE_SECONDS)
+                sender = cluster.nodes['node-001']
+                sender.mesh.publish(Broken('node-001', 'i1', 7))
                 cluster.run(0.25)
                 other_nodes = (
-                    one for one in cluster.alive if one is not teller
+                    one for one in cluster.alive if one is not sender
                 )
                 self.assertTrue(
                     all(one.broken == {'i1'} for one in other_nodes)
                 )
 
 
-class StoppedTest(unittest.TestCase):
-    """That a replica has stopped reaches everybody."""
+class StopNoticeTest(unittest.TestCase):
+    """Notices of stopped replicas reach all nodes."""
+
+    def test_digests_repeat_lost_notices(self) -> None:
+        """Digests repeat a notice whose own message was lost.
 
-    def test_by_relays_where_no_direct_message_arrives(self) -> None:
-        """An open connection may carry nothing any more."""
-        cluster = SimulatedCluster.of(_LARGE)
-        cluster.run(_MEET_SECONDS)
-        cluster.loses_stopped = True
+        An established connection may silently stop delivering.
+        """
+        cluster = SimulatedCluster.of(_LARGE_COUNT)
+        cluster.run(_CONVERGENCE_SECONDS)
+        cluster.drops_stop_messages = True
         cluster.stop_replica('node-004', 'one')
         cluster.run(1.25)
         self._expect_known(cluster, 'one')
 
-    def test_also_when_the_relays_die_with_it(self) -> None:
-        """The next relays hear it from the one that said it."""
-        cluster = SimulatedCluster.of(_LARGE)
-        cluster.run(_MEET_SECONDS)
-        cluster.loses_stopped = True
+    def test_notice_survives_death_of_relays(self) -> None:
+        """The next relays get a notice from its sender if the first ones die."""
+        cluster = SimulatedCluster.of(_LARGE_COUNT)
+        cluster.run(_CONVERGENCE_SECONDS)
+        cluster.drops_stop_messages = True
         cluster.stop_replica('node-007', 'one')
         cluster.dead.update(('node-000', 'node-001', 'node-002'))
         cluster.run(3)
         self._expect_known(cluster, 'one')
 
-    def test_it_is_not_repeated_for_ever(self) -> None:
-        """Each node tells it for three seconds from when it heard."""
-        cluster = SimulatedCluster.of(_LARGE)
-        cluster.run(_MEET_SECONDS)
+    def test_notice_is_not_repeated_for_ever(self) -> None:
+        """Each node repeats a notice for three seconds after receiving it."""
+        cluster = SimulatedCluster.of(_LARGE_COUNT)
+        cluster.run(_CONVERGENCE_SECONDS)
         cluster.stop_replica('node-004', 'one')
         cluster.run(6)
         repeated = [
@@ -329,8 +360,8 @@
         ]
         self.assertFalse(any(repeated))
 
-    def test_notices_are_forgotten(self) -> None:
-        """Memory does not grow with every replica that ever stopped."""
+    def test_notices_expire(self) -> None:
+        """Notices expire, so memory does not grow with stopped replicas."""
         now = [float(0)]
         notices = StopNotices(lambda: now[0])
         message = Stopped('', 'one', 1, '')
@@ -341,70 +372,77 @@
         self.assertTrue(notices.add(message))
 
     def _expect_known(self, cluster: SimulatedCluster, name: str) -> None:
-        without = [
+        lacking = [
             node.mesh.local.node_id
             for node in cluster.alive
             if name not in node.stopped
         ]
-        self.assertEqual(without, [])
+        self.assertEqual(lacking, [])
 
 
-class CasesTest(unittest.TestCase):
-    """That targets ended under a request reaches everybody at once."""
+class RequestCasesTest(unittest.TestCase):
+    """Reports of requests that ended targets reach all nodes at once."""
 
-    def test_three_nodes_saw_an_end_each(self) -> None:
-        """All know the three, of whatever failure domain, before a beat."""
+    def test_reports_of_three_nodes_are_added_up(self) -> None:
+        """Reports of three nodes are added up everywhere before a beat."""
         for count in (8, 60):
             with self.subTest(nodes=count):
                 cluster = SimulatedCluster.of(count)
                 cluster.run(3)
                 for number in range(3):
-                    _tell_end(cluster, f'node-{number:03}', number)
+                    _report_termination(cluster, f'node-{number:03}', number)
                 cluster.deliver()
-                held = [node.book.verdict('a') for node in cluster.alive]
+                held = [node.cases.verdict('a') for node in cluster.alive]
                 self.assertEqual(set(held), {Verdict.HELD})
 
-    def test_it_does_not_go_round(self) -> None:
-        """Told twice, it is passed on once."""
+    def test_report_is_forwarded_once(self) -> None:
+        """A report that is published twice is forwarded once."""
         cluster = SimulatedCluster.of(60)
         cluster.run(3)
         before = cluster.sent.total()
         for _time in range(2):
-            _tell_end(cluster, 'node-000', 0)
+            _report_termination(cluster, 'node-000', 0)
             cluster.deliver()
         self.assertLess(cluster.sent.total() - before, 2 * 60)
 
 
-def _tell_end(cluster: SimulatedCluster, name: str, number: int) -> None:
-    news = CaseUpdate('a', (Termination(Incarnation(f'i{number}', 1), True),))
+def _report_termination(
+    cluster: SimulatedCluster, name: str, number: int
+) -> None:
+    update = CaseUpdate('a', (Termination(Incarnation(f'i{number}', 1), True),))
     node = cluster.nodes[name]
-    node.book.merge(news, is_own=True)
-    node.mesh.publish(RequestCases(name, [news]))
+    node.cases.merge(update, is_own=True)
+    node.mesh.publish(RequestCases(name, [update]))
 
 
-class NewsTest(unittest.TestCase):
-    """What one node has read reaches all, once between failure domains."""
+class SourceNewsTest(unittest.TestCase):
+    """Changes that one node has read reach all, once per failure domain."""
 
-    def test_each_takes_it_over(self) -> None:
-        """One copy goes to each relay elsewhere, which passes it on."""
-        cluster = SimulatedCluster.of(_LARGE)
-        cluster.run(_MEET_SECONDS)
+    def test_one_copy_per_relay_reaches_all_nodes(self) -> None:
+        """One copy goes to each relay elsewhere, which forwards it."""
+        cluster = SimulatedCluster.of(_LARGE_COUNT)
+        cluster.run(_CONVERGENCE_SECONDS)
         cluster.sent.clear()
         reader = cluster.nodes['node-004']
         reader.mesh.publish_news(
             ListNews('node-004', SourceUpdate(1, 2, {'one': None}))
         )
         cluster.deliver()
-        heard = [node.versions for node in cluster.alive if node is not reader]
-        self.assertEqual({tuple(one) for one in heard}, {(2,), (2, 2)})
-        self.assertEqual(cluster.sent['node-004'], _LARGE / 3 - 1 + 4)
+        versions = [
+            node.versions for node in cluster.alive if node is not reader
+        ]
+        self.assertEqual({tuple(one) for one in versions}, {(2,), (2, 2)})
+        self.assertEqual(cluster.sent['node-004'], _LARGE_COUNT / 3 - 1 + 4)
         self.assertEqual(
             set(cluster.sent), {'node-004', 'node-000', 'node-002'}
         )
 
-    def test_relays_that_speak_at_once_do_not_echo(self) -> None:
-        """Right after the start every node may take itself for one."""
-        cluster = SimulatedCluster.of(_LARGE)
+    def test_simultaneous_relays_do_not_echo(self) -> None:
+        """Relays do not forward the same changes to each other for ever.
+
+        Right after the start every node may consider itself a relay.
+        """
+        cluster = SimulatedCluster.of(_LARGE_COUNT)
         reader = cluster.nodes['node-004']
         for version in (2, 3):
             news: SourceUpdate[ListedInstance] = SourceUpdate(
@@ -412,7 +450,9 @@
             )
             reader.mesh.publish_news(ListNews('node-004', news))
             cluster.deliver()
-        self.assertLessEqual(sum(cluster.sent.values()), 2 * _LARGE * _LARGE)
+        self.assertLessEqual(
+            sum(cluster.sent.values()), 2 * _LARGE_COUNT * _LARGE_COUNT
+        )
         self.assertTrue(
             all(
                 3 in one.versions for one in cluster.alive if one is not reader
@@ -420,82 +460,83 @@
         )
 
 
-class ConfigTest(unittest.TestCase):
+class ConfigExchangeTest(unittest.TestCase):
     """A configuration that one node has read is soon in force on all."""
 
-    def test_a_node_elsewhere_has_it(self) -> None:
-        """Whom the store turns away has two seconds to take it up."""
-        cluster = SimulatedCluster.of(_LARGE)
-        cluster.run(_MEET_SECONDS)
+    def test_config_reaches_other_domains(self) -> None:
+        """A node that cannot read the store gets it within two seconds."""
+        cluster = SimulatedCluster.of(_LARGE_COUNT)
+        cluster.run(_CONVERGENCE_SECONDS)
         cluster.nodes['node-020'].configs.append(RouteConfig(7, (), {}))
         cluster.run(1.5)
-        without = [node for node in cluster.alive if not node.configs]
-        self.assertEqual(without, [])
+        lacking = [node for node in cluster.alive if not node.configs]
+        self.assertEqual(lacking, [])
 
 
 class MeshCostTest(unittest.TestCase):
-    """A node's messages do not grow with the number of nodes."""
+    """The messages per node do not grow with the number of nodes."""
 
-    def test_messages_of_ordinary_nodes(self) -> None:
-        """Each speaks to two relays only, whatever the size."""
-        for count in (_LARGE, _LARGER):
-            cluster = self._settled(count)
+    def test_messages_per_node_are_bounded(self) -> None:
+        """A node that is no relay sends to two relays only, at any size."""
+        for count in (_LARGE_COUNT, _DOUBLE_COUNT):
+            cluster = self._settled_cluster(count)
             most = sorted(cluster.sent.values())[: count - 3]
             self.assertLessEqual(max(most), 4 * 2)
 
-    def test_messages_of_all_grow_with_the_nodes(self) -> None:
+    def test_total_messages_grow_linearly(self) -> None:
         """Twice the nodes send about twice the messages, not four times."""
         less, more = (
-            sum(self._settled(count).sent.values())
-            for count in (_LARGE, _LARGER)
+            sum(self._settled_cluster(count).sent.values())
+            for count in (_LARGE_COUNT, _DOUBLE_COUNT)
         )
         self.assertLess(more / less, 2.2)
 
-    def test_bytes_between_failure_domains(self) -> None:
-        """They do not grow with the nodes, but with the replicas."""
+    def test_cross_domain_bytes_do_not_grow_with_nodes(self) -> None:
+        """They grow with the number of replicas, not with that of nodes."""
         less, more = (
-            self._settled(count).far_bytes for count in (_LARGE, _LARGER)
+            self._settled_cluster(count).cross_domain_bytes
+            for count in (_LARGE_COUNT, _DOUBLE_COUNT)
         )
         self.assertLess(more / less, 1.5)
 
-    def _settled(self, count: int) -> SimulatedCluster:
+    def _settled_cluster(self, count: int) -> SimulatedCluster:
         cluster = SimulatedCluster.of(count)
         for node in cluster.alive:
             node.in_flight.update({f'i-{number}': 1 for number in range(10)})
         cluster.run(3)
         cluster.sent.clear()
-        cluster.far_bytes = 0
+        cluster.cross_domain_bytes = 0
         cluster.run(1)
         return cluster
 
 
-class AnyFaultsTest(unittest.TestCase):
-    """Whatever fails, those alive find each other again afterwards."""
+class RandomFaultsTest(unittest.TestCase):
+    """After any sequence of faults the live nodes find each other again."""
 
     @settings(max_examples=15, deadline=None)
     @given(
         st.lists(
             st.tuples(
                 st.sampled_from(('kill', 'start', 'cut', 'heal', 'stop')),
-                st.integers(0, _LARGE - 1),
+                st.integers(0, _LARGE_COUNT - 1),
                 st.sampled_from((0.25, 0.75, 2.0)),
             ),
             max_size=8,
         ),
     )
-    def test_they_meet_again(
+    def test_live_nodes_converge_after_faults(
         self,
         faults: list[tuple[str, int, float]],
     ) -> None:
-        """All count the same, and all know what has stopped."""
-        cluster = SimulatedCluster.of(_LARGE)
+        """All nodes agree on the live nodes and get a new stop notice."""
+        cluster = SimulatedCluster.of(_LARGE_COUNT)
         cluster.run(1)
         for fault, number, seconds in faults:
-            _play(cluster, fault, f'node-{number:03}')
+            _inject(cluster, fault, f'node-{number:03}')
             cluster.run(seconds)
-        cluster.groups.clear()
+        cluster.partitions.clear()
         cluster.start('node-000')
-        cluster.run(_FIND_SECONDS)
+        cluster.run(_REDISCOVERY_SECONDS)
         cluster.stop_replica('node-000', 'last')
         cluster.run(1)
         count = len(cluster.alive)
@@ -505,15 +546,15 @@
         self.assertTrue(all('last' in one.stopped for one in cluster.alive))
 
 
-def _play(cluster: SimulatedCluster, fault: str, name: str) -> None:
+def _inject(cluster: SimulatedCluster, fault: str, name: str) -> None:
     match fault:
         case 'kill':
             cluster.dead.add(name)
         case 'start':
             cluster.start(name)
         case 'heal':
-            cluster.groups.clear()
+            cluster.partitions.clear()
         case 'cut':
-            cluster.groups[name] = 1
+            cluster.partitions[name] = 1
         case _ if name not in cluster.dead:
             cluster.stop_replica(name, 'other')
--- a/tests/unit/test_rendezvous.py
+++ b/tests/unit/test_rendezvous.py
@@ -1,4 +1,4 @@
-"""Which nodes send to a target that few may send to."""
+"""Choice of the nodes that send to a target with a rate limit."""
 
 import unittest
 
@@ -9,57 +9,63 @@
 _DOMAIN = 'domain-1'
 
 
-def _senders(cluster: SimulatedCluster, target: str, most: int) -> list[int]:
-    shares = [
-        sharing_node_count(node.state, _DOMAIN, target, most)
+def _sharing_counts(
+    cluster: SimulatedCluster, target: str, limit: int
+) -> list[int]:
+    node_counts = [
+        sharing_node_count(node.state, _DOMAIN, target, limit)
         for node in cluster.alive
     ]
-    return [share for share in shares if share]
+    return [node_count for node_count in node_counts if node_count]
 
 
-class RankingTest(unittest.TestCase):
-    """Nodes of a mesh that agree without a message."""
+class SharingNodesTest(unittest.TestCase):
+    """All nodes make the same choice without coordination."""
 
-    def test_so_many_send(self) -> None:
-        """Each knows with how many it shares; others are left out."""
-        for nodes in (4, 9, 78):
-            cluster = SimulatedCluster.of(nodes)
+    def test_only_chosen_nodes_send(self) -> None:
+        """Each chosen node knows how many are chosen; no other node sends."""
+        for cluster_size in (4, 9, 78):
+            cluster = SimulatedCluster.of(cluster_size)
             cluster.run(2)
-            near = sum(node.domain == _DOMAIN for node in cluster.alive)
+            domain_node_count = sum(
+                node.domain == _DOMAIN for node in cluster.alive
+            )
             for target in _TARGETS:
-                for most in (1, 3):
-                    count = min(most, near)
+                for limit in (1, 3):
+                    count = min(limit, domain_node_count)
                     self.assertEqual(
-                        _senders(cluster, target, most),
-                        [count for _sender in range(count)],
+                        _sharing_counts(cluster, target, limit),
+                        [count for _ in range(count)],
                     )
 
-    def test_targets_are_spread(self) -> None:
-        """No node near them has none of forty."""
+    def test_targets_are_spread_over_nodes(self) -> None:
+        """Of forty targets each node of their failure domain gets some."""
         cluster = SimulatedCluster.of(9)
         cluster.run(1)
         for node in cluster.alive:
-            shares = [
+            node_counts = [
                 sharing_node_count(node.state, _DOMAIN, target, 1)
                 for target in _TARGETS
             ]
-            self.assertEqual(any(shares), node.domain == _DOMAIN)
+            self.assertEqual(any(node_counts), node.domain == _DOMAIN)
 
-    def test_one_takes_the_place_of_a_dead_one(self) -> None:
-        """Targets of the others stay where they are."""
+    def test_only_targets_of_a_dead_node_move(self) -> None:
+        """Only the targets of a dead node move to another node."""
         cluster = SimulatedCluster.of(9)
         cluster.run(1)
-        before = {target: self._sender(cluster, target) for target in _TARGETS}
+        before = {
+            target: self._find_sender(cluster, target) for target in _TARGETS
+        }
         cluster.dead.add('node-001')
         cluster.run(3)
         for target in _TARGETS:
-            after = self._sender(cluster, target)
+            after = self._find_sender(cluster, target)
             self.assertNotEqual(after, 'node-001')
             if before[target] != 'node-001':
                 self.assertEqual(after, before[target])
 
-    def test_others_send_where_no_node_is_near(self) -> None:
-        """One node of one other failure domain does."""
+    def test_other_domain_takes_over_without_live_nodes(self) -> None:
+        """One node of another failure domain takes over if all nodes died."""
         cluster = SimulatedCluster.of(9)
         cluster.run(1)
         cluster.dead.update(
@@ -69,17 +75,17 @@
         )
         cluster.run(3)
         for target in _TARGETS:
-            self.assertEqual(_senders(cluster, target, 1), [1])
+            self.assertEqual(_sharing_counts(cluster, target, 1), [1])
 
-    def test_who_stops_does_not_send(self) -> None:
-        """What it still serves goes elsewhere."""
+    def test_stopping_node_does_not_send(self) -> None:
+        """A stopping node is not chosen."""
         cluster = SimulatedCluster.of(4)
         cluster.run(1)
         for node in cluster.alive:
             node.state.local.stopping = node.domain == _DOMAIN
-        self.assertEqual(_senders(cluster, _TARGETS[0], 1), [])
+        self.assertEqual(_sharing_counts(cluster, _TARGETS[0], 1), [])
 
-    def _sender(self, cluster: SimulatedCluster, target: str) -> str:
+    def _find_sender(self, cluster: SimulatedCluster, target: str) -> str:
         return next(
             node.state.local.node_id
             for node in cluster.alive
--- a/tests/unit/test_suspension.py
+++ b/tests/unit/test_suspension.py
@@ -1,9 +1,9 @@
-"""A node that was suspended does not take what it knows for fresh.
+"""A node that was suspended does not take its knowledge for recent.
 
-The steady clock does not count the seconds of a suspension, and all was
-measured by it: a placer that woke after eight seconds trusted the lease that
-another had taken meanwhile, a call was given time that its client had not, and
-connections and other nodes that had long been given up looked young.
+The monotonic clock does not advance during a suspension, so times measured by
+it are too short after a resume. A placer that resumed after eight seconds used
+a lease that another had taken meanwhile, a call got more time than its client
+had left, and connections and nodes looked recent that were long gone.
 """
 
 import contextlib
@@ -26,36 +26,38 @@
 from tests.lib.fake_platform import FakePlatform
 from tests.lib.run import run_now
 
-_SLEPT_SECONDS = 20
+_SUSPENSION_SECONDS = 20
 
 
 _SOURCES = Path(__file__).parents[2] / 'src' / 'cranecart'
-# What measures work of its own, or stands in for others.
-_OWN_TIMES = frozenset(('clocks.py', 'emulation', 'load', 'standins'))
+# These measure only their own work, or are stand-ins for other systems.
+_EXEMPT_PATHS = frozenset(('clocks.py', 'emulation', 'load', 'standins'))
 
 
 @contextlib.contextmanager
-def _suspended(seconds: float = _SLEPT_SECONDS) -> Generator[None, None, None]:
-    """Wake after a suspension: only the steady clock has not moved."""
-    read = time.clock_gettime
-    time_of_day = time.time
+def _suspended(
+    seconds: float = _SUSPENSION_SECONDS,
+) -> Generator[None, None, None]:
+    """Simulate a suspension, which only the monotonic clock does not count."""
+    real_clock_gettime = time.clock_gettime
+    real_time = time.time
 
     def shifted(clock: int) -> float:  # noqa: WPS430
-        late = seconds if clock == time.CLOCK_BOOTTIME else 0
-        return read(clock) + late
+        offset = seconds if clock == time.CLOCK_BOOTTIME else 0
+        return real_clock_gettime(clock) + offset
 
     with (
         patch('time.clock_gettime', shifted),
-        patch('time.time', lambda: time_of_day() + seconds),
+        patch('time.time', lambda: real_time() + seconds),
     ):
         yield
 
 
 class SuspensionTest(unittest.TestCase):
-    """What a node believes right after it has woken."""
+    """State of a node right after it resumed."""
 
-    def test_lease(self) -> None:
-        """It gives no order by a lease that others have taken over."""
+    def test_lease_is_lost_during_suspension(self) -> None:
+        """A lease is not held any more, so no order is given under it."""
         lease = Lease('placing', 'n0', FakePlatform(), LeaseTimeouts())
         self.assertTrue(run_now(lease.acquire_or_renew()))
         with _suspended():
@@ -63,9 +65,9 @@
             with self.assertRaises(LeaseLostError):
                 lease.check()
 
-    def test_a_callers_time(self) -> None:
-        """Nothing is passed on with more time than the caller has left."""
-        native = ServiceCall(
+    def test_call_deadline_includes_suspension(self) -> None:
+        """A call does not get more time than its caller has left."""
+        call = ServiceCall(
             request_id='r',
             organisation='org',
             body=b'',
@@ -75,18 +77,23 @@
             method='GET',
         )
         with _suspended():
-            self.assertEqual(native.seconds_left, 0)
+            self.assertEqual(call.seconds_left, 0)
 
-    def test_it_is_noticed(self) -> None:
-        """Once, for as long as it lasted; drawn out reading is none."""
+    def test_suspension_is_detected_once(self) -> None:
+        """A suspension is reported once, with its length.
+
+        A slow read of the two clocks is no suspension.
+        """
         watch = SuspensionWatch()
         self.assertEqual(watch.slept_seconds(), 0)
         with _suspended():
-            self.assertAlmostEqual(watch.slept_seconds(), _SLEPT_SECONDS, 1)
+            self.assertAlmostEqual(
+                watch.slept_seconds(), _SUSPENSION_SECONDS, 1
+            )
             self.assertEqual(watch.slept_seconds(), 0)
 
-    def test_what_is_known(self) -> None:
-        """Nodes, connections, budgets and failures are as old as they are."""
+    def test_ages_include_suspension(self) -> None:
+        """Ages of beats, connections, retries and failures include it."""
         peer_state = PeerState('n0', 'east')
         peer_state.record_beat(Beat('n1', 'a', 'east', 1, 0, {}))
         self.assertTrue(peer_state.was_seen_recently('n1'))
@@ -99,18 +106,18 @@
         with _suspended():
             self.assertFalse(peer_state.was_seen_recently('n1'))
             for clock, earlier in zip(clocks, before, strict=True):
-                self.assertGreater(clock() - earlier, _SLEPT_SECONDS - 1)
+                self.assertGreater(clock() - earlier, _SUSPENSION_SECONDS - 1)
 
-    def test_no_other_clock(self) -> None:
-        """Nothing that is compared with the outside reads the steady clock."""
-        steady = re.compile(r'time\.monotonic|import monotonic')
-        reading = [
+    def test_monotonic_clock_is_not_used(self) -> None:
+        """No code that interacts with other systems uses the monotonic clock."""
+        monotonic_use = re.compile(r'time\.monotonic|import monotonic')
+        offending_paths = [
             str(path.relative_to(_SOURCES))
             for path in _SOURCES.rglob('*.py')
-            if not _OWN_TIMES & set(path.relative_to(_SOURCES).parts)
-            and steady.search(path.read_text('utf-8'))
+            if not _EXEMPT_PATHS & set(path.relative_to(_SOURCES).parts)
+            and monotonic_use.search(path.read_text('utf-8'))
         ]
-        self.assertEqual(reading, [])
+        self.assertEqual(offending_paths, [])
 
 
 if __name__ == '__main__':
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -238,7 +238,7 @@
         'clocks.py',
         'return time.clock_gettime(time.CLOCK_BOOTTIME)',
         'return time.monotonic()',
-        'tests.unit.test_suspension.SuspensionTest.test_lease',
+        'tests.unit.test_suspension.SuspensionTest.test_lease_is_lost_during_suspension',
     ),
     Mutation(
         'nobody-listens-before-all-is-loaded',
