--- a/src/cranecart/clients/__init__.py
+++ b/src/cranecart/clients/__init__.py
@@ -1,4 +1,4 @@
-"""Clients as a peer: the HTTP interface that they call."""
+"""The HTTP API for clients of the native deployment."""
 
 from cranecart.clients._gateway import Gateway
 from cranecart.clients._request_parsing import parse_call
--- a/src/cranecart/clients/_attempts.py
+++ b/src/cranecart/clients/_attempts.py
@@ -1,4 +1,4 @@
-"""Attempt a call until it ran, or may have run, or its time is up."""
+"""Retry a call until it ran, may have run or its deadline passed."""
 
 from collections.abc import Awaitable, Callable
 from typing import TypeVar
@@ -30,7 +30,7 @@
 
 @attrs.define
 class CallAttempts:
-    """The attempts at one call; each goes to another target."""
+    """The attempts at one call, each at another target."""
 
     _call: Call
     _budget: RetryBudget
@@ -39,9 +39,9 @@
     _last_error: TargetError | None = attrs.field(default=None, init=False)
 
     async def run(self, attempt: Attempt[Answer]) -> Answer:
-        """Return the first answer; raise ``RequestError`` for the last error.
+        """Return the first answer; raise ``RequestError`` if none came.
 
-        A call that may have run is attempted again only if it is repeatable.
+        A call that may have run is retried only if it is repeatable.
         """
         while self._may_retry():
             self._attempt_count += 1
@@ -53,14 +53,15 @@
             except (NoReplicaError, HeldError) as error:
                 raise self._final_error(error) from error
         raise self._final_error(
-            DeadlineError('the deadline passed before it was sent'),
+            DeadlineError('the deadline passed before the call was sent'),
         )
 
     def _identity(self) -> str:
         return self._call.identity
 
     def _record_failure(self, error: TargetError) -> None:
-        # Once it may have run, a later refusal does not make it 'not run'.
+        # Once an attempt may have run, a later refusal by another target must
+        # not turn the outcome into 'not run'.
         if (
             self._last_error is None
             or self._last_error.execution is Execution.NOT_RUN
@@ -101,7 +102,7 @@
     function: Callable[..., Awaitable[Answer]],
     *arguments: object,
 ) -> Answer:
-    """Await within the call's time; raise ``TargetTimeoutError``."""
+    """Await until the call's deadline; raise ``TargetTimeoutError`` then."""
     try:
         return await curio.timeout_after(
             call.seconds_left,
@@ -109,4 +110,6 @@
             *arguments,
         )
     except TaskTimeout as error:
-        raise TargetTimeoutError('the answer was not whole in time') from error
+        raise TargetTimeoutError(
+            'no complete response before the deadline',
+        ) from error
--- a/src/cranecart/clients/_errors.py
+++ b/src/cranecart/clients/_errors.py
@@ -1,4 +1,4 @@
-"""The one shape in which clients are told of errors."""
+"""The error responses that clients get."""
 
 import math
 
@@ -17,7 +17,11 @@
 
 @attrs.frozen
 class ErrorBody:
-    """What happened, whether the call ran, and when to come back."""
+    """The body of an error response.
+
+    ``execution`` says whether the call ran, ``retry_after_seconds`` when to
+    retry.
+    """
 
     code: str
     message: str
@@ -27,7 +31,7 @@
 
     @classmethod
     def from_error(cls, error: RequestError, request_id: str) -> 'ErrorBody':
-        """Describe an error to the client."""
+        """Build the body for an error."""
         return cls(
             error.code,
             str(error),
@@ -38,7 +42,7 @@
 
 
 def error_response(error: RequestError, request_id: str) -> Response:
-    """Build the response for an error, with Retry-After where known."""
+    """Build the response for an error, with Retry-After if it is known."""
     headers = {'x-request-id': request_id}
     if error.retry_after is not None:
         headers['retry-after'] = str(math.ceil(error.retry_after))
@@ -47,9 +51,9 @@
 
 
 def client_error_from(error: TargetError) -> RequestError:
-    """Turn a target's error into what the client is told."""
+    """Convert a target's error to the error that the client gets."""
     if error.execution is Execution.NOT_RUN:
         return NotTakenError(str(error))
     if isinstance(error, TargetTimeoutError):
-        return OutcomeUnknownError(f'no answer by the deadline: {error}')
+        return OutcomeUnknownError(f'no response before the deadline: {error}')
     return OutcomeUnknownError(str(error))
--- a/src/cranecart/clients/_gateway.py
+++ b/src/cranecart/clients/_gateway.py
@@ -1,4 +1,4 @@
-"""Serve clients: admit, claim, route, send, relay."""
+"""Handle client requests: admit, claim, route, forward and respond."""
 
 import uuid
 from collections.abc import Callable
@@ -34,7 +34,7 @@
     ServiceClient,
 )
 
-# Told of each request's outcome and of the seconds to its first byte.
+# Called with each request's outcome and the seconds to its first byte.
 Observer = Callable[[str, float | None], None]
 
 _OK = 200
@@ -43,7 +43,7 @@
 
 @attrs.define
 class Gateway:
-    """The path of a client's request through one node."""
+    """Handles the requests of clients at one node."""
 
     _current_declarations: Callable[[], Declarations | None]
     _router: Router
@@ -56,7 +56,7 @@
     _budget: RetryBudget = attrs.field(factory=RetryBudget, init=False)
 
     async def handle(self, request: Request, responder: Responder) -> None:
-        """Answer one request; every error gets its final answer at once."""
+        """Answer one request, errors included."""
         request_id = uuid.uuid4().hex
         started = since_boot()
         outcome = 'answered'
@@ -72,7 +72,9 @@
                 why=str(error),
             )
             if responder.has_started:
-                raise ConnectionBrokenError('cut short') from error
+                raise ConnectionBrokenError(
+                    'response aborted after it had started',
+                ) from error
             await responder.send(error_response(error, request_id))
         finally:
             self._observe(outcome, responder.seconds_to_first_byte(started))
@@ -85,7 +87,9 @@
     ) -> None:
         declarations = self._current_declarations()
         if declarations is None:
-            raise NotConfiguredError('this node has no configuration yet')
+            raise NotConfiguredError(
+                'this node has not received a configuration yet',
+            )
         organisation = authenticate(request, declarations)
         call = attrs.evolve(
             parse_call(request, organisation, declarations),
@@ -112,7 +116,7 @@
     async def _claim(
         self, call: Call
     ) -> AcquiredClaim | RecordedResponse | None:
-        # Without a key of its client's, no other copy can be told from it.
+        # Without an idempotency key, duplicates cannot be recognised.
         if call.repeatable or not call.idempotency_key:
             return None
         return await self._claims.acquire(call)
@@ -122,7 +126,7 @@
         call: Call,
         responder: Responder,
     ) -> Response | None:
-        """Answer the client; return what a repeat of the call should hear."""
+        """Answer the client; return the response to replay to duplicates."""
         match call:
             case CompletionCall(stream=True):
                 return await self._forward_stream(call, responder)
@@ -131,7 +135,7 @@
             case ServiceCall():
                 response = await self._forward_service_call(call)
             case _:
-                raise TypeError(f'there is no way to send {call!r}')
+                raise TypeError(f'unsupported kind of call: {call!r}')
         await _send_response(call, response, responder)
         return response
 
--- a/src/cranecart/clients/_relay.py
+++ b/src/cranecart/clients/_relay.py
@@ -1,4 +1,4 @@
-"""Pass a stream on; go on at another replica where that is safe."""
+"""Relay a stream; resume it at another replica where that is safe."""
 
 from cranecart.clients._attempts import within_deadline
 from cranecart.clients._errors import ErrorBody
@@ -25,13 +25,16 @@
 
 
 def leader_runner(replica: ServingReplica) -> NamedRunner:
-    """Return the leader; each generation of a replica is a life of its own."""
+    """Return the runner for crash tracking: the leader of the replica.
+
+    Each generation of a replica counts as an incarnation of its own.
+    """
     incarnation = Incarnation(replica.members[0], replica.generation)
     return NamedRunner(replica.id, incarnation, replica.leader)
 
 
 class StreamRelay:
-    """One client's stream, over all attempts at it."""
+    """One client's stream over all its attempts."""
 
     def __init__(
         self,
@@ -41,7 +44,7 @@
         engines: EngineClient,
         guard: RequestGuard,
     ) -> None:
-        """Start with no token passed on."""
+        """Prepare to relay from the first token."""
         self._event_counter = EventCounter()
         self._call = call
         self._responder = responder
@@ -54,11 +57,11 @@
 
     @property
     def is_finished(self) -> bool:
-        """Tell whether the whole answer was passed on."""
+        """Return whether the complete stream was relayed."""
         return self._event_counter.is_finished
 
     async def attempt(self) -> None:
-        """Relay from a replica that was not tried; raise ``TargetError``."""
+        """Relay from an untried replica; raise ``TargetError`` if it fails."""
         replica = self._router.choose_replica(self._call, self._tried)
         self._tried.append(replica.id)
         runner = leader_runner(replica)
@@ -68,7 +71,7 @@
                 await self._relay(replica, watch)
 
     async def finish_with_error(self, error: RequestError) -> None:
-        """End a stream that has started with an event that says why."""
+        """End a stream that has started with an error event."""
         body = ErrorBody.from_error(error, self._call.request_id)
         decision(
             'stream_cut_short',
@@ -80,7 +83,7 @@
         await self._responder.end()
 
     def recorded_response(self) -> Response:
-        """Return the whole stream, kept for non-repeatable calls only."""
+        """Return the stream; its body is kept for non-repeatable calls only."""
         return Response(
             _OK,
             {'content-type': _EVENT_STREAM},
@@ -99,10 +102,13 @@
         async with answer:
             watch.record_begun()
             await self._start_response()
-            # One timer for the whole stream; one an event costs too much.
+            # One timer for the whole stream: a timer for each event costs too
+            # much CPU time.
             await within_deadline(self._call, self._relay_all, answer, watch)
             if not self.is_finished:
-                raise TargetBrokenError(f'{replica.id} stopped mid-stream')
+                raise TargetBrokenError(
+                    f'{replica.id} ended its stream before the last event'
+                )
         if not self._has_client_disconnected:
             await self._responder.end()
 
@@ -138,5 +144,6 @@
         try:
             await self._responder.write(complete)
         except ConnectionBrokenError:
-            # The call runs only once, so a repeat of it must find the answer.
+            # The call is not repeatable, so read on: a duplicate of it must
+            # find the complete response.
             self._has_client_disconnected = True
--- a/src/cranecart/clients/_request_parsing.py
+++ b/src/cranecart/clients/_request_parsing.py
@@ -1,4 +1,4 @@
-"""Turn a client's HTTP request into a checked call."""
+"""Parse and validate client requests."""
 
 import hashlib
 import hmac
@@ -35,20 +35,25 @@
     request: Request,
     declarations: Declarations,
 ) -> OrganisationSpec:
-    """Return whose key the request carries; raise ``UnauthorizedError``."""
+    """Return the organisation of the request's API key.
+
+    Raise ``UnauthorizedError`` if there is none.
+    """
     scheme, _, key = request.headers.get('authorization', '').partition(' ')
     if scheme.lower() != 'bearer' or not key:
-        raise UnauthorizedError('send your key as "Authorization: Bearer ..."')
+        raise UnauthorizedError(
+            'missing API key: send it as "Authorization: Bearer <key>"',
+        )
     digest = hashlib.sha256(key.strip().encode()).hexdigest()
     match = None
-    # Every hash is compared, each in constant time, so that the time taken
-    # tells nothing about how near a guess came.
+    # All hashes are compared, each in constant time, so that the response time
+    # reveals nothing about the known keys.
     for organisation in declarations.organisations:
         for known in organisation.key_sha256:
             if hmac.compare_digest(known, digest):
                 match = organisation
     if match is None:
-        raise UnauthorizedError('the key is not known')
+        raise UnauthorizedError('unknown API key')
     return match
 
 
@@ -57,13 +62,13 @@
     organisation: OrganisationSpec,
     declarations: Declarations,
 ) -> Call:
-    """Check a request and return the call; raise ``RequestError``."""
+    """Validate a request and return the call; raise ``RequestError``."""
     path = request.path
     if path == COMPLETIONS_PATH:
         return _parse_completion(request, organisation)
     if path.startswith(SERVICES_PREFIX):
         return _parse_service_call(request, organisation, declarations)
-    raise NotFoundError(f'there is nothing at {path}')
+    raise NotFoundError(f'unknown path {path}')
 
 
 def _common_fields(
@@ -123,7 +128,7 @@
         raise InvalidRequestError(
             'x-priority must be high, normal or low',
         ) from None
-    # Nobody may ask for more than the organisation was given.
+    # A request cannot exceed its organisation's priority.
     return max(requested, organisation.priority, key=lambda one: one.rank)
 
 
@@ -132,7 +137,7 @@
     organisation: OrganisationSpec,
 ) -> CompletionCall:
     if request.method != 'POST':
-        raise InvalidRequestError('completions take POST')
+        raise InvalidRequestError('completions must be requested with POST')
     body = _decode_json_object(request.body)
     model, _, version = _string_field(body, 'model').partition('@')
     if model not in organisation.models:
@@ -152,7 +157,9 @@
     try:
         decoded = msgspec.json.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise InvalidRequestError(f'the body is not JSON: {error}') from error
+        raise InvalidRequestError(
+            f'the body is not valid JSON: {error}'
+        ) from error
     if not isinstance(decoded, dict):
         raise InvalidRequestError('the body must be a JSON object')
     return decoded
@@ -179,10 +186,10 @@
 def _max_tokens(body: Mapping[str, object]) -> int:
     field = body.get('max_tokens', _DEFAULT_MAX_TOKENS)
     if isinstance(field, bool) or not isinstance(field, int):
-        raise InvalidRequestError('max_tokens must be a whole number')
+        raise InvalidRequestError('max_tokens must be an integer')
     if not 0 < field <= _MAX_TOKENS_LIMIT:
         raise InvalidRequestError(
-            f'max_tokens must be 1 to {_MAX_TOKENS_LIMIT}'
+            f'max_tokens must be from 1 to {_MAX_TOKENS_LIMIT}',
         )
     return field
 
@@ -190,7 +197,7 @@
 def _prompt_prefix(body: Mapping[str, object]) -> str:
     messages = body.get('messages')
     if not isinstance(messages, list) or not messages:
-        raise InvalidRequestError('messages must be a list that is not empty')
+        raise InvalidRequestError('messages must be a non-empty list')
     for message in messages:
         if not isinstance(message, dict):
             raise InvalidRequestError('each message must be an object')
--- a/src/cranecart/clients/_sse.py
+++ b/src/cranecart/clients/_sse.py
@@ -1,7 +1,7 @@
-"""Look into a stream only as far as the promises need.
+"""Split a stream into server-sent events and count its tokens.
 
-An answer is passed on in whole server-sent events, so that a stream that goes
-on at another replica can start at the right token.
+Only complete events are relayed, so that a stream that is resumed at another
+replica can continue at the right token. Nothing else in them is parsed.
 """
 
 import attrs
@@ -13,14 +13,17 @@
 
 @attrs.define
 class EventCounter:
-    """Cuts a stream at the ends of events and counts its tokens."""
+    """Buffers incomplete events and counts the complete ones.
+
+    Each event but the last one carries one token.
+    """
 
     tokens: int = 0
     is_finished: bool = False
     _partial: bytes = b''
 
     def feed(self, chunk: bytes) -> bytes:
-        """Take what one read brought; return the whole events in it."""
+        """Add received bytes; return the events that are complete by now."""
         if self._partial:
             chunk = self._partial + chunk
             self._partial = b''
@@ -38,11 +41,11 @@
         return chunk
 
     def restart(self) -> None:
-        """Drop half an event of a stream that broke off."""
+        """Discard an incomplete event before the stream is resumed."""
         self._partial = b''
 
 
 def error_event(error: object) -> bytes:
-    """Write the event that ends a stream which could not be finished."""
+    """Encode the event that ends an aborted stream."""
     encoded = msgspec.json.encode({'error': error})
     return b'event: error\ndata: %b\n\n' % encoded
--- a/src/cranecart/http/__init__.py
+++ b/src/cranecart/http/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 by h11 over curio sockets, for both sides of a connection."""
+"""An HTTP/1.1 client and server, based on h11 and curio."""
 
 from cranecart.http._client import HttpConnection
 from cranecart.http._limits import ServerLimits
--- a/src/cranecart/http/_client.py
+++ b/src/cranecart/http/_client.py
@@ -1,4 +1,4 @@
-"""The asking side of HTTP: one connection."""
+"""A client connection."""
 
 import select
 import socket
@@ -25,18 +25,19 @@
 )
 
 _MAX_HEAD_BYTES = 32768
-# A dark path is noticed after about two seconds, as nodes must follow again
-# within three once it is back (the bound of being in touch).
+# A broken network path is noticed after about two seconds, as nodes must be up
+# to date again within three seconds of its return.
 _KEEPALIVE_SECONDS = 1
 _KEEPALIVE_PROBES = 2
 _TCP_USER_TIMEOUT_MS = 2000
 CONNECT_TIMEOUT_SECONDS = 1.0
 _MAX_BODY_BYTES = 67108864
-# Far more than a target that stutters owes. Answers that come without end are
-# read without ever waiting: they held a node for 19 s.
+# Far more surplus responses than a faulty target leaves on a connection. An
+# endless sequence of them is read without ever blocking and so starves all
+# other tasks: one held up a node for 19 s.
 _MAX_DISCARDED_RESPONSES = 16
-# Below it a request goes out in one write, which is not worth a task; most
-# kernels buffer at least as much as this for a connection.
+# Up to this size a request is sent in one write without a task of its own; most
+# kernels buffer at least this much for a connection.
 _SMALL_BODY_BYTES = 16384
 
 
@@ -46,16 +47,16 @@
     def __init__(self, address: Address, sock: curio.io.Socket) -> None:
         """Wrap an open socket."""
         self.address = address
-        # How many requests were sent on it before the present one.
+        # Number of requests sent on it before the current one.
         self.earlier_requests = 0
         self._sock = sock
         self._parser = _new_parser()
         self._pending_request: Request | None = None
         self._is_request_sent = False
         self._send_task: curio.Task | None = None
-        # What came behind the piece that was returned last.
+        # The parser's event after the chunk that was returned last.
         self._pending_event: object = None
-        # Kept here, as whoever waits for the rest may be interrupted.
+        # Kept between calls, as the reader may be interrupted and call again.
         self._body = bytearray()
         self._discarded_count = 0
 
@@ -67,12 +68,13 @@
         *,
         tcp_keepalive: bool = False,
     ) -> Self:
-        """Connect; raise ``ConnectFailedError`` when that does not succeed.
+        """Connect; raise ``ConnectFailedError`` if that fails.
 
-        With ``keeps_alive`` a path that has gone dark breaks the connection
-        within some seconds, also while nothing is sent on it.
+        With ``tcp_keepalive`` a broken network path closes the connection
+        within some seconds, even if nothing is sent on it.
         """
-        # curio's own helper looks names up in a thread; here are IP numbers.
+        # curio.open_connection resolves names in a thread, which IP addresses
+        # do not need.
         sock = curio.io.Socket(socket.socket())
         try:
             await curio.timeout_after(
@@ -99,12 +101,12 @@
 
     @property
     def surplus_bytes(self) -> int:
-        """Return how many bytes have come behind the answer at hand."""
+        """Return the number of bytes received after the current response."""
         return len(self._parser.trailing_data[0])
 
     @property
     def has_surplus_data(self) -> bool:
-        """Tell whether more came than the answers that were asked for."""
+        """Return whether more was received than the requested responses."""
         is_response_read = self._parser.their_state is h11.DONE
         return self._discarded_count > 0 or (
             is_response_read and self.surplus_bytes > 0
@@ -112,11 +114,12 @@
 
     @property
     def is_reusable(self) -> bool:
-        """Tell whether both sides finished cleanly and may go on.
+        """Return whether the exchange is complete and another may follow.
 
-        A peer that sent more answers than it was asked for may owe others.
+        A peer that sent surplus responses may send more of them later.
         """
-        # A reader who left early has not taken the end that was read ahead.
+        # A reader that stopped early has left the end of the body, parsed
+        # already, in the pending event.
         is_response_read = (
             _is_exchange_complete(self._parser) and self._pending_event is None
         )
@@ -127,21 +130,22 @@
         )
 
     def has_no_pending_input(self) -> bool:
-        """Tell whether nothing came, not even the end, while it was idle."""
-        # A node holds thousands of descriptors, and select takes 1,024.
+        """Return whether nothing, not even an end of file, is there to read."""
+        # select supports file descriptors up to 1,023 only, and a node may
+        # hold thousands.
         poller = select.poll()
         poller.register(self._sock.fileno(), select.POLLIN)
         return not poller.poll(0)
 
     async def wait_closed(self) -> None:
-        """Return once the idle peer closed, or spoke unasked."""
+        """Return once the idle peer closes or sends unrequested data."""
         try:
             await self._sock.recv(1)
         except OSError:
             return
 
     def reset(self) -> None:
-        """Get ready for the next request on this connection."""
+        """Prepare the connection for the next request."""
         self._send_task = None
         self._pending_request = None
         self._is_request_sent = False
@@ -150,19 +154,20 @@
         self._parser.start_next_cycle()
 
     async def send(self, request: Request) -> None:
-        """Send a whole request."""
+        """Send a complete request."""
         await self._write(self._encode(request))
 
     async def start_sending(self, request: Request) -> None:
-        """Send a request, a large one while the response is awaited.
+        """Send a request, in the background if its body is large.
 
-        The peer may answer before it has read all of a large body; the
-        connection cannot be used again then.
+        The peer may respond before it has read all of a large body; the
+        connection cannot be reused then.
         """
         if len(request.body) <= _SMALL_BODY_BYTES:
             await self.send(request)
             return
-        # Before anything is read: what is there already answers nothing.
+        # Encoded before anything is read: data that has arrived earlier is no
+        # response to this request.
         encoded = self._encode(request)
         self._send_task = await curio.spawn(
             self._write_in_background,
@@ -171,24 +176,28 @@
         )
 
     async def send_and_read_head(self, request: Request) -> ResponseHead:
-        """Send a request and wait for the response's status and headers."""
+        """Send a request and read the response's status and headers."""
         await self.start_sending(request)
         return await self.read_head()
 
     async def discard_response(self) -> None:
-        """Read the answer at hand to its end: it is none to the request.
+        """Skip the current response, which belongs to another request.
 
-        An interrupted call may be repeated. The next head that is read is
-        that of the answer behind it.
+        ``read_head`` then returns the head of the response after it. This may
+        be called again after an interruption.
         """
         await self.read_body()
         if self._pending_request is None or not _is_exchange_complete(
             self._parser
         ):
-            raise ConnectionBrokenError(f'{self.address} sent a wrong answer')
+            raise ConnectionBrokenError(
+                f'{self.address} sent the response of another request'
+            )
         self._discarded_count += 1
         if self._discarded_count > _MAX_DISCARDED_RESPONSES:
-            raise ConnectionBrokenError(f'{self.address} answers without end')
+            raise ConnectionBrokenError(
+                f'{self.address} sent too many surplus responses'
+            )
         surplus, _closed = self._parser.trailing_data
         self._parser = _new_parser()
         self._encode(self._pending_request)
@@ -197,7 +206,7 @@
         self._body.clear()
 
     async def read_head(self) -> ResponseHead:
-        """Wait for the response's status and headers."""
+        """Read the response's status and headers."""
         event = await self._next_event()
         while isinstance(event, h11.InformationalResponse):
             event = await self._next_event()
@@ -209,7 +218,7 @@
         raise ConnectionBrokenError(f'{self.address} sent no response')
 
     async def read_chunk(self) -> bytes:
-        """Return what one read brought of the body; empty at its end."""
+        """Return the next received part of the body, empty at its end."""
         event = await self._next_event()
         chunks = []
         while isinstance(event, h11.Data):
@@ -220,18 +229,22 @@
             return b''.join(chunks)
         if isinstance(event, h11.EndOfMessage):
             return b''
-        raise ConnectionBrokenError(f'{self.address} closed mid-response')
+        raise ConnectionBrokenError(
+            f'{self.address} closed before the end of its response'
+        )
 
     async def read_body(self) -> bytes:
-        """Collect the body to its end.
+        """Return the complete body.
 
-        A call that was interrupted may be repeated: nothing is lost of what
-        it had read.
+        This may be called again after an interruption; it keeps what it has
+        read so far.
         """
         while chunk := await self.read_chunk():
             self._body += chunk
             if len(self._body) > _MAX_BODY_BYTES:
-                raise BadMessageError(f'{self.address} sent too large a body')
+                raise BadMessageError(
+                    f'{self.address} sent a body that is too large'
+                )
         return bytes(self._body)
 
     async def close(self) -> None:
@@ -262,7 +275,7 @@
             await self._sock.sendall(encoded)
         except OSError as error:
             raise ConnectionBrokenError(
-                f'{self.address} closed during the request',
+                f'{self.address} closed while the request was being sent',
             ) from error
         self._is_request_sent = True
 
@@ -270,7 +283,8 @@
         try:
             await self._write(encoded)
         except ConnectionBrokenError:
-            # The reading side finds the same, or an answer that came first.
+            # The reader notices it too, unless it gets a response that was sent
+            # earlier.
             return
 
     async def _next_event(self) -> object:
--- a/src/cranecart/http/_limits.py
+++ b/src/cranecart/http/_limits.py
@@ -1,14 +1,20 @@
-"""What one client may make a server hold or wait for."""
+"""Resource limits of the server."""
 
 import attrs
 
-# What is read from a connection at a time, on both sides.
+# Size of reads from a connection, for client and server.
 READ_BYTES = 65536
 
 
 @attrs.frozen
 class ServerLimits:
-    """Bounds on what one client can make the server hold or wait for."""
+    """Limits on the memory and time that clients can take up.
+
+    ``head_bytes`` and ``body_bytes`` apply to a request, ``receive_seconds`` to
+    receiving it, ``idle_seconds`` to waiting for the next one,
+    ``write_seconds`` to each write of a response but its body's chunks, and
+    ``connections`` is the number of connections served at a time.
+    """
 
     head_bytes: int = 16384
     body_bytes: int = 1048576
--- a/src/cranecart/http/_messages.py
+++ b/src/cranecart/http/_messages.py
@@ -1,4 +1,4 @@
-"""HTTP messages as typed data, apart from any I/O."""
+"""HTTP messages as plain data, independent of I/O."""
 
 from collections.abc import Iterable, Mapping
 from typing import Self
@@ -11,36 +11,36 @@
 
 Headers = Mapping[str, str]
 
-# Header lines in order, also repeated ones; names are in lower case.
+# Headers in order, including repeated ones; names are in lower case.
 HeaderLines = tuple[tuple[str, str], ...]
 
 
 @attrs.frozen
 class Address:
-    """An IP number and a TCP port."""
+    """An IP address and a TCP port."""
 
     host: str
     port: int
 
     @classmethod
     def from_text(cls, text: str) -> Self:
-        """Read ``host:port``; raise ``ValueError`` for anything else."""
+        """Parse ``host:port``; raise ``ValueError`` for anything else."""
         host, _, port = text.rpartition(':')
         if not host:
             raise ValueError(f'{text!r} is not of the form host:port')
         return cls(host, int(port))
 
     def __str__(self) -> str:
-        """Write the address as ``host:port``."""
+        """Format the address as ``host:port``."""
         return f'{self.host}:{self.port}'
 
 
 @attrs.frozen
 class Request:
-    """A whole request; header names are in lower case.
+    """A complete request; header names are in lower case.
 
-    ``lines`` holds the headers for passing them on; if there are any, they
-    are sent in place of ``headers``.
+    ``header_lines`` keeps order and repetitions for forwarding; if it is not
+    empty, it is sent instead of ``headers``.
     """
 
     method: str
@@ -56,7 +56,7 @@
 
     @property
     def query(self) -> dict[str, str]:
-        """Return the query's parameters, the last of each name."""
+        """Return the query parameters, with the last value of each name."""
         return dict(parse_qsl(urlsplit(self.target).query))
 
 
@@ -76,7 +76,10 @@
 
 @attrs.frozen
 class Response:
-    """A whole response; ``lines``, if any, are sent instead of ``headers``."""
+    """A complete response.
+
+    If ``header_lines`` is not empty, it is sent instead of ``headers``.
+    """
 
     status: int
     headers: Headers = attrs.field(factory=dict)
@@ -94,7 +97,7 @@
     body: object,
     headers: Headers | None = None,
 ) -> Response:
-    """Build a response whose body is JSON."""
+    """Build a response with a JSON body."""
     return Response(
         status,
         {'content-type': _JSON, **(headers or {})},
@@ -103,7 +106,7 @@
 
 
 def decode_headers(raw: Iterable[tuple[bytes, bytes]]) -> HeaderLines:
-    """Turn h11's header pairs into text."""
+    """Decode header pairs of h11."""
     return tuple(
         (name.decode('ascii').lower(), text.decode('latin-1'))
         for name, text in raw
@@ -113,7 +116,7 @@
 def encode_headers(
     headers: Headers | HeaderLines,
 ) -> list[tuple[bytes, bytes]]:
-    """Turn text headers into h11's pairs."""
+    """Encode headers as pairs for h11."""
     header_lines = headers.items() if isinstance(headers, Mapping) else headers
     return [
         (name.encode('ascii'), text.encode('latin-1'))
--- a/src/cranecart/http/_pool.py
+++ b/src/cranecart/http/_pool.py
@@ -1,4 +1,4 @@
-"""Idle connections to be lent, and single exchanges."""
+"""A connection pool, and single exchanges without one."""
 
 from collections import defaultdict
 
@@ -15,7 +15,10 @@
 
 @attrs.define
 class HttpConnectionPool:
-    """Idle connections by address; a connection is lent to one request."""
+    """Idle connections by address.
+
+    An acquired connection serves one request at a time until it is released.
+    """
 
     _tcp_keepalive: bool = False
     _idle: dict[Address, list[HttpConnection]] = attrs.field(
@@ -24,7 +27,7 @@
     )
 
     async def acquire(self, address: Address) -> HttpConnection:
-        """Return an idle connection or open one."""
+        """Return an idle connection or open a new one."""
         idle = self._idle.get(address)
         while idle:
             connection = idle.pop()
@@ -37,7 +40,7 @@
         )
 
     async def release(self, connection: HttpConnection) -> None:
-        """Keep a connection that finished cleanly; close any other."""
+        """Return a connection; it is closed if it cannot be reused."""
         idle = self._idle[connection.address]
         if connection.is_reusable and len(idle) < _MAX_IDLE:
             connection.reset()
@@ -57,10 +60,10 @@
     seconds: float,
     connect_timeout_seconds: float = CONNECT_TIMEOUT_SECONDS,
 ) -> Response:
-    """Send one request on a connection of its own; return the response.
+    """Send one request on a new connection and return the response.
 
-    Raise ``ConnectFailedError`` where nothing was sent, and
-    ``PeerTimeoutError`` or ``ConnectionBrokenError`` where something was.
+    Raise ``ConnectFailedError`` if nothing was sent, ``PeerTimeoutError`` or
+    ``ConnectionBrokenError`` if something may have been.
     """
     connection = await HttpConnection.open(
         address,
--- a/src/cranecart/http/_request_reader.py
+++ b/src/cranecart/http/_request_reader.py
@@ -1,4 +1,4 @@
-"""Read one whole request from a client, within bounds."""
+"""Read a request from a client within the server's limits."""
 
 import curio
 import h11
@@ -17,10 +17,10 @@
     connection: h11.Connection,
     limits: ServerLimits,
 ) -> Request:
-    """Read the rest of a request that has begun to come.
+    """Read a request of which the first bytes have arrived.
 
-    Raise ``BadMessageError`` for what is wrong, too large or too slow, and
-    ``ConnectionBrokenError`` where the client closed before its end.
+    Raise ``BadMessageError`` if it is malformed, too large or too slow, and
+    ``ConnectionBrokenError`` if the client closes before its end.
     """
     try:
         return await curio.timeout_after(
@@ -32,7 +32,7 @@
         )
     except TaskTimeout as error:
         raise BadMessageError(
-            'the request did not arrive whole in time',
+            'the request was not received completely in time',
             _STATUS_TIMEOUT,
         ) from error
     except h11.RemoteProtocolError as error:
@@ -49,7 +49,7 @@
 ) -> Request:
     head = await _next_event(sock, connection)
     if not isinstance(head, h11.Request):
-        raise ConnectionBrokenError('closed before a request')
+        raise ConnectionBrokenError('client closed before sending a request')
     _check_declared_size(head, max_bytes)
     await _answer_expectation(sock, connection)
     body = bytearray()
@@ -59,7 +59,9 @@
         _check_size(len(body), max_bytes)
         event = await _next_event(sock, connection)
     if not isinstance(event, h11.EndOfMessage):
-        raise ConnectionBrokenError('closed mid-request')
+        raise ConnectionBrokenError(
+            'client closed before the end of its request'
+        )
     _check_not_pipelined(connection)
     return _build_request(head, bytes(body))
 
@@ -72,7 +74,7 @@
 def _check_size(size: int, max_bytes: int) -> None:
     if size > max_bytes:
         raise BadMessageError(
-            f'the body is over {max_bytes} bytes',
+            f'the request body exceeds the limit of {max_bytes} bytes',
             _STATUS_TOO_LARGE,
         )
 
--- a/src/cranecart/http/_responder.py
+++ b/src/cranecart/http/_responder.py
@@ -1,4 +1,4 @@
-"""The response to one request, whole or piece by piece."""
+"""Write the response to a request, at once or in chunks."""
 
 from collections.abc import Callable
 
@@ -19,7 +19,10 @@
 
 
 class Responder:
-    """Writes the response to one request, whole or piece by piece."""
+    """Writes the response to one request, at once or in chunks.
+
+    While ``is_closing`` returns true, responses carry "Connection: close".
+    """
 
     def __init__(
         self,
@@ -28,7 +31,7 @@
         write_seconds: float,
         is_closing: Callable[[], bool],
     ) -> None:
-        """Wrap the connection that the request came on."""
+        """Wrap the connection of the request."""
         self._sock = sock
         self._connection = connection
         self._write_seconds = write_seconds
@@ -37,17 +40,17 @@
 
     @property
     def has_started(self) -> bool:
-        """Tell whether the response's head was sent."""
+        """Return whether the head of the response was sent."""
         return self._connection.our_state not in {h11.IDLE, h11.SEND_RESPONSE}
 
     def seconds_to_first_byte(self, since: float) -> float | None:
-        """Return how long it took until the response began, if it has."""
+        """Return the time until the first byte was sent, if one was."""
         if self._first_byte_at is None:
             return None
         return self._first_byte_at - since
 
     async def send(self, response: Response) -> None:
-        """Send a whole response."""
+        """Send a complete response."""
         await self._write(
             self._head(
                 response.status,
@@ -59,11 +62,11 @@
         )
 
     async def start(self, status: int, headers: Headers | HeaderLines) -> None:
-        """Send the head of a response whose body comes in pieces."""
+        """Send the head of a response whose body follows in chunks."""
         await self._write(self._head(status, headers))
 
     async def write(self, chunk: bytes) -> None:
-        """Send a piece of the body; its caller bounds the time."""
+        """Send a chunk of the body, without a timeout of its own."""
         encoded = self._connection.send(h11.Data(data=chunk))
         try:
             await self._sock.sendall(encoded)
@@ -75,9 +78,9 @@
         await self._write(h11.EndOfMessage())
 
     async def wait_for_disconnect(self) -> None:
-        """Return once the client closed its side.
+        """Return once the client closes its side of the connection.
 
-        Whatever it sends instead is kept for the next request.
+        Data that it sends before is kept for the next request.
         """
         try:
             while received := await self._sock.recv(READ_BYTES):
@@ -117,7 +120,7 @@
 
 
 async def send_error(responder: Responder, error: BadMessageError) -> None:
-    """Tell a client what is wrong with its message."""
+    """Send the error response for an unacceptable request."""
     answer = json_response(
         error.status,
         {
--- a/src/cranecart/http/_server.py
+++ b/src/cranecart/http/_server.py
@@ -1,4 +1,4 @@
-"""The answering side of HTTP: a listener with one task a connection."""
+"""A server with one task for each connection."""
 
 import contextlib
 import errno
@@ -21,14 +21,14 @@
 
 _LOG = logging.getLogger(__name__)
 _ACCEPT_RETRY_SECONDS = 0.05
-# How often a server without places looks whether one has become free, and
-# which part of its idle connections it closes at a time.
+# How often a server at its connection limit checks for a free slot, and which
+# fraction of its idle connections it closes at a time.
 _CAPACITY_POLL_SECONDS = 0.01
 _IDLE_CLOSE_FRACTION = 0.03
-# How long a server counts as full since it last found no place.
+# How long a server reports to be full after it last found no free slot.
 _FULL_STATE_SECONDS = 0.5
 _NO_DESCRIPTOR_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE))
-# Some round trips; a client that goes on sending for longer is cut off.
+# Some round trips; a client that goes on sending for longer is disconnected.
 _LINGER_SECONDS = 1.0
 
 
@@ -36,7 +36,7 @@
 
 
 class HttpServer:
-    """A listener on one address that hands each request to a handler."""
+    """Listens on one address and passes each request to a handler."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         handler: Handler,
         limits: ServerLimits | None = None,
     ) -> None:
-        """Keep the settings; nothing listens until ``open`` is called."""
+        """Store the settings; ``open`` starts to listen."""
         self._requested_address = address
         self._handler = handler
         self.limits = limits or ServerLimits()
@@ -58,14 +58,14 @@
 
     @property
     def address(self) -> Address:
-        """Return the bound address, with the port the kernel gave."""
+        """Return the bound address, with the port that the kernel assigned."""
         if self._listener is None:
             return self._requested_address
         return Address(*self._listener.getsockname()[:2])
 
     @property
     def is_full(self) -> bool:
-        """Tell whether new connections wait, as all places are busy."""
+        """Return whether new connections wait, as all slots are busy."""
         return since_boot() < self._full_until
 
     def open(self) -> None:
@@ -83,22 +83,22 @@
         self._accept_task = await curio.spawn(self._accept_all)
         try:
             await self._accept_task.wait()
-            # The listener was closed on purpose; its connections go on.
+            # The listener was closed by stop_listening; connections remain.
             await curio.Event().wait()
         finally:
             await self._accept_task.cancel()
 
     async def stop_listening(self) -> None:
-        """Accept nothing more; the connections that there are go on."""
+        """Stop accepting connections; existing ones stay open."""
         if self._accept_task is not None:
             await self._accept_task.cancel()
 
     def disable_keep_alive(self) -> None:
-        """Ask clients to close their connections after the next answer."""
+        """Close each connection after its next response."""
         self._closing = True
 
     async def close_idle(self) -> None:
-        """Close the connections that wait for a request."""
+        """Close the connections that are waiting for a request."""
         for sock in list(self._idle):
             await sock.shutdown(socket.SHUT_RDWR)
 
@@ -113,17 +113,17 @@
                     await self._start_connection(sock)
 
     async def _handle_accept_error(self, error: OSError) -> None:
-        # No descriptor is free, or a client left in the queue.
-        _LOG.warning('a connection was not accepted: %s', error)
+        # No file descriptor is free, or the client left the accept queue.
+        _LOG.warning('could not accept a connection: %s', error)
         if error.errno in _NO_DESCRIPTOR_ERRNOS:
             await self._free_capacity()
         await curio.sleep(_ACCEPT_RETRY_SECONDS)
 
     async def _wait_for_capacity(self) -> None:
-        """Return once one connection more can be served.
+        """Return once another connection can be served.
 
-        Nobody is told why a connection closes, so that new ones wait while
-        the balancer hears that the server is full.
+        Closing a new connection would not tell its client why, so it waits,
+        while the load balancer is told that the server is full.
         """
         while self._connection_count >= self.limits.connections:
             await self._free_capacity()
@@ -131,13 +131,13 @@
         self._full_until = float('-inf')
 
     async def _free_capacity(self) -> None:
-        """Close those that are idle the longest, or say that all are busy."""
+        """Close the connections idle longest, or report the server as full."""
         if not self._idle:
             self._full_until = since_boot() + _FULL_STATE_SECONDS
         count = max(1, int(len(self._idle) * _IDLE_CLOSE_FRACTION))
         for sock in list(self._idle)[:count]:
             self._idle.pop(sock)
-            # Its task finds the end and closes it.
+            # The connection's task reads the end of file and closes it.
             with contextlib.suppress(OSError):
                 await sock.shutdown(socket.SHUT_RDWR)
 
@@ -147,21 +147,22 @@
         except curio.CancelledError:
             await sock.close()
             raise
-        # Many may be accepted before the first of their tasks begins.
+        # Counted here, as many connections may be accepted before the first of
+        # their tasks runs.
         self._connection_count += 1
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        # A task group would keep every ended task until it ends itself.
+        # Not in a task group, which would keep all finished tasks until its end.
         await curio.spawn(self._serve_connection, sock, daemon=True)
 
     async def _serve_connection(self, sock: curio.io.Socket) -> None:
         try:
             await self._serve_requests(sock)
         except (ConnectionBrokenError, OSError, h11.LocalProtocolError):
-            _LOG.debug('a client closed its connection early')
+            _LOG.debug('client closed its connection early')
         except curio.CancelledError:
             raise
         except Exception:
-            _LOG.exception('a connection ended with an unexpected error')
+            _LOG.exception('unexpected error while serving a connection')
         finally:
             self._connection_count -= 1
             await sock.close()
@@ -232,16 +233,16 @@
 
 
 async def _drain_before_close(sock: curio.io.Socket) -> None:
-    """Take what a refused client still sends, for a short while.
+    """Discard what a rejected client still sends, for a limited time.
 
-    Closing with bytes unread resets the connection, and the client might
-    lose the refusal before it has read it.
+    Closing a socket with unread data resets the connection, and the client
+    might lose the error response before it has read it.
     """
     try:
         await sock.shutdown(socket.SHUT_WR)
         await curio.timeout_after(_LINGER_SECONDS, _discard, sock)
     except TaskTimeout:
-        _LOG.debug('a refused client goes on sending')
+        _LOG.debug('rejected client goes on sending; closing its connection')
 
 
 async def _discard(sock: curio.io.Socket) -> None:
--- a/src/cranecart/targets/__init__.py
+++ b/src/cranecart/targets/__init__.py
@@ -1,4 +1,7 @@
-"""Targets as peers: model engines and plain services."""
+"""Communication with targets of the native deployment.
+
+Targets are model engines, which form replicas, and plain services.
+"""
 
 from cranecart.targets._calls import Call, CompletionCall, ServiceCall
 from cranecart.targets._complete_replicas import (
--- a/src/cranecart/targets/_calls.py
+++ b/src/cranecart/targets/_calls.py
@@ -1,4 +1,4 @@
-"""Calls of clients, read and checked, on their way to a target."""
+"""Validated client calls to be sent to a target."""
 
 import functools
 
@@ -11,7 +11,7 @@
 
 @attrs.frozen(kw_only=True)
 class Call:
-    """What every call has, whatever target it is for.
+    """The fields that calls of all kinds of targets share.
 
     ``deadline`` is a time of ``since_boot``, in seconds.
     """
@@ -31,12 +31,12 @@
 
     @property
     def request_target(self) -> str:
-        """Return what is asked for, beside the body."""
+        """Return what the call addresses, as part of its identity."""
         return ''
 
     @functools.cached_property
     def identity(self) -> str:
-        """Return what all tries of its caller at this call share."""
+        """Return a digest that is the same for all retries of this call."""
         return request_identity(
             self.organisation,
             '',
@@ -47,7 +47,7 @@
 
     @property
     def metadata_headers(self) -> dict[str, str]:
-        """Return the headers that let a target tell calls apart."""
+        """Return the headers that describe the call to a target."""
         headers = {
             'x-request-id': self.request_id,
             'x-organisation': self.organisation,
@@ -61,7 +61,7 @@
 
 @attrs.frozen(kw_only=True)
 class CompletionCall(Call):
-    """A call of a model; an empty version means any that serves."""
+    """A call of a model; an empty version means any version that serves."""
 
     model: str
     version: str = ''
--- a/src/cranecart/targets/_complete_replicas.py
+++ b/src/cranecart/targets/_complete_replicas.py
@@ -1,4 +1,4 @@
-"""Find the whole replicas among what instances say of themselves."""
+"""Find the complete replicas among the instances' reports."""
 
 from collections import defaultdict
 from collections.abc import Iterator, Mapping
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class ServingReplica:
-    """A replica all of whose members say that they are ready for it."""
+    """A replica whose members have all reported that they are ready for it."""
 
     id: str
     generation: int
@@ -27,7 +27,7 @@
 
     @property
     def key(self) -> tuple[str, int]:
-        """Return what tells this generation from all others."""
+        """Return the key that identifies this generation."""
         return (self.id, self.generation)
 
 
@@ -38,10 +38,10 @@
     instances: Mapping[str, Instance],
     reports: Mapping[str, MemberReport],
 ) -> Iterator[ServingReplica]:
-    """Yield the whole replicas among fresh reports.
+    """Yield the complete replicas among fresh reports.
 
-    A replica is whole when each of its members is listed and stays, and says
-    itself that it is ready for this replica, generation and order of members.
+    A replica is complete if each of its members is listed, is not leaving, and
+    reports that it is ready for this replica, generation and order of members.
     As an instance reports one replica only, no instance can be in two.
     """
     ready_members: dict[_Group, set[str]] = defaultdict(set)
--- a/src/cranecart/targets/_directory.py
+++ b/src/cranecart/targets/_directory.py
@@ -1,4 +1,4 @@
-"""Where calls can go: own failure domain in full, others by summaries."""
+"""The targets of calls: own failure domain in full, others by summaries."""
 
 import itertools
 from collections.abc import Callable, Iterable, Iterator, Mapping
@@ -21,7 +21,12 @@
 
 @attrs.frozen
 class DomainSummary:
-    """A few targets of a failure domain, for calls from other domains."""
+    """What a failure domain tells the others about itself.
+
+    ``replicas`` and ``services`` are a few targets for calls from other
+    domains, ``versions`` the domain's configuration versions, ``demand`` its
+    demand for the organisations' limits, which all domains share.
+    """
 
     failure_domain: str
     replicas: tuple[ServingReplica, ...] = ()
@@ -32,7 +37,7 @@
 
 @attrs.define
 class TargetDirectory:
-    """All targets that a node may send to."""
+    """All targets that a node can send calls to."""
 
     failure_domain: str
     reports: ReportRegistry
@@ -43,13 +48,13 @@
     )
 
     def record_summary(self, summary: DomainSummary) -> None:
-        """Take over what another failure domain says of itself."""
+        """Store the summary of another failure domain."""
         if summary.failure_domain != self.failure_domain:
             now = self._clock()
             self._summaries[summary.failure_domain] = (now, summary)
 
     def replicas(self) -> list[ServingReplica]:
-        """Return the whole replicas, those of other domains last."""
+        """Return the complete replicas, those of other domains last."""
         remote = (summary.replicas for summary in self._fresh())
         return [
             *self.reports.serving_replicas(),
@@ -57,7 +62,7 @@
         ]
 
     def services(self, name: str) -> list[Instance]:
-        """Return the instances of a plain service, near ones first."""
+        """Return the instances of a plain service, local ones first."""
         remote = itertools.chain.from_iterable(
             summary.services for summary in self._fresh()
         )
@@ -67,7 +72,7 @@
         ]
 
     def service_ids(self) -> list[str]:
-        """Return the ids of all service instances that take work."""
+        """Return the ids of all service instances that take requests."""
         remote = itertools.chain.from_iterable(
             summary.services for summary in self._fresh()
         )
@@ -78,7 +83,7 @@
         versions: DomainVersions | None = None,
         demand: Mapping[str, int] | None = None,
     ) -> DomainSummary:
-        """Return what other failure domains should know of this one."""
+        """Return the summary of this domain for the others."""
         open_service_ids = [
             self.reports.instances[name]
             for name in self.reports.open_service_ids()
@@ -101,7 +106,7 @@
         )
 
     def versions_by_domain(self) -> dict[str, DomainVersions]:
-        """Return how far the other failure domains have come."""
+        """Return the configuration versions of other failure domains."""
         return {
             summary.failure_domain: summary.versions
             for summary in self._fresh()
--- a/src/cranecart/targets/_engine.py
+++ b/src/cranecart/targets/_engine.py
@@ -1,4 +1,4 @@
-"""Calls of model engines: orders, reports and completions."""
+"""The client of model engines: orders, reports and completions."""
 
 from types import TracebackType
 from typing import Self
@@ -30,7 +30,7 @@
 from cranecart.targets._complete_replicas import ServingReplica
 
 # A new holder of the placement duty waits this long after the lease has
-# run out, so that no order of the earlier holder is still on its way.
+# expired, so that no order of the previous holder is still under way.
 ORDER_TIMEOUT_SECONDS = 1.0
 _COMPLETIONS = '/v1/chat/completions'
 _NOT_RUN = 'not run'
@@ -71,11 +71,11 @@
 
 
 class EngineAnswer:
-    """The answer of an engine whose head was read and checked.
+    """An engine's response, whose head was read and verified.
 
-    Use it as an asynchronous context manager; leaving it keeps the
-    connection for reuse if it finished cleanly and cancels the work on the
-    engine, by closing, if not.
+    Use it as an asynchronous context manager. On exit the connection returns
+    to the pool if the response was read to its end; otherwise it is closed,
+    which cancels the work at the engine.
     """
 
     def __init__(
@@ -84,7 +84,7 @@
         connection: HttpConnection,
         head: ResponseHead,
     ) -> None:
-        """Wrap the connection that the answer comes on."""
+        """Wrap the connection of the response."""
         self.head = head
         self._pool = pool
         self._connection = connection
@@ -99,18 +99,18 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Give the connection back or close it."""
+        """Release the connection to the pool, which may close it."""
         await self._pool.release(self._connection)
 
     async def read_chunk(self) -> bytes:
-        """Return what one read brought, empty at the answer's end."""
+        """Return the next received part of the body, empty at its end."""
         try:
             return await self._connection.read_chunk()
         except HttpError as error:
             raise TargetDisconnectedError(str(error)) from error
 
     async def read_body(self) -> bytes:
-        """Return the rest of the answer."""
+        """Return the rest of the body."""
         try:
             return await self._connection.read_body()
         except HttpError as error:
@@ -119,7 +119,7 @@
 
 @attrs.define
 class EngineClient:
-    """Talks to engines; turns what goes wrong into ``TargetError``."""
+    """Sends orders and completions; reports failures as ``TargetError``."""
 
     pool: HttpConnectionPool = attrs.field(factory=HttpConnectionPool)
 
@@ -130,7 +130,10 @@
         addresses: tuple[str, ...],
         fencing: int,
     ) -> MemberReport:
-        """Tell an engine what to become; return what it says of itself."""
+        """Order an engine to join the replica of ``row``; return its report.
+
+        Without a row the engine is to become idle.
+        """
         message = _OrderMessage.from_row(row, addresses, fencing)
         request = Request(
             'POST',
@@ -150,10 +153,10 @@
         call: CompletionCall,
         resume_token: int = 0,
     ) -> EngineAnswer:
-        """Send a completion and read the head of its answer.
+        """Send a completion and read the head of the response.
 
-        The request names the replica and generation it is meant for and the
-        answer must name the same, and the request, or it is not taken.
+        The request names the replica and generation that it is meant for. The
+        response must name the same ones and the request, or it is rejected.
         """
         try:
             connection = await self._connect(replica, call)
@@ -170,7 +173,7 @@
         except TaskTimeout as error:
             await connection.close()
             raise TargetTimeoutError(
-                f'{replica.id} did not start to answer in time',
+                f'{replica.id} sent no response before the deadline',
             ) from error
         except HttpError as error:
             await connection.close()
@@ -185,8 +188,8 @@
         replica: ServingReplica,
         call: CompletionCall,
     ) -> HttpConnection:
-        # An idle connection may be closed by the other side just as a call
-        # is sent, and then nobody can tell whether the call ran.
+        # An idle connection may be closed by the engine just as a call is sent,
+        # and then it is unknown whether the call ran.
         if call.repeatable:
             return await self.pool.acquire(replica.leader)
         return await HttpConnection.open(replica.leader)
@@ -224,7 +227,7 @@
     call: CompletionCall,
     head: ResponseHead,
 ) -> None:
-    # First of all, as a late refusal of another call says nothing of this one.
+    # Checked first: a late refusal of another call says nothing about this one.
     if head.headers.get('x-request-id') != call.request_id:
         raise TargetBrokenError(f'{replica.id} answered another request')
     if head.headers.get('x-execution') == _NOT_RUN:
@@ -244,7 +247,7 @@
     request: Request,
     timeout_seconds: float,
 ) -> Response:
-    """Exchange one message with an instance; raise ``TargetError``."""
+    """Send a request to an instance; raise ``TargetError`` if it fails."""
     try:
         return await exchange(instance.address, request, timeout_seconds)
     except ConnectFailedError as error:
@@ -254,7 +257,10 @@
 
 
 def read_report(instance: Instance, response: Response) -> MemberReport:
-    """Decode what an engine says of itself; it must be the right one."""
+    """Decode an engine's report; raise ``TargetBrokenError`` if invalid.
+
+    That another instance answers at the address is an error as well.
+    """
     try:
         report = msgspec.json.decode(response.body, type=MemberReport)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
--- a/src/cranecart/targets/_instance_poller.py
+++ b/src/cranecart/targets/_instance_poller.py
@@ -1,4 +1,4 @@
-"""Follow the platform's lagging list of instances."""
+"""Poll the platform's list of instances, which lags behind reality."""
 
 import logging
 from collections.abc import Callable, Sequence
@@ -17,7 +17,7 @@
 
 @attrs.define
 class InstanceListPoller:
-    """Polls the list; an unchanged list costs one small answer."""
+    """Polls the list; the response is small if the list has not changed."""
 
     _platform: PlatformClient
     _failure_domain: str | None
@@ -25,12 +25,12 @@
     _version: int = attrs.field(default=_UNKNOWN_VERSION, init=False)
 
     async def run(self) -> None:
-        """Poll until cancelled; keep the last list while it is away."""
+        """Poll until cancelled; the last list is kept during an outage."""
         while True:
             try:
                 await self._poll()
             except PlatformError as error:
-                _LOG.debug('the instance list is away: %s', error)
+                _LOG.debug('cannot read the list of instances: %s', error)
             await curio.sleep(_POLL_INTERVAL_SECONDS)
 
     async def _poll(self) -> None:
--- a/src/cranecart/targets/_observations.py
+++ b/src/cranecart/targets/_observations.py
@@ -1,20 +1,20 @@
-"""What several nodes found of one instance."""
+"""What several nodes have observed of one instance."""
 
 import attrs
 
 from cranecart.instances import MemberReport
 from cranecart.targets._reports import without_load
 
-# How long a report that this node fetched itself counts.
+# How long a report that this node fetched itself is valid.
 FRESH_SECONDS = 5.0
-# How long one node's failure to reach an instance outweighs another's
-# success; the other has asked again by then and told if it failed too.
+# How long one node's failure to reach an instance outweighs the success of
+# others. They have probed again by then and told if they failed too.
 FAILURE_SECONDS = 4.0
 
 
 @attrs.frozen
 class Observation:
-    """What one node found of an instance; no report means no answer."""
+    """What one node observed; no report means that it got no answer."""
 
     report: MemberReport | None
     at: float
@@ -22,10 +22,10 @@
 
 @attrs.define
 class InstanceObservations:
-    """The views of one instance by node; own ones expire, others' do not.
+    """The observations of one instance by node.
 
-    A report of another node counts until that node tells of a change or is
-    not held alive any more: as long as it lives it goes on asking.
+    Those of this node expire. Those of another node stay valid until it reports
+    a change or is considered dead, as it goes on probing while it is alive.
     """
 
     _own_node_id: str
@@ -35,19 +35,19 @@
 
     @property
     def is_known(self) -> bool:
-        """Tell whether any node found something, good or bad."""
+        """Return whether any node has observed the instance."""
         return bool(self._observations)
 
     def record(self, node_id: str, observation: Observation) -> None:
-        """Take over a node's newest view."""
+        """Replace the observation of a node."""
         self._observations[node_id] = observation
 
     def remove(self, node_id: str) -> None:
-        """Forget the view of a node that does not ask any more."""
+        """Forget the observation of a node that has stopped probing."""
         self._observations.pop(node_id, None)
 
     def keep_only(self, nodes: frozenset[str]) -> None:
-        """Forget what any but these nodes and this one found."""
+        """Forget the observations of all but these nodes and this one."""
         for stale_node in (
             self._observations.keys() - nodes - {self._own_node_id}
         ):
@@ -55,7 +55,7 @@
 
     @property
     def valid_until(self) -> float:
-        """Return until when ``agreed`` stays what it was, if nothing comes."""
+        """Return when ``agreed_report`` may change without new observations."""
         own = self._observations.get(self._own_node_id)
         ends = [
             observation.at + FAILURE_SECONDS
@@ -67,10 +67,10 @@
         return min(ends, default=float('inf'))
 
     def agreed_report(self, now: float) -> MemberReport | None:
-        """Return the report, if nothing speaks against it.
+        """Return the newest report, if no observation contradicts it.
 
-        All nodes that reach the instance must agree on what it is, and none
-        may have failed to reach it just now.
+        All nodes that reach the instance must agree on its state, and none may
+        have failed to reach it recently.
         """
         if any(
             _is_recent_failure(observation, now)
@@ -86,7 +86,7 @@
         return max(reachable, key=lambda observation: observation.at).report
 
     def reachable(self, now: float) -> list[Observation]:
-        """Return the views of the nodes that reach the instance."""
+        """Return the observations of the nodes that reach the instance."""
         return [
             observation
             for node, observation in self._observations.items()
--- a/src/cranecart/targets/_probe_connection.py
+++ b/src/cranecart/targets/_probe_connection.py
@@ -1,4 +1,4 @@
-"""One connection for asking one instance how it is, again and again."""
+"""The persistent connection that an instance is probed on."""
 
 import attrs
 import curio
@@ -34,10 +34,10 @@
 
 @attrs.define
 class ProbeConnection:
-    """Asks for a report, or whether it is still the same.
+    """Fetches an instance's report, by conditional requests if possible.
 
-    The connection stays open between probes: that saves most of a probe's
-    bytes, and tells at once when the process at its other end dies.
+    The connection stays open between probes. That saves most of a probe's bytes
+    and shows at once when the process at the other end dies.
     """
 
     _connection: HttpConnection | None = attrs.field(default=None, init=False)
@@ -54,13 +54,15 @@
             )
         except TaskTimeout as error:
             await self.close()
-            raise TargetTimeoutError(f'{instance.id} is silent') from error
+            raise TargetTimeoutError(
+                f'{instance.id} did not answer a probe in time'
+            ) from error
         except TargetError:
             await self.close()
             raise
 
     async def sleep(self, seconds: float) -> None:
-        """Wait, but not on once the other end has closed."""
+        """Wait for some time, or until the instance closes the connection."""
         if self._connection is None:
             await curio.sleep(seconds)
             return
@@ -69,7 +71,7 @@
             await self.close()
 
     async def close(self) -> None:
-        """Close the connection and forget what it told."""
+        """Close the connection and forget the cached ETag."""
         connection = self._connection
         self._connection = None
         self._etag = ''
--- a/src/cranecart/targets/_prober.py
+++ b/src/cranecart/targets/_prober.py
@@ -1,4 +1,4 @@
-"""Ask instances how they are, one task for each."""
+"""Probe instances for their reports, with one task for each."""
 
 import logging
 import random
@@ -19,8 +19,8 @@
 )
 
 _LOG = logging.getLogger(__name__)
-# A process that dies is noticed at once, by its closed connection; the
-# period counts for those that hang or whose machine is gone.
+# A process that dies is noticed at once by its closed connection; the interval
+# matters for processes that hang and machines that fail.
 PROBE_INTERVAL_SECONDS = 2.0
 _TICK_SECONDS = 0.25
 _MAX_INITIAL_DELAY_SECONDS = 0.3
@@ -31,7 +31,11 @@
 
 @attrs.define
 class Prober:
-    """Probes the instances that this node answers for."""
+    """Probes the instances that are assigned to this node.
+
+    ``_assigned`` returns their ids, ``_publish`` sends significant changes of a
+    result to the other nodes.
+    """
 
     _reports: ReportRegistry
     _assigned: Callable[[], Collection[str]]
@@ -48,7 +52,7 @@
     )
 
     async def run(self) -> None:
-        """Start and stop probes as instances and nodes come and go."""
+        """Start and stop probing as the assigned instances change."""
         while True:
             self._reports.tick()
             assigned = set(self._assigned())
@@ -67,7 +71,7 @@
             await curio.sleep(_TICK_SECONDS)
 
     def _discard_crashed(self) -> None:
-        """Forget probes that ended by themselves; they are begun anew."""
+        """Discard tasks that ended with an error; they are started again."""
         crashed = [
             name for name, task in self._tasks.items() if task.terminated
         ]
@@ -76,7 +80,7 @@
             _LOG.error('the probe of %s crashed', name, exc_info=task.exception)
 
     def _handed_over(self, assigned: Collection[str]) -> list[str]:
-        """Return whose probing may end, as others have taken over by now."""
+        """Return the instances that other nodes have taken over by now."""
         now = since_boot()
         self._unassigned_since = {
             name: self._unassigned_since.get(name, now)
@@ -101,8 +105,8 @@
             await connection.close()
 
     def _interval(self) -> float:
-        # A node cut off from all others asks every instance itself, and
-        # then more slowly, though still within the time a report counts.
+        # A node that is cut off from all others probes every instance itself.
+        # It does so more slowly then, but within the validity of a report.
         return max(
             PROBE_INTERVAL_SECONDS, len(self._tasks) / _MAX_PROBES_PER_SECOND
         )
@@ -122,7 +126,7 @@
             self._publish_change(name, report)
 
     def _publish_change(self, name: str, report: MemberReport | None) -> None:
-        """Let other nodes hear of the first report and of changes."""
+        """Publish the first result and significant changes."""
         if name not in self._last_published or is_significant_change(
             self._last_published[name], report
         ):
--- a/src/cranecart/targets/_replica_index.py
+++ b/src/cranecart/targets/_replica_index.py
@@ -1,7 +1,7 @@
-"""Keep the whole replicas up to date, one instance's change at a time.
+"""Keep track of the complete replicas, one changed report at a time.
 
-Going through all instances of a failure domain for each request would cost
-many milliseconds at several hundred of them.
+Looking for them among all instances at each request would take many
+milliseconds with several hundred instances in a failure domain.
 """
 
 from collections import defaultdict
@@ -20,7 +20,7 @@
 
 @attrs.define
 class ReplicaIndex:
-    """The reports that count, by instance, and the replicas they make."""
+    """The valid reports by instance, and the replicas that they complete."""
 
     _reports: dict[str, MemberReport] = attrs.field(factory=dict, init=False)
     _groups: dict[_Group, set[str]] = attrs.field(
@@ -34,11 +34,11 @@
 
     @property
     def reports(self) -> Mapping[str, MemberReport]:
-        """Return the reports that count, by instance."""
+        """Return the valid reports by instance."""
         return self._reports
 
     def complete(self) -> list[ServingReplica]:
-        """Return the replicas all of whose members are ready for them."""
+        """Return the replicas whose members are all ready."""
         return list(self._complete.values())
 
     def update(
@@ -47,7 +47,7 @@
         report: MemberReport | None,
         instances: Mapping[str, Instance],
     ) -> None:
-        """Take over what counts of an instance now, or that nothing does."""
+        """Replace an instance's report; ``None`` means that none is valid."""
         previous = self._reports.pop(name, None)
         if report is not None:
             self._reports[name] = report
--- a/src/cranecart/targets/_report_registry.py
+++ b/src/cranecart/targets/_report_registry.py
@@ -1,4 +1,4 @@
-"""What is known of instances, and which replicas are whole because of it."""
+"""What is known about instances, and which replicas can serve accordingly."""
 
 from collections.abc import Callable, Collection, Iterable, Mapping
 
@@ -16,7 +16,10 @@
 
 @attrs.define
 class ReportRegistry:
-    """What this node and the live others found of each instance."""
+    """What this node and other live nodes have observed of each instance.
+
+    A report is valid while it is fresh and no other observation contradicts it.
+    """
 
     node_id: str
     _clock: Callable[[], float] = since_boot
@@ -35,7 +38,7 @@
         return self._instances
 
     def is_informed(self, failure_domain: str) -> bool:
-        """Tell whether something is known of every instance of a domain."""
+        """Return whether every instance of a domain was observed at all."""
         return bool(self._instances) and all(
             self._observations[name].is_known
             for name, instance in self._instances.items()
@@ -43,7 +46,7 @@
         )
 
     def replace_instances(self, instances: Iterable[Instance]) -> None:
-        """Take over a new list; forget whoever is no longer on it."""
+        """Replace the list; forget instances that are no longer on it."""
         previous_names = self._instances.keys()
         self._instances = {instance.id: instance for instance in instances}
         for name in previous_names - self._instances.keys():
@@ -57,21 +60,22 @@
         self._refresh_all()
 
     def replace_live_nodes(self, nodes: Collection[str]) -> None:
-        """Take over whose reports count; forget what others said."""
+        """Keep only the observations of these nodes and of this one."""
         live_nodes = frozenset(nodes)
         for observations in self._observations.values():
             observations.keep_only(live_nodes)
         self._refresh_all()
 
     def discard_remote_observations(self) -> None:
-        """Forget what other nodes found, as after a pause."""
+        """Forget what other nodes observed, as after a pause."""
         self.replace_live_nodes(())
 
     def tick(self) -> bool:
-        """Notice a pause of this process; call several times a second.
+        """Expire observations and detect pauses of this process.
 
-        Return whether there was one. Time that this process slept through
-        says nothing about the instances, so they get their time anew.
+        This must be called several times a second. Return whether the process
+        was paused. The time of a pause says nothing about the instances, so the
+        timers for lost ones start again.
         """
         now = self._clock()
         was_process_paused = self._was_process_paused(now)
@@ -86,40 +90,40 @@
         return was_process_paused
 
     def record_report(self, report: MemberReport, node_id: str = '') -> None:
-        """Take over what a node, this one if none is named, was told."""
+        """Record a report that a node, by default this one, received."""
         self._record(report.instance, report, node_id)
 
     def record_unreachable(self, instance_id: str, node_id: str = '') -> None:
-        """Take over that an instance did not answer a node."""
+        """Record that an instance did not answer a node."""
         self._record(instance_id, None, node_id)
 
     def remove_observation(self, instance_id: str, node_id: str = '') -> None:
-        """Forget what a node found, as it asks the instance no more."""
+        """Forget a node's observation, as it has stopped probing."""
         observations = self._observations.get(instance_id)
         if observations is not None:
             observations.remove(node_id or self.node_id)
             self._refresh(instance_id)
 
     def report(self, instance_id: str) -> MemberReport | None:
-        """Return what is held of an instance, if nothing speaks against it."""
+        """Return the valid report of an instance, if there is one."""
         return self.fresh_reports().get(instance_id)
 
     def fresh_reports(self) -> Mapping[str, MemberReport]:
-        """Return all reports that count, by instance."""
+        """Return all valid reports by instance."""
         return {} if self._is_stale() else self._replica_index.reports
 
     def lost_instances(self) -> frozenset[str]:
-        """Return the instances that nobody has reached for long enough."""
+        """Return the instances that no node has reached for too long."""
         return self._loss_detector.lost_instances(
             self._is_reached, self._clock()
         )
 
     def serving_replicas(self) -> list[ServingReplica]:
-        """Return the replicas that may take new work now."""
+        """Return the replicas that can take new requests."""
         return [] if self._is_stale() else self._replica_index.complete()
 
     def service_instances(self, name: str) -> list[Instance]:
-        """Return the live instances of a plain service."""
+        """Return the instances of a plain service that take requests."""
         return [
             self._instances[instance_id]
             for instance_id in self.open_service_ids()
@@ -127,7 +131,7 @@
         ]
 
     def open_service_ids(self) -> list[str]:
-        """Return the ids of the service instances that take work."""
+        """Return the ids of the service instances that take requests."""
         reports = self.fresh_reports()
         return [
             name
@@ -146,7 +150,7 @@
         )
 
     def _is_stale(self) -> bool:
-        """Tell whether this process slept and has not looked around since."""
+        """Return whether the process was paused and has not ticked since."""
         return self._was_process_paused(self._clock())
 
     def _record(
--- a/src/cranecart/targets/_reports.py
+++ b/src/cranecart/targets/_reports.py
@@ -1,4 +1,4 @@
-"""What matters in a report to other nodes than the one that asked for it."""
+"""Probe results that nodes share, and which of them are worth sharing."""
 
 import enum
 
@@ -10,7 +10,7 @@
 
 
 class ProbeOutcome(enum.Enum):
-    """What came of asking an instance."""
+    """The outcome of a probe."""
 
     ANSWERED = 'answered'
     SILENT = 'silent'
@@ -19,14 +19,18 @@
 
 @attrs.frozen
 class ProbeResult:
-    """What a node found of an instance, or that it asks it no more."""
+    """A node's latest probe of an instance, as told to other nodes.
+
+    ``reach`` is the outcome; ``NOT_ASKED`` means that the node has stopped
+    probing the instance.
+    """
 
     reach: ProbeOutcome
     report: MemberReport | None = None
 
 
 def without_load(report: MemberReport | None) -> MemberReport | None:
-    """Return what nodes must agree on; the load may differ."""
+    """Return the part of a report that all nodes must agree on."""
     if report is None:
         return None
     return attrs.evolve(report, running=0, queued=0, slots=0, fencing=0)
@@ -36,7 +40,7 @@
     previous: MemberReport | None,
     current: MemberReport | None,
 ) -> bool:
-    """Tell whether other nodes should hear of a change of report."""
+    """Return whether a change should be told to other nodes."""
     if previous is None or current is None:
         return previous is not current
     return without_load(previous) != without_load(current) or (
@@ -45,7 +49,7 @@
 
 
 def _load_step(report: MemberReport) -> int:
-    """Return the load in quarters of the slots, so that few changes count."""
+    """Return the load in quarters of the slots, so that few changes matter."""
     return (
         _LOAD_STEP_COUNT
         * (report.running + report.queued)
--- a/src/cranecart/targets/_service.py
+++ b/src/cranecart/targets/_service.py
@@ -1,4 +1,4 @@
-"""Calls of plain services."""
+"""The client of plain services."""
 
 import attrs
 
@@ -21,14 +21,14 @@
 
 @attrs.frozen
 class ServiceClient:
-    """Talks to plain services, one connection a call.
+    """Sends each call on a new connection.
 
-    A connection of its own makes sure that what arrives on it can only be
-    the answer to this call, and that a failure to connect means not run.
+    So what arrives on it can only be the response to this call, and a failure
+    to connect means that the call was not run.
     """
 
     async def call(self, instance: Instance, call: ServiceCall) -> Response:
-        """Send one call; raise ``TargetError`` that says whether it ran."""
+        """Send one call; raise a ``TargetError`` that tells whether it ran."""
         request = Request(
             call.method,
             call.path,
@@ -50,7 +50,8 @@
             raise TargetTimeoutError(str(error)) from error
         except HttpError as error:
             raise TargetDisconnectedError(str(error)) from error
-        # One that names nothing may be anybody's, a refusal too.
+        # A response without the request's id, also a refusal, may belong to any
+        # other call.
         if response.headers.get('x-request-id') != call.request_id:
             raise TargetBrokenError(f'{instance.id} answered another call')
         if response.headers.get('x-execution') == _NOT_RUN:
