--- a/src/cranecart/gossip/__init__.py
+++ b/src/cranecart/gossip/__init__.py
@@ -1,4 +1,7 @@
-"""Gossip between nodes: SWIM-style membership and replicated entries."""
+"""Gossip between nodes: SWIM-style membership and replicated entries.
+
+The nodes of ``cranecart.node`` use it.
+"""
 
 from cranecart.gossip._config_exchange import ConfigExchange, EncodedConfig
 from cranecart.gossip._entries import (
--- a/src/cranecart/gossip/_entries.py
+++ b/src/cranecart/gossip/_entries.py
@@ -8,7 +8,12 @@
 
 
 class Topic(enum.Enum):
-    """What an entry is about."""
+    """What an entry is about.
+
+    MEMBER is a node; REPORT is what a node found out about an instance;
+    DEMAND is the demand of a node's clients; SUMMARY is the state of a failure
+    domain; CASE is a request that may have ended targets.
+    """
 
     MEMBER = 'member'
     REPORT = 'report'
--- a/src/cranecart/gossip/_members.py
+++ b/src/cranecart/gossip/_members.py
@@ -120,12 +120,12 @@
         return self._others
 
     def alive(self) -> list[str]:
-        """Return the ids of this domain's alive nodes, without suspects."""
+        """Return the ids of the alive nodes and this one, without suspects."""
         self._refresh()
         return self._alive
 
-    def live_members(self) -> Iterator[tuple[str, MemberInfo]]:
-        """Yield all nodes that are not dead, including this one."""
+    def all_members(self) -> Iterator[tuple[str, MemberInfo]]:
+        """Yield this node and the others, including suspects."""
         yield self.node_id, self.info
         yield from self.others().items()
 
--- a/src/cranecart/gossip/_protocol.py
+++ b/src/cranecart/gossip/_protocol.py
@@ -48,7 +48,7 @@
 
 @attrs.frozen
 class PayloadExchanges:
-    """What nodes fetch from each other beside entries."""
+    """What nodes fetch from each other beside entries, in message payloads."""
 
     config: ConfigExchange
     instances: ListExchange
@@ -92,7 +92,7 @@
         )
         self._listed_addresses: tuple[str, ...] = ()
         self._sequence = 0
-        self._member_changes_at_drop = -1
+        self._member_changes_at_removal = -1
         self._digest_mismatches = 0
         self._sync_requested_at = float('-inf')
         self._last_received_at = since_boot()
@@ -133,7 +133,7 @@
             if since_boot() - before > _PAUSE_THRESHOLD_SECONDS:
                 self._recover_from_pause()
             self._members.expire()
-            self._drop_entries_of_dead()
+            self._remove_entries_of_dead_nodes()
             self._ping_non_member(period)
             self._config_exchange.check_peers()
             await self._prober.probe_next()
@@ -154,10 +154,10 @@
             chosen = self._random.choice(addresses)
             self._sender.send(chosen, MessageKind.SYNC)
 
-    def _drop_entries_of_dead(self) -> None:
-        if self._member_changes_at_drop == self._store.member_changes:
+    def _remove_entries_of_dead_nodes(self) -> None:
+        if self._member_changes_at_removal == self._store.member_changes:
             return
-        self._member_changes_at_drop = self._store.member_changes
+        self._member_changes_at_removal = self._store.member_changes
         # An entry may arrive before its origin's member entry; it is kept.
         self._store.remove(
             entry.key
@@ -188,17 +188,17 @@
         while True:
             message = await self._transport.receive()
             self._last_received_at = since_boot()
-            self._take_entries(message)
+            self._accept_entries(message)
             await self._handle_message(message)
 
-    def _take_entries(self, message: Message) -> None:
+    def _accept_entries(self, message: Message) -> None:
         is_same_domain = (
             message.failure_domain == self._members.info.failure_domain
         )
         for entry in message.entries:
             if entry.key.topic is Topic.MEMBER:
                 self._config_exchange.check_member_entry(entry)
-            # No other topics are kept of other failure domains.
+            # Of other failure domains only these topics are stored.
             is_wanted = (
                 is_same_domain or entry.key.topic in _CROSS_DOMAIN_TOPICS
             )
--- a/src/cranecart/gossip/_sender.py
+++ b/src/cranecart/gossip/_sender.py
@@ -19,7 +19,10 @@
     _transport: PeerTransport[Message]
 
     def send(self, address: str, kind: MessageKind, **fields: Any) -> None:
-        """Send a message with pending entries; ``fields`` are those of it."""
+        """Send a message with the entries that its receiver needs.
+
+        ``fields`` are further fields of the ``Message``.
+        """
         self._send(address, kind, self._entries_for(address), fields)
 
     def send_full_state(self, address: str) -> None:
--- a/src/cranecart/gossip/_store.py
+++ b/src/cranecart/gossip/_store.py
@@ -21,8 +21,9 @@
 class EntryStore:
     """Last-writer-wins entries, with those pending for the next messages.
 
-    ``digest`` is equal on two nodes that hold the same entries, apart from
-    the topics that it leaves out.
+    ``digest`` is equal on two nodes that hold the same entries, apart from the
+    topics that it leaves out. ``member_changes`` counts the changes of member
+    entries, so that callers know when to rebuild what they derive from them.
     """
 
     _entries: dict[EntryKey, Entry] = attrs.field(factory=dict, init=False)
--- a/src/cranecart/mesh/__init__.py
+++ b/src/cranecart/mesh/__init__.py
@@ -1,4 +1,7 @@
-"""State exchange between the nodes of a deployment, by periodic beats."""
+"""State exchange between the nodes of a deployment, by periodic heartbeats.
+
+The nodes of ``cranecart.serving`` use it.
+"""
 
 from cranecart.mesh._mesh import Mesh
 from cranecart.mesh._messages import (
@@ -9,7 +12,7 @@
     ListNews,
     MeshMessage,
     RecordNews,
-    SourceNews,
+    SourceUpdateMessage,
     Stopped,
     Summary,
     Suspect,
@@ -41,7 +44,7 @@
     'PeerNode',
     'RecordNews',
     'RequestCases',
-    'SourceNews',
+    'SourceUpdateMessage',
     'Stopped',
     'Summary',
     'Suspect',
--- a/src/cranecart/mesh/_handler.py
+++ b/src/cranecart/mesh/_handler.py
@@ -12,7 +12,7 @@
     ListNews,
     MeshMessage,
     RecordNews,
-    SourceNews,
+    SourceUpdateMessage,
     Stopped,
     Summary,
     Suspect,
@@ -62,7 +62,7 @@
             case Broken() | Leaving() | RequestCases() | TargetLimits():
                 self._handle_target_message(message)
             case ListNews() | RecordNews():
-                self._handle_news(message)
+                self._handle_source_update(message)
             case ConfigAsk() | ConfigGive():
                 self._handle_config_message(message)
 
@@ -84,18 +84,18 @@
                 self._forward_to_domain(message, include_silent=False)
                 self._callbacks.on_limits(message)
 
-    def _handle_news(self, message: SourceNews) -> None:
-        kind = (type(message), message.news.extent)
+    def _handle_source_update(self, message: SourceUpdateMessage) -> None:
+        kind = (type(message), message.update.extent)
         # Two relays that are active at once forward to each other as well, so
         # the version check stops the message from going round in circles.
-        if message.news.version > self._forwarded_versions.get(kind, -1):
+        if message.update.version > self._forwarded_versions.get(kind, -1):
             if self._forward_to_domain(message, include_silent=False):
-                self._forwarded_versions[kind] = message.news.version
+                self._forwarded_versions[kind] = message.update.version
         match message:
             case ListNews():
-                self._callbacks.on_list_news(message.news)
+                self._callbacks.on_list_update(message.update)
             case RecordNews():
-                self._callbacks.on_record_news(message.news)
+                self._callbacks.on_record_update(message.update)
 
     def _handle_stopped(self, message: Stopped) -> None:
         if self._state.stop_notices.add(message):
@@ -104,7 +104,7 @@
 
     def _forward_to_domain(
         self,
-        message: SourceNews
+        message: SourceUpdateMessage
         | Stopped
         | Broken
         | Leaving
--- a/src/cranecart/mesh/_mesh.py
+++ b/src/cranecart/mesh/_mesh.py
@@ -1,9 +1,10 @@
 """Exchange state between all nodes, without the platform.
 
-In a small deployment each node sends periodic beats to all others. In a larger
-one it sends them to the relay of its failure domain, which sends a digest of
-them to all nodes there and a summary to the relays of the other failure domains
-(docs/design/platform.md). Urgent messages are sent at once, not with the beats.
+Each node sends beats: periodic heartbeats that carry its state. In a small
+deployment they go to all other nodes. In a larger one they go to the relay of
+the failure domain, which sends a digest of them to all nodes there and a summary
+to the relays of the other failure domains (docs/design/platform.md). Urgent
+messages are sent at once, not with the beats.
 """
 
 from collections import Counter
@@ -13,7 +14,7 @@
 
 from cranecart.clocks import since_boot
 from cranecart.mesh._handler import MessageHandler
-from cranecart.mesh._messages import MeshMessage, SourceNews, Stopped
+from cranecart.mesh._messages import MeshMessage, SourceUpdateMessage, Stopped
 from cranecart.mesh._roster import PeerNode
 from cranecart.mesh._sender import MessageSender
 from cranecart.mesh._state import LocalState, MeshCallbacks, MeshState
@@ -110,7 +111,7 @@
         """Send a message about targets or requests to all nodes."""
         self.message_sender.publish(message, include_silent=True)
 
-    def publish_news(self, message: SourceNews) -> None:
+    def publish_update(self, message: SourceUpdateMessage) -> None:
         """Send changes read from a source to all live nodes.
 
         A node that misses them sees a newer version announced in beats and
--- a/src/cranecart/mesh/_messages.py
+++ b/src/cranecart/mesh/_messages.py
@@ -118,17 +118,17 @@
     """Changes of the platform's list of instances, as read by the sender."""
 
     sender: str
-    news: SourceUpdate[ListedInstance]
+    update: SourceUpdate[ListedInstance]
 
 
 class RecordNews(msgspec.Struct, tag='record_news', array_like=True):
     """Changes of the rows of replicas and nodes, as read by the sender."""
 
     sender: str
-    news: SourceUpdate[Row]
+    update: SourceUpdate[Row]
 
 
-SourceNews = ListNews | RecordNews
+SourceUpdateMessage = ListNews | RecordNews
 
 MeshMessage = (
     Beat
--- a/src/cranecart/mesh/_peer_state.py
+++ b/src/cranecart/mesh/_peer_state.py
@@ -27,7 +27,7 @@
 
     @property
     def valid_until(self) -> float:
-        """Return until when its figures are used."""
+        """Return until when it is used."""
         return self.received_at + _BEAT_VALID_SECONDS
 
 
@@ -40,7 +40,7 @@
 
     @property
     def valid_until(self) -> float:
-        """Return until when its figures are used."""
+        """Return until when it is used."""
         return self.made_at + _SUMMARY_VALID_SECONDS
 
     @property
@@ -99,7 +99,7 @@
         self.node_count += 1
         self.in_flight.update(beat.in_flight)
         self.demand.update(beat.demand)
-        self._note_config(beat.config_version, beat.address)
+        self._keep_newest_config(beat.config_version, beat.address)
         if beat.placer_domain:
             self.placer_addresses[beat.placer_domain] = beat.address
         for source, version in beat.source_versions.items():
@@ -110,7 +110,7 @@
         """Add the state of a failure domain, except for its node count."""
         self.in_flight.update(summary.in_flight)
         self.demand.update(summary.demand)
-        self._note_config(summary.config_version, summary.config_address)
+        self._keep_newest_config(summary.config_version, summary.config_address)
         for source, reader in summary.source_readers.items():
             self.source_readers.setdefault(source, []).append(reader)
 
@@ -119,7 +119,7 @@
         self.in_flight.subtract(beat.in_flight)
         self.demand.subtract(beat.demand)
 
-    def _note_config(self, version: int, address: str) -> None:
+    def _keep_newest_config(self, version: int, address: str) -> None:
         """Keep the first node of equal versions.
 
         Otherwise all nodes would request the configuration from the same one.
@@ -181,7 +181,7 @@
             self._summarized_nodes = frozenset(digest.summarized_nodes)
 
     def forget_node(self, node_id: str) -> None:
-        """Forget a node that stops or was removed from the table.
+        """Forget a node that stops or was removed from the store.
 
         If it was a relay, the next relay's summary replaces its own at once.
         """
@@ -207,7 +207,7 @@
             and self._failure_domain in self.summaries()
         )
 
-    def fresh_domain_beats(self) -> list[Beat]:
+    def valid_domain_beats(self) -> list[Beat]:
         """Return the valid beats of the local failure domain's nodes."""
         now = self._clock()
         return [
--- a/src/cranecart/mesh/_roster.py
+++ b/src/cranecart/mesh/_roster.py
@@ -69,7 +69,7 @@
         self._uses_relays = True
 
     def add(self, name: str, peer: PeerNode) -> None:
-        """Add or update a peer that the table lists or that sent a beat."""
+        """Add or update a peer that the store lists or that sent a beat."""
         self.peers[name] = peer
         self._added_at.setdefault(name, self._clock())
 
@@ -111,7 +111,7 @@
             return self._node_id in self.relays()
         return any(
             beat.sender not in covered_nodes
-            for beat in self._peer_state.fresh_domain_beats()
+            for beat in self._peer_state.valid_domain_beats()
         )
 
     def is_isolated(self) -> bool:
@@ -122,8 +122,8 @@
     def takeover_rank(self) -> int:
         """Return the rank at which this node takes over a shared task.
 
-        The relay of the first failure domain has rank 0, those of the other
-        domains have rank 1, and all other nodes rank 2.
+        The relay of the failure domain with the first name has rank 0, those of
+        the other domains have rank 1, and all other nodes rank 2.
         """
         if self.relays()[0] != self._node_id:
             return 2
--- a/src/cranecart/mesh/_sender.py
+++ b/src/cranecart/mesh/_sender.py
@@ -123,7 +123,7 @@
     def _send_as_relay(self, own_beat: Beat, *, include_silent: bool) -> None:
         """Send a digest to the local failure domain, a summary to the others."""
         roster = self._state.roster
-        beats = [own_beat, *self._state.peer_state.fresh_domain_beats()]
+        beats = [own_beat, *self._state.peer_state.valid_domain_beats()]
         summary = self._build_summary(beats)
         domain_addresses = roster.domain_addresses(
             include_silent=include_silent
--- a/src/cranecart/node/_node.py
+++ b/src/cranecart/node/_node.py
@@ -208,7 +208,7 @@
             self._control.duties(),
             tuple(self._directory.replicas()),
             tuple(self._directory.service_ids()),
-            dict(self._peering.members.live_members()),
+            dict(self._peering.members.all_members()),
             {
                 **self._directory.versions_by_domain(),
                 self._settings.failure_domain: self._peering.state.versions(),
--- a/src/cranecart/node/_shared_state.py
+++ b/src/cranecart/node/_shared_state.py
@@ -131,7 +131,7 @@
         """Return how far the nodes of this failure domain have come."""
         held = {
             name: info.config_version
-            for name, info in self._members.live_members()
+            for name, info in self._members.all_members()
         }
         newest = max(held.values(), default=0)
         behind = sorted(name for name, one in held.items() if one < newest)
--- a/src/cranecart/serving/_knowledge.py
+++ b/src/cranecart/serving/_knowledge.py
@@ -21,7 +21,7 @@
     ListNews,
     Mesh,
     RecordNews,
-    SourceNews,
+    SourceUpdateMessage,
 )
 from cranecart.models import RouteConfig
 from cranecart.ports import ListedInstance, Row, Source, era_of
@@ -211,11 +211,11 @@
 def _sharing(
     mesh: Mesh,
     source: str,
-    message: Callable[[str, SourceUpdate[Item]], SourceNews],
+    message: Callable[[str, SourceUpdate[Item]], SourceUpdateMessage],
 ) -> UpdateSharing[Item]:
     return UpdateSharing(
         lambda: mesh.announced_version(source),
-        lambda news: mesh.publish_news(message(mesh.local.node_id, news)),
+        lambda news: mesh.publish_update(message(mesh.local.node_id, news)),
         LONG_POLL_SECONDS,
         turn=mesh.state.roster.takeover_rank,
     )
--- a/tests/unit/test_mesh.py
+++ b/tests/unit/test_mesh.py
@@ -415,7 +415,7 @@
     node.mesh.publish(RequestCases(name, [update]))
 
 
-class SourceNewsTest(unittest.TestCase):
+class SourceUpdateTest(unittest.TestCase):
     """Changes that one node has read reach all, once per failure domain."""
 
     def test_one_copy_per_relay_reaches_all_nodes(self) -> None:
@@ -424,7 +424,7 @@
         cluster.run(_CONVERGENCE_SECONDS)
         cluster.sent.clear()
         reader = cluster.nodes['node-004']
-        reader.mesh.publish_news(
+        reader.mesh.publish_update(
             ListNews('node-004', SourceUpdate(1, 2, {'one': None}))
         )
         cluster.deliver()
@@ -445,10 +445,10 @@
         cluster = SimulatedCluster.of(_LARGE_COUNT)
         reader = cluster.nodes['node-004']
         for version in (2, 3):
-            news: SourceUpdate[ListedInstance] = SourceUpdate(
+            update: SourceUpdate[ListedInstance] = SourceUpdate(
                 version - 1, version, {'one': None}
             )
-            reader.mesh.publish_news(ListNews('node-004', news))
+            reader.mesh.publish_update(ListNews('node-004', update))
             cluster.deliver()
         self.assertLessEqual(
             sum(cluster.sent.values()), 2 * _LARGE_COUNT * _LARGE_COUNT
