--- a/tests/lib/crash_simulation.py
+++ b/tests/lib/crash_simulation.py
@@ -1,9 +1,9 @@
-"""Drawn days on which targets end, with or without a request as the cause.
+"""Simulated days on which targets terminate, with or without a culprit request.
 
-A model in simulated time: requests wait at a target, begin, run, and move when
-it ends; all evidence is seen, and all nodes know the same at once, which is the
-worst for those who are there by chance. Usage, by hand:
-python -m tests.lib.crash_simulation DAYS
+Requests wait at a target, begin, run, and move when it terminates; all nodes
+know all evidence at once, which is the worst case for requests that are there
+by chance. To simulate many days, run: python -m tests.lib.crash_simulation
+DAYS
 """
 
 import heapq
@@ -19,64 +19,64 @@
 from cranecart.quarantine import CaseRegistry, CaseUpdate, Termination, Verdict
 
 _DAY_SECONDS = 60.0
-# Streams on the users' sheets: some tenths of a second of waiting, a second of
+# Streams as specified: some tenths of a second of waiting, a second of
 # answers, three targets a try, and one more try of the client.
 _WAIT_SECONDS = 0.2
 _RUN_SECONDS = 1.0
 _TRIES = 6
-_A_SECOND_EACH = 2.0
-_BACK_SECONDS = 3.0
-_BEGIN_SECONDS = 0.25
-# From the begin of what ends a target to its end.
-_CAUSE_SECONDS = 0.08
-_CAUSE_EVERY_SECONDS = 0.3
+_REQUESTS_PER_SECOND = 2.0
+_RESTART_SECONDS = 3.0
+_STARTUP_SECONDS = 0.25
+# From the begin of the culprit at a target to its crash.
+_CRASH_DELAY_SECONDS = 0.08
+_CULPRIT_INTERVAL_SECONDS = 0.3
 
 
-# When something is due, what tells equals apart, and what it is.
-_Due = tuple[float, int, Callable[[], None]]
+# When an event is due, a number that orders simultaneous ones, and its action.
+_Event = tuple[float, int, Callable[[], None]]
 
 
 @attrs.define(eq=False)
-class Asked:
+class Request:
     """One request on its way; times in seconds of the day."""
 
     name: str
-    is_cause: bool = False
+    is_culprit: bool = False
     tries: int = 0
     begun_at: float | None = None
-    # Rises with each move, so that what was due before counts no more.
-    stay: int = 0
+    # Rises with each move, so that events of earlier visits are ignored.
+    visit: int = 0
 
 
 @attrs.define
-class Spot:
-    """One target: its life, and who is there."""
+class Target:
+    """One target: its incarnation, and the requests at it."""
 
     number: int
-    life: int = 0
+    incarnation: int = 0
     is_up: bool = True
-    there: list[Asked] = attrs.field(factory=list)
+    requests_there: list[Request] = attrs.field(factory=list)
 
 
 @attrs.define
 class CrashSimulation:
-    """One drawn day."""
+    """One simulated day."""
 
     replicas: int
     seed: int
-    ends_a_second: float
-    has_cause: bool
-    # Whether ends show only once their targets are back.
-    tells_late: bool = False
-    held_by_chance: int = 0
+    terminations_per_second: float
+    has_culprit: bool
+    # Whether terminations show only once their targets have restarted.
+    reported_late: bool = False
+    wrongly_held: int = 0
     requests: int = 0
-    cause_ends: int = 0
-    refused_cause: int = 0
+    culprit_terminations: int = 0
+    refused_culprit: int = 0
     _now: float = 0
     _random: random.Random = attrs.field(init=False)
-    _book: CaseRegistry = attrs.field(init=False)
-    _spots: list[Spot] = attrs.field(init=False)
-    _due: list[_Due] = attrs.field(
+    _cases: CaseRegistry = attrs.field(init=False)
+    _targets: list[Target] = attrs.field(init=False)
+    _events: list[_Event] = attrs.field(
         factory=list,
         init=False,
     )
@@ -86,159 +86,171 @@
     )
 
     def __attrs_post_init__(self) -> None:
-        """Draw nothing yet."""
+        """Create the registry and the targets."""
         self._random = random.Random(self.seed)
-        self._book = CaseRegistry(lambda: self._now)
-        self._spots = [Spot(number) for number in range(self.replicas)]
+        self._cases = CaseRegistry(lambda: self._now)
+        self._targets = [Target(number) for number in range(self.replicas)]
 
-    def play(self) -> 'CrashSimulation':
-        """Play the day."""
+    def run(self) -> 'CrashSimulation':
+        """Simulate the day."""
         self._arrive()
-        self._strike()
-        if self.has_cause:
-            self._send_cause()
-        while self._due:
-            now, _number, event = heapq.heappop(self._due)
+        self._terminate_at_random()
+        if self.has_culprit:
+            self._send_culprit()
+        while self._events:
+            now, _number, event = heapq.heappop(self._events)
             if now > _DAY_SECONDS:
                 break
             self._now = now
             event()
         return self
 
-    def _at(self, seconds: float, event: Callable[[], None]) -> None:
+    def _schedule(self, seconds: float, event: Callable[[], None]) -> None:
         heapq.heappush(
-            self._due,
+            self._events,
             (self._now + seconds, next(self._numbers), event),
         )
 
     def _arrive(self) -> None:
         self.requests += 1
-        self._send(Asked(f'r{self.requests}'))
-        rate = self.replicas * _A_SECOND_EACH
-        self._at(self._random.expovariate(rate), self._arrive)
+        self._send(Request(f'r{self.requests}'))
+        rate = self.replicas * _REQUESTS_PER_SECOND
+        self._schedule(self._random.expovariate(rate), self._arrive)
 
-    def _send_cause(self) -> None:
-        self._send(Asked('cause', is_cause=True))
-        self._at(_CAUSE_EVERY_SECONDS, self._send_cause)
+    def _send_culprit(self) -> None:
+        self._send(Request('cause', is_culprit=True))
+        self._schedule(_CULPRIT_INTERVAL_SECONDS, self._send_culprit)
 
-    def _strike(self) -> None:
-        """End some target for reasons of its own."""
-        up = [spot for spot in self._spots if spot.is_up]
+    def _terminate_at_random(self) -> None:
+        """Terminate a random target for an unrelated reason."""
+        up = [target for target in self._targets if target.is_up]
         if up:
-            self._end(self._random.choice(up))
-        self._at(
-            self._random.expovariate(self.ends_a_second),
-            self._strike,
+            self._terminate(self._random.choice(up))
+        self._schedule(
+            self._random.expovariate(self.terminations_per_second),
+            self._terminate_at_random,
         )
 
-    def _send(self, one: Asked) -> None:
-        standing = self._book.verdict(one.name)
-        if standing is Verdict.HELD:
-            self.held_by_chance += not one.is_cause
-            self.refused_cause += one.is_cause
+    def _send(self, request: Request) -> None:
+        verdict = self._cases.verdict(request.name)
+        if verdict is Verdict.HELD:
+            self.wrongly_held += not request.is_culprit
+            self.refused_culprit += request.is_culprit
             return
-        spot = self._choose(standing)
-        if spot is None or one.tries >= _TRIES:
+        target = self._choose(verdict)
+        if target is None or request.tries >= _TRIES:
             return
-        one.tries += 1
-        one.stay += 1
-        one.begun_at = None
-        spot.there.append(one)
-        stay = one.stay
-        self._at(
+        request.tries += 1
+        request.visit += 1
+        request.begun_at = None
+        target.requests_there.append(request)
+        visit = request.visit
+        self._schedule(
             self._random.uniform(0, 2 * _WAIT_SECONDS),
-            lambda: self._begin(one, stay, spot),
+            lambda: self._begin(request, visit, target),
         )
 
-    def _choose(self, standing: Verdict) -> Spot | None:
-        up = [spot for spot in self._spots if spot.is_up]
-        suspects = standing in {Verdict.SUSPECT, Verdict.ISOLATED}
-        shunned = (
+    def _choose(self, verdict: Verdict) -> Target | None:
+        up = [target for target in self._targets if target.is_up]
+        suspects = verdict in {Verdict.SUSPECT, Verdict.ISOLATED}
+        avoided = (
             {Verdict.SUSPECT, Verdict.ISOLATED}
             if suspects
             else {Verdict.ISOLATED}
         )
-        good = [
-            spot
-            for spot in up
+        preferred = [
+            target
+            for target in up
             if not any(
-                self._book.verdict(other.name) in shunned
-                for other in spot.there
+                self._cases.verdict(other.name) in avoided
+                for other in target.requests_there
             )
         ]
-        # Two are drawn and the less loaded is taken, as by counts a beat old.
-        pool = good or up
+        # The less loaded of two, as by counts one heartbeat old.
+        pool = preferred or up
         drawn = self._random.sample(pool, min(2, len(pool)))
-        return min(drawn, key=lambda spot: len(spot.there), default=None)
+        return min(
+            drawn, key=lambda target: len(target.requests_there), default=None
+        )
 
-    def _begin(self, one: Asked, stay: int, spot: Spot) -> None:
-        if one.stay != stay or one not in spot.there:
+    def _begin(self, request: Request, visit: int, target: Target) -> None:
+        if request.visit != visit or request not in target.requests_there:
             return
-        one.begun_at = self._now
-        if one.is_cause:
-            life = spot.life
-            self._at(_CAUSE_SECONDS, lambda: self._end_by(spot, life))
+        request.begun_at = self._now
+        if request.is_culprit:
+            incarnation = target.incarnation
+            self._schedule(
+                _CRASH_DELAY_SECONDS,
+                lambda: self._terminate_by_culprit(target, incarnation),
+            )
             return
         seconds = self._random.expovariate(1 / _RUN_SECONDS)
-        self._at(seconds, lambda: self._finish(one, stay, spot))
+        self._schedule(seconds, lambda: self._finish(request, visit, target))
 
-    def _end_by(self, spot: Spot, life: int) -> None:
-        if spot.is_up and spot.life == life:
-            self.cause_ends += 1
-            self._end(spot)
+    def _terminate_by_culprit(self, target: Target, incarnation: int) -> None:
+        if target.is_up and target.incarnation == incarnation:
+            self.culprit_terminations += 1
+            self._terminate(target)
 
-    def _finish(self, one: Asked, stay: int, spot: Spot) -> None:
-        if one.stay != stay or one not in spot.there:
+    def _finish(self, request: Request, visit: int, target: Target) -> None:
+        if request.visit != visit or request not in target.requests_there:
             return
-        spot.there.remove(one)
-        news = self._book.clearing_update(one.name)
-        if news is not None:
-            self._book.merge(news, is_own=True)
-
-    def _end(self, spot: Spot) -> None:
-        there = spot.there
-        spot.there = []
-        life = Incarnation(f'i{spot.number}', spot.life)
-        spot.is_up = False
-        self._at(_BACK_SECONDS, lambda: self._back(spot))
-        for one in there:
-            self._blame(one, life)
-        for one in there:
-            self._send(one)
-
-    def _blame(self, one: Asked, life: Incarnation) -> None:
-        begun = one.begun_at is not None
-        ran = 0 if one.begun_at is None else self._now - one.begun_at
-        if ran <= _BEGIN_SECONDS:
-            news = CaseUpdate(one.name, (Termination(life, begun),))
-            seconds = _BACK_SECONDS if self.tells_late else 0
-            self._at(seconds, lambda: self._hear(news))
-
-    def _hear(self, news: CaseUpdate) -> None:
-        self._book.merge(news, is_own=True)
-
-    def _back(self, spot: Spot) -> None:
-        spot.life += 1
-        spot.is_up = True
+        target.requests_there.remove(request)
+        update = self._cases.clearing_update(request.name)
+        if update is not None:
+            self._cases.merge(update, is_own=True)
+
+    def _terminate(self, target: Target) -> None:
+        requests_there = target.requests_there
+        target.requests_there = []
+        incarnation = Incarnation(f'i{target.number}', target.incarnation)
+        target.is_up = False
+        self._schedule(_RESTART_SECONDS, lambda: self._restart(target))
+        for request in requests_there:
+            self._report(request, incarnation)
+        for request in requests_there:
+            self._send(request)
+
+    def _report(self, request: Request, incarnation: Incarnation) -> None:
+        begun = request.begun_at is not None
+        run_seconds = (
+            0 if request.begun_at is None else self._now - request.begun_at
+        )
+        if run_seconds <= _STARTUP_SECONDS:
+            update = CaseUpdate(
+                request.name, (Termination(incarnation, begun),)
+            )
+            seconds = _RESTART_SECONDS if self.reported_late else 0
+            self._schedule(seconds, lambda: self._merge(update))
+
+    def _merge(self, update: CaseUpdate) -> None:
+        self._cases.merge(update, is_own=True)
+
+    def _restart(self, target: Target) -> None:
+        target.incarnation += 1
+        target.is_up = True
 
 
 def main(days: int) -> None:
-    """Print what many days give."""
+    """Print the results of many days."""
     kinds = itertools.product((100, 8), (False, True), (False, True))
-    for replicas, has_cause, tells_late in kinds:
+    for replicas, has_culprit, reported_late in kinds:
         rate = 1.0 if replicas > 8 else 0.4
-        played = [
-            CrashSimulation(replicas, seed, rate, has_cause, tells_late).play()
+        simulations = [
+            CrashSimulation(
+                replicas, seed, rate, has_culprit, reported_late
+            ).run()
             for seed in range(days)
         ]
-        ends = [one.cause_ends for one in played]
+        terminations = [one.culprit_terminations for one in simulations]
         sys.stdout.write(
-            f'{replicas} replicas, cause {has_cause}, ends told late '
-            f'{tells_late}: held by chance '
-            f'{sum(one.held_by_chance for one in played)} of '
-            f'{sum(one.requests for one in played)} requests in {days} days; '
-            f'ends by the cause: median {statistics.median(ends)}, '
-            f'most {max(ends)}\n',
+            f'{replicas} replicas, culprit {has_culprit}, terminations '
+            f'reported late {reported_late}: wrongly held '
+            f'{sum(one.wrongly_held for one in simulations)} of '
+            f'{sum(one.requests for one in simulations)} requests '
+            f'in {days} days; '
+            f'terminations by the culprit: median '
+            f'{statistics.median(terminations)}, most {max(terminations)}\n',
         )
         sys.stdout.flush()
 
--- a/tests/lib/crashing_targets.py
+++ b/tests/lib/crashing_targets.py
@@ -1,4 +1,4 @@
-"""Targets that end when they begin a marked request, before several nodes."""
+"""Targets that crash when they begin a marked request, before several nodes."""
 
 import functools
 import itertools
@@ -24,19 +24,19 @@
     instance,
 )
 
-MARK = b'ends what runs it'
-# As on the users' deployments: an end 0.05 to 0.12 s after the begin.
-_BEGUN_SECONDS = 0.06
-_LOOK_SECONDS = 0.002
+CRASH_MARK = b'ends what runs it'
+# Observed terminations came 0.05 to 0.12 s after the begin.
+_CRASH_DELAY_SECONDS = 0.06
+_CHECK_SECONDS = 0.002
 _EVENTS = 6
 _EVENT_SECONDS = 0.02
 
 
 class CrashingTarget(FakeTarget):
-    """A target that ends as it begins a marked request, and comes back.
+    """A target that crashes when it begins a marked request, and restarts.
 
-    One that is ``mute`` ends before a byte of an answer; before one that
-    ``keeps_port`` something goes on taking connections, and closes them.
+    One that is ``mute`` terminates before a byte of an answer; before one that
+    ``keeps_port`` a proxy goes on accepting connections, and closes them.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         keeps_port: bool = False,
     ) -> None:
         """Listen; nothing is served until ``run``."""
-        super().__init__(name, self._serve_or_end)
+        super().__init__(name, self._serve_or_crash)
         self.born = 1
         self.incarnations = 1
         self.is_down = False
@@ -56,7 +56,7 @@
         self._keeps_port = keeps_port
         self._deployment = deployment
         self._port = self.address.port
-        self._is_ending = False
+        self._is_crashing = False
         self._tasks: list[curio.Task] = []
 
     @property
@@ -67,38 +67,38 @@
         return super().address
 
     def end(self) -> None:
-        """End at once, as a process does that is killed."""
-        self._is_ending = True
+        """Terminate at once, like a killed process."""
+        self._is_crashing = True
 
     async def run(self) -> None:
-        """Live one life after the other until cancelled."""
+        """Run one incarnation after the other until cancelled."""
         while True:
-            await self._live()
+            await self._serve_until_crash()
             self.is_down = True
-            self._deployment.note_end(self)
+            self._deployment.record_termination(self)
             await self._stay_down()
             self.is_down = False
             self.incarnations += 1
-            self._is_ending = False
-            self._deployment.list_anew(self)
+            self._is_crashing = False
+            self._deployment.list_restarted(self)
 
     async def _stay_down(self) -> None:
         if self._keeps_port:
             await curio.ignore_after(
-                self._deployment.back_seconds,
-                _take_and_close,
+                self._deployment.restart_seconds,
+                _accept_and_close,
                 curio.io.Socket(self._listener),
             )
             return
-        await curio.sleep(self._deployment.back_seconds)
+        await curio.sleep(self._deployment.restart_seconds)
         self._listener = socket.create_server(('127.0.0.1', self._port))
 
-    async def _live(self) -> None:
+    async def _serve_until_crash(self) -> None:
         listener = curio.io.Socket(self._listener)
         accepting = await curio.spawn(self._accept, listener)
         try:
-            while not self._is_ending:
-                await curio.sleep(_LOOK_SECONDS)
+            while not self._is_crashing:
+                await curio.sleep(_CHECK_SECONDS)
         finally:
             await self._close(accepting, listener)
 
@@ -120,16 +120,16 @@
             task = await curio.spawn(self._serve, sock, daemon=True)
             self._tasks.append(task)
 
-    async def _serve_or_end(self, exchange: Exchange) -> None:
-        is_marked = MARK in exchange.body
-        self._deployment.note_sent(self, is_marked)
+    async def _serve_or_crash(self, exchange: Exchange) -> None:
+        is_marked = CRASH_MARK in exchange.body
+        self._deployment.record_arrival(self, is_marked)
         if self._deployment.is_plain:
             await self._serve_whole(exchange, is_marked)
             return
         if not (is_marked and self._mute):
             await exchange.start_stream()
         if is_marked:
-            await curio.sleep(_BEGUN_SECONDS)
+            await curio.sleep(_CRASH_DELAY_SECONDS)
             self.end()
             await curio.sleep(30)
         first = int(exchange.headers.get('last-event-id', '0')) + 1
@@ -139,22 +139,22 @@
         await exchange.end_stream()
 
     async def _serve_whole(self, exchange: Exchange, is_marked: bool) -> None:
-        await curio.sleep(_BEGUN_SECONDS)
+        await curio.sleep(_CRASH_DELAY_SECONDS)
         if is_marked:
             self.end()
             await curio.sleep(30)
         await exchange.answer(b'fine')
 
 
-async def _take_and_close(listener: curio.io.Socket) -> None:
+async def _accept_and_close(listener: curio.io.Socket) -> None:
     while True:
         sock, _ = await listener.accept()
         await sock.close()
 
 
 @attrs.define
-class Sent:
-    """A request that came to a target; times on the monotonic clock."""
+class Arrival:
+    """A request that arrived at a target; times on the monotonic clock."""
 
     at: float
     is_marked: bool
@@ -163,8 +163,8 @@
 class Deployment:
     """Several nodes before the same targets, in one event loop.
 
-    Targets that have ended come back under another id if they are ``renamed``,
-    else with a later birth. ``kind`` says what else ``EndingTarget`` is told.
+    Crashed targets restart under another id if they are ``renamed``, else with
+    a later birth. ``kind`` holds further arguments of ``CrashingTarget``.
     """
 
     def __init__(
@@ -174,15 +174,15 @@
         *,
         service: str = ENGINES,
         renamed: bool = True,
-        back_seconds: float = 0.8,
+        restart_seconds: float = 0.8,
         **kind: bool,
     ) -> None:
-        """Build everything; nothing runs until ``run``."""
-        self.back_seconds = back_seconds
-        self.ends: list[float] = []
-        # Nodes that the others' news does not reach.
-        self.cut_off: list[GatewayWorld] = []
-        self.sent: list[Sent] = []
+        """Create everything; nothing runs until ``run``."""
+        self.restart_seconds = restart_seconds
+        self.terminations: list[float] = []
+        # Nodes that get no updates from the others.
+        self.isolated: list[GatewayWorld] = []
+        self.arrivals: list[Arrival] = []
         self._renamed = renamed
         self._service = service
         self.is_plain = service != ENGINES
@@ -193,7 +193,7 @@
         self.nodes = [self.new_node(number) for number in range(nodes)]
 
     def new_node(self, seed: int = 1) -> GatewayWorld:
-        """Build a node that knows the targets as they are."""
+        """Create a node that knows the current targets."""
         node = GatewayWorld(
             service=self._service,
             others={target.name: target for target in self.targets},
@@ -201,62 +201,70 @@
         )
         for target in self.targets:
             self._list(node, target)
-        node.tell = functools.partial(self._tell, node)
+        node.tell = functools.partial(self._publish, node)
         return node
 
     async def run(
         self,
-        play: Callable[['Deployment'], Awaitable[None]],
+        scenario: Callable[['Deployment'], Awaitable[None]],
     ) -> None:
-        """Run everything while a play lasts."""
+        """Run everything while a scenario lasts."""
         tasks = [await curio.spawn(target.run) for target in self.targets]
         for node in self.nodes:
             tasks.append(await self.start(node))
         try:
-            await play(self)
+            await scenario(self)
         finally:
             for task in tasks:
                 await task.cancel()
 
     async def start(self, node: GatewayWorld) -> curio.Task:
-        """Let a node serve."""
+        """Start serving at a node."""
         node.server.open()
         return await curio.spawn(node.server.run, daemon=True)
 
-    def note_end(self, _target: CrashingTarget) -> None:
-        """Take over that a target has ended."""
-        self.ends.append(time.monotonic())
+    def record_termination(self, _target: CrashingTarget) -> None:
+        """Record that a target has terminated."""
+        self.terminations.append(time.monotonic())
 
-    def note_sent(self, _target: CrashingTarget, is_marked: bool) -> None:
-        """Take over that a request came to a target."""
-        self.sent.append(Sent(time.monotonic(), is_marked))
+    def record_arrival(self, _target: CrashingTarget, is_marked: bool) -> None:
+        """Record that a request arrived at a target."""
+        self.arrivals.append(Arrival(time.monotonic(), is_marked))
 
-    def list_anew(self, target: CrashingTarget) -> None:
-        """Tell all nodes of a target's next life."""
+    def list_restarted(self, target: CrashingTarget) -> None:
+        """List a target's next incarnation at all nodes."""
         for node in self.nodes:
             self._list(node, target)
 
-    def marked_after(self, ends: int, seconds: float) -> int:
-        """Count marked requests that came so long after so many ends."""
-        if len(self.ends) < ends:
+    def marked_after(self, terminations: int, seconds: float) -> int:
+        """Count marked requests a time after a number of terminations."""
+        if len(self.terminations) < terminations:
             return 0
-        since = self.ends[ends - 1] + seconds
-        return sum(one.is_marked and one.at > since for one in self.sent)
+        since = self.terminations[terminations - 1] + seconds
+        return sum(
+            arrival.is_marked and arrival.at > since
+            for arrival in self.arrivals
+        )
 
-    def under_way(self, ends: int) -> int:
-        """Count marked requests at targets when so many had ended."""
-        if len(self.ends) < ends:
+    def in_flight(self, terminations: int) -> int:
+        """Count marked requests at targets at the last of some terminations."""
+        if len(self.terminations) < terminations:
             return 0
-        decided_at = self.ends[ends - 1]
-        come = sum(one.is_marked and one.at <= decided_at for one in self.sent)
-        return come - ends
+        terminated_at = self.terminations[terminations - 1]
+        arrived = sum(
+            arrival.is_marked and arrival.at <= terminated_at
+            for arrival in self.arrivals
+        )
+        return arrived - terminations
 
-    def _tell(self, teller: GatewayWorld, cases: Sequence[CaseUpdate]) -> None:
-        """Pass news on to the other nodes."""
+    def _publish(
+        self, sender: GatewayWorld, cases: Sequence[CaseUpdate]
+    ) -> None:
+        """Send updates to the other nodes."""
         for node in self.nodes:
-            if node is not teller and node not in self.cut_off:
-                for news in cases:
-                    node.guard.merge_remote(news, 'another node')
+            if node is not sender and node not in self.isolated:
+                for update in cases:
+                    node.guard.merge_remote(update, 'another node')
 
     def _list(self, node: GatewayWorld, target: CrashingTarget) -> None:
         name = target.name
@@ -264,7 +272,7 @@
             name = f'{name}-{target.incarnations}'
         replica = f'{target.name}-{target.incarnations}'
         listed = instance(name, target.address, self._service)
-        anew = attrs.evolve(
+        restarted = attrs.evolve(
             listed,
             membership=Membership(replica, 1, 0, MemberPhase.OPEN),
             born=target.incarnations,
@@ -275,7 +283,7 @@
             if known.partition('-')[0] == target.name
         ]
         gone = dict.fromkeys(earlier)
-        node.fleet.apply_instances({**gone, name: anew}, False)
+        node.fleet.apply_instances({**gone, name: restarted}, False)
         record = ReplicaRecord(
             replica,
             1,
@@ -298,18 +306,18 @@
     seconds: float,
     per_second: float,
 ) -> list[ClientAnswer]:
-    """Ask nodes by turns at a rate; return what came back."""
-    ends = time.monotonic() + seconds
-    asked = []
+    """Send requests to the nodes in turn at a rate; return the answers."""
+    ends_at = time.monotonic() + seconds
+    tasks = []
     for number, node in enumerate(itertools.cycle(nodes)):
-        if time.monotonic() > ends:
+        if time.monotonic() > ends_at:
             break
-        asked.append(
+        tasks.append(
             await curio.spawn(_ask, node, path, body, f'{body[:3]!r}{number}'),
         )
         await curio.sleep(1 / per_second)
-    answers = [await task.join() for task in asked]
-    return [one for one in answers if one is not None]
+    answers = [await task.join() for task in tasks]
+    return [answer for answer in answers if answer is not None]
 
 
 async def _ask(
@@ -318,7 +326,7 @@
     body: bytes,
     request_id: str,
 ) -> ClientAnswer | None:
-    """Ask as a client does that does not mind a closed connection."""
+    """Send a request, and return None if the connection is closed."""
     try:
         return await node.ask(path, body=body, request_id=request_id)
     except HttpError:
--- a/tests/lib/limit_simulation.py
+++ b/tests/lib/limit_simulation.py
@@ -1,8 +1,8 @@
 """Many nodes before one target with a limit, in simulated time.
 
-The books and buckets are the product's; who lives is seen late, news may be
-lost, and requests arrive later than they were sent. Usage, by hand, for a table
-of the ways to divide a limit: python -m tests.lib.limit_simulation
+The throttles are the real ones. Membership is seen late, updates may be lost,
+and requests arrive later than they were sent. For a table of the ways to
+divide a limit, run: python -m tests.lib.limit_simulation
 """
 
 import functools
@@ -23,50 +23,52 @@
     ShareRule,
     TargetThrottle,
 )
-from tests.lib.spans import most_in_span
+from tests.lib.spans import max_in_window
 
-_LIFE = Incarnation('i1', 1)
+_INCARNATION = Incarnation('i1', 1)
 _DOMAINS = 3
-_A_SECOND_EACH = 10.0
-_RENEW_SECONDS = 0.5
-# News goes by links and relays; one in a hundred is lost.
-_NEWS_SECONDS = 0.005
-_LOST_PART = 0.01
-# How late a node sees who lives.
-_LEAST_LAG_SECONDS = 0.3
-_MOST_LAG_SECONDS = 1.0
-# One request in fifty waits for a connection first.
-_WAY_SECONDS = 0.002
-_SLOW_PART = 0.02
+_REQUESTS_PER_SECOND = 10.0
+_REFRESH_SECONDS = 0.5
+# Updates travel by links and relays; one in a hundred is lost.
+_UPDATE_SECONDS = 0.005
+_LOSS_FRACTION = 0.01
+# How late a node learns of membership changes.
+_MIN_LAG_SECONDS = 0.3
+_MAX_LAG_SECONDS = 1.0
+# One request in fifty waits for a new connection first.
+_TRANSIT_SECONDS = 0.002
+_SLOW_FRACTION = 0.02
 _SLOW_SECONDS = 0.08
 _ANSWER_SECONDS = 0.05
 
-# The users' rule begins so long after a limit was first named, and looks at
-# spans of so many seconds; the aim is two requests over the limit in them.
-RULE_BEGINS_SECONDS = 3.0
-SPAN_SECONDS = 4.0
-MOST_EXTRA = 2
-# A node counts from so long on after its first answer that names it.
-_TOLD_SECONDS = 0.5
+# The acceptance rule applies from this time after a limit was first announced,
+# and to windows of this length; the required bound is two requests above the
+# limit in them.
+MEASURED_FROM_SECONDS = 3.0
+WINDOW_SECONDS = 4.0
+WINDOW_TOLERANCE = 2
+# A node's requests count from this time after its first response with the
+# limit.
+_GRACE_SECONDS = 0.5
 
-_Due = tuple[float, int, Callable[[], None]]
-_Lives = tuple[float, frozenset[str]]
+_Event = tuple[float, int, Callable[[], None]]
+_Members = tuple[float, frozenset[str]]
 
 
-class DividedByAll:
-    """The way not taken: every node sends its part of the limit."""
+class DividedByAllNodes:
+    """A rejected alternative: every node sends its part of the limit."""
 
     def max_nodes(self, _limit: float) -> int:
         """Return how many nodes may send at most."""
         return sys.maxsize
 
     def share(self, limit: float, nodes: int) -> Share:
-        """Return what each of so many nodes may send."""
+        """Return what each of a number of nodes may send."""
         return Share(limit / nodes, 1)
 
 
-class OneNode(FewestNodes):
-    """The other way not taken: one node sends all."""
+class SingleNode(FewestNodes):
+    """Another rejected alternative: one node sends all."""
 
     def max_nodes(self, _limit: float) -> int:
         """Return how many nodes may send at most."""
@@ -75,20 +77,20 @@
 
 @attrs.define
 class Node:
-    """One node, and since when it lives."""
+    """One node and its throttle."""
 
     name: str
     domain: int
-    gate: TargetThrottle
+    throttle: TargetThrottle
     lag: float
     is_alive: bool = True
-    is_cut: bool = False
-    # When it had the first answer that names a limit.
-    told_at: float | None = None
+    is_isolated: bool = False
+    # When it got the first response with a limit.
+    informed_at: float | None = None
 
 
 class LimitSimulation:
-    """A target that names a limit from the start, and the nodes before it."""
+    """A target that announces a limit from the start, and its nodes."""
 
     def __init__(
         self,
@@ -98,183 +100,199 @@
         rule: ShareRule | None = None,
         seed: int = 1,
     ) -> None:
-        """Build everything; nothing runs until ``run``."""
+        """Create all nodes; nothing runs until ``run``."""
         self.now = float(0)
         self.limit: float | None = limit
-        self.per_second = _A_SECOND_EACH
+        self.per_second = _REQUESTS_PER_SECOND
         self.arrivals: list[tuple[float, str]] = []
-        # Nodes that the others do not hear now, though they live.
-        self.hidden: set[str] = set()
+        # Nodes that the others do not see now, though they are alive.
+        self.invisible: set[str] = set()
         self._rule = rule or FewestNodes()
         self._random = random.Random(seed)
         self._numbers: Iterator[int] = itertools.count()
-        self._due: list[_Due] = []
-        # Who lived from when on, the last at the end.
-        self._lived: list[_Lives] = [(float('-inf'), frozenset())]
+        self._events: list[_Event] = []
+        # The live nodes from each time on, the latest last.
+        self._membership: list[_Members] = [(float('-inf'), frozenset())]
         self.nodes: dict[str, Node] = {}
         for number in range(nodes):
             self.start(f'node-{number:03}', number % _DOMAINS)
-        self._lived[0] = (float('-inf'), frozenset(self.nodes))
+        self._membership[0] = (float('-inf'), frozenset(self.nodes))
 
     def run(self, seconds: float) -> None:
-        """Let the time go on."""
+        """Advance the simulated time."""
         until = self.now + seconds
-        while self._due and self._due[0][0] <= until:
-            due_at, _number, event = heapq.heappop(self._due)
+        while self._events and self._events[0][0] <= until:
+            due_at, _number, event = heapq.heappop(self._events)
             self.now = due_at
             event()
         self.now = until
 
     def start(self, name: str, domain: int = 0) -> None:
-        """Start a node, anew if there was one of that name."""
-        lag = self._random.uniform(_LEAST_LAG_SECONDS, _MOST_LAG_SECONDS)
-        gate = TargetThrottle(
-            lambda _domain, _name, most: self._sharing_nodes(name, most),
-            publish=lambda told: self._tell(node, told),
+        """Start a node, or restart the one of that name."""
+        lag = self._random.uniform(_MIN_LAG_SECONDS, _MAX_LAG_SECONDS)
+        throttle = TargetThrottle(
+            lambda _domain, _name, max_nodes: self._sharing_nodes(
+                name, max_nodes
+            ),
+            publish=lambda updates: self._publish(node, updates),
             clock=lambda: self.now,
             rule=self._rule,
         )
-        node = Node(name, domain, gate, lag)
+        node = Node(name, domain, throttle, lag)
         self.nodes[name] = node
-        self._note_lives()
-        self._at(self._pause(), functools.partial(self._ask, node))
-        first = self._random.uniform(0, _RENEW_SECONDS)
-        self._at(first, functools.partial(self._renew, node))
+        self._record_membership()
+        self._schedule(self._interval(), functools.partial(self._send, node))
+        first = self._random.uniform(0, _REFRESH_SECONDS)
+        self._schedule(first, functools.partial(self._refresh, node))
 
     def stop(self, name: str) -> None:
-        """End a node at once."""
+        """Stop a node at once."""
         self.nodes[name].is_alive = False
-        self._note_lives()
+        self._record_membership()
 
     def senders(self) -> list[str]:
-        """Return the nodes that send now."""
+        """Return the nodes that may send now."""
         return [
             node.name
             for node in self._alive()
-            if node.gate.share_of(_LIFE) is not None
+            if node.throttle.share_of(_INCARNATION) is not None
         ]
 
-    def most_in_span(
+    def max_in_window(
         self,
         since: float,
         without: Collection[str] = (),
         *,
-        only_told: bool = False,
+        only_informed: bool = False,
     ) -> int:
-        """Return the most arrivals in any of the rule's spans.
+        """Return the maximum number of arrivals in any window.
 
-        With ``only_told`` those count that come half a second or more after
-        their node had an answer that names the limit, as the rule has it.
+        With ``only_informed``, only arrivals count that come half a second or
+        more after their node got a response with the limit, as the acceptance
+        rule has it.
         """
         times = sorted(
             at
             for at, name in self.arrivals
             if at >= since
             and name not in without
-            and not (only_told and at < self._counted_from(name))
+            and not (only_informed and at < self._counted_from(name))
         )
-        return most_in_span(times, SPAN_SECONDS)
+        return max_in_window(times, WINDOW_SECONDS)
 
     def per_second_between(self, since: float, until: float) -> float:
-        """Return the arrivals a second in a span."""
+        """Return the arrivals per second in a period."""
         count = sum(since <= at < until for at, _name in self.arrivals)
         return count / (until - since)
 
     def _counted_from(self, name: str) -> float:
-        told_at = self.nodes[name].told_at
-        return float('inf') if told_at is None else told_at + _TOLD_SECONDS
+        informed_at = self.nodes[name].informed_at
+        return (
+            float('inf')
+            if informed_at is None
+            else informed_at + _GRACE_SECONDS
+        )
 
     def _alive(self) -> list[Node]:
         return [node for node in self.nodes.values() if node.is_alive]
 
-    def _note_lives(self) -> None:
+    def _record_membership(self) -> None:
         names = frozenset(node.name for node in self._alive())
-        self._lived.append((self.now, names))
+        self._membership.append((self.now, names))
 
-    def _sharing_nodes(self, name: str, most: int) -> int:
+    def _sharing_nodes(self, name: str, max_nodes: int) -> int:
         node = self.nodes[name]
-        believed = {name}
-        if not node.is_cut:
-            believed |= self._seen(self.now - node.lag) - self.hidden
-        near = {one for one in believed if not self.nodes[one].domain}
-        chosen = top_ranked_names(near or {name}, _LIFE.id, most)
+        visible = {name}
+        if not node.is_isolated:
+            visible |= self._members_at(self.now - node.lag) - self.invisible
+        local = {one for one in visible if not self.nodes[one].domain}
+        chosen = top_ranked_names(local or {name}, _INCARNATION.id, max_nodes)
         return len(chosen) if name in chosen else 0
 
-    def _seen(self, at: float) -> frozenset[str]:
+    def _members_at(self, at: float) -> frozenset[str]:
         return next(
-            names for since, names in reversed(self._lived) if since <= at
+            names for since, names in reversed(self._membership) if since <= at
         )
 
-    def _tell(self, teller: Node, told: Sequence[LimitUpdate]) -> None:
+    def _publish(self, sender: Node, updates: Sequence[LimitUpdate]) -> None:
         for node in self._alive():
-            if node is teller or node.is_cut or teller.is_cut:
+            if node is sender or node.is_isolated or sender.is_isolated:
                 continue
-            if self._random.random() >= _LOST_PART:
-                hear = functools.partial(
-                    node.gate.merge_updates, told, teller.name
+            if self._random.random() >= _LOSS_FRACTION:
+                deliver = functools.partial(
+                    node.throttle.merge_updates, updates, sender.name
                 )
-                self._at(_NEWS_SECONDS, hear)
+                self._schedule(_UPDATE_SECONDS, deliver)
 
-    def _renew(self, node: Node) -> None:
+    def _refresh(self, node: Node) -> None:
         if node.is_alive:
-            node.gate.refresh({_LIFE})
-            self._at(_RENEW_SECONDS, functools.partial(self._renew, node))
+            node.throttle.refresh({_INCARNATION})
+            self._schedule(
+                _REFRESH_SECONDS, functools.partial(self._refresh, node)
+            )
 
-    def _ask(self, node: Node) -> None:
+    def _send(self, node: Node) -> None:
         if not node.is_alive:
             return
-        self._at(self._pause(), functools.partial(self._ask, node))
-        if not node.gate.accepts(_LIFE):
+        self._schedule(self._interval(), functools.partial(self._send, node))
+        if not node.throttle.accepts(_INCARNATION):
             return
-        node.gate.record_sent(_LIFE)
-        is_slow = self._random.random() < _SLOW_PART
-        way = _SLOW_SECONDS if is_slow else _WAY_SECONDS
-        self._at(way, functools.partial(self._arrive, node, self.now))
+        node.throttle.record_sent(_INCARNATION)
+        is_slow = self._random.random() < _SLOW_FRACTION
+        transit_seconds = _SLOW_SECONDS if is_slow else _TRANSIT_SECONDS
+        self._schedule(
+            transit_seconds, functools.partial(self._receive, node, self.now)
+        )
 
-    def _arrive(self, node: Node, sent_at: float) -> None:
+    def _receive(self, node: Node, sent_at: float) -> None:
         self.arrivals.append((self.now, node.name))
         facts = AnswerFacts('r', True, False, limit=self.limit)
-        self._at(
+        self._schedule(
             self._random.expovariate(1 / _ANSWER_SECONDS),
-            functools.partial(self._answer, node, facts, sent_at),
+            functools.partial(self._respond, node, facts, sent_at),
         )
 
-    def _answer(self, node: Node, facts: AnswerFacts, sent_at: float) -> None:
-        if facts.limit is not None and node.told_at is None:
-            node.told_at = self.now
-        node.gate.record_response(_LIFE, facts, sent_at)
+    def _respond(self, node: Node, facts: AnswerFacts, sent_at: float) -> None:
+        if facts.limit is not None and node.informed_at is None:
+            node.informed_at = self.now
+        node.throttle.record_response(_INCARNATION, facts, sent_at)
 
-    def _pause(self) -> float:
+    def _interval(self) -> float:
         return self._random.expovariate(self.per_second)
 
-    def _at(self, seconds: float, event: Callable[[], None]) -> None:
+    def _schedule(self, seconds: float, event: Callable[[], None]) -> None:
         due = (self.now + seconds, next(self._numbers), event)
-        heapq.heappush(self._due, due)
+        heapq.heappush(self._events, due)
 
 
 def _main() -> None:
-    """Print what each way lets through, beside the aim."""
-    rules: tuple[ShareRule, ...] = (DividedByAll(), OneNode(), FewestNodes())
+    """Print what each way lets through, and the required bound."""
+    share_rules: tuple[ShareRule, ...] = (
+        DividedByAllNodes(),
+        SingleNode(),
+        FewestNodes(),
+    )
     for nodes, limit in itertools.product(
         (4, 9, 30, 78, 300),
         (0.3, 1.4, 2.0, 5.0, 10.0, 50.0),
     ):
-        told = []
-        for rule in rules:
-            most, used = _measured(nodes, limit, rule)
-            told.append(f'{most:4} {used:5.2f}')
-        aim = int(limit * SPAN_SECONDS + MOST_EXTRA)
-        row = ' | '.join((f'{nodes:4} {limit:5} {aim:4}', *told))
+        columns = []
+        for rule in share_rules:
+            max_requests, used = _measure(nodes, limit, rule)
+            columns.append(f'{max_requests:4} {used:5.2f}')
+        bound = int(limit * WINDOW_SECONDS + WINDOW_TOLERANCE)
+        row = ' | '.join((f'{nodes:4} {limit:5} {bound:4}', *columns))
         sys.stdout.write(f'{row}\n')
 
 
-def _measured(nodes: int, limit: float, rule: ShareRule) -> tuple[int, float]:
+def _measure(nodes: int, limit: float, rule: ShareRule) -> tuple[int, float]:
     seconds = max(30, 20 / limit)
-    world = LimitSimulation(nodes, limit, rule=rule)
-    world.run(RULE_BEGINS_SECONDS + seconds)
+    simulation = LimitSimulation(nodes, limit, rule=rule)
+    simulation.run(MEASURED_FROM_SECONDS + seconds)
     return (
-        world.most_in_span(RULE_BEGINS_SECONDS),
-        world.per_second_between(RULE_BEGINS_SECONDS, world.now) / limit,
+        simulation.max_in_window(MEASURED_FROM_SECONDS),
+        simulation.per_second_between(MEASURED_FROM_SECONDS, simulation.now)
+        / limit,
     )
 
 
--- a/tests/lib/throttling_targets.py
+++ b/tests/lib/throttling_targets.py
@@ -1,4 +1,4 @@
-"""Targets that say what load they take, before several nodes."""
+"""Targets that announce limits and back-offs, before several nodes."""
 
 import functools
 import itertools
@@ -21,15 +21,15 @@
     FakeTarget,
     GatewayWorld,
 )
-from tests.lib.spans import most_in_span
+from tests.lib.spans import max_in_window
 
 _EVENTS = 3
 _EVENT_SECONDS = 0.01
 _OK = 200
-_LOOK_SECONDS = 0.01
-# Half of what routes allow: less than that ended no request.
+_CHECK_SECONDS = 0.01
+# Half of what routes allow: shorter pauses never ended a request.
 _PAUSE_SECONDS = 1.0
-_PAST_THEIR_TIME = (
+_TIMEOUT_MARKERS = (
     b'"timeout_passed"',
     b'was silent for',
     b'no time is left for any target',
@@ -37,20 +37,20 @@
 
 
 @attrs.frozen
-class Words:
-    """What a target says with an answer: header lines, and a refusal."""
+class Announcement:
+    """What a target announces with a response: header lines, and a refusal."""
 
     lines: str = ''
     refuses: bool = False
 
 
-# What a target says so many seconds after the start.
-Says = Callable[[str, float], Words]
+# Returns what a target announces at a time in seconds after the start.
+Announce = Callable[[str, float], Announcement]
 
 
 @attrs.frozen
 class Arrival:
-    """A request of a node that came to a target, and what that said.
+    """A request of a node that arrived at a target, and the announcement.
 
     ``at`` is in seconds after the start.
     """
@@ -58,7 +58,7 @@
     at: float
     target: str
     node: int
-    words: Words
+    announcement: Announcement
 
 
 class ThrottlingDeployment:
@@ -68,16 +68,16 @@
         self,
         nodes: int,
         targets: int,
-        says: Says,
+        announce: Announce,
         *,
         service: str = ENGINES,
     ) -> None:
-        """Build everything; nothing runs until ``run``."""
+        """Create everything; nothing runs until ``run``."""
         self.arrivals: list[Arrival] = []
-        # For how long everything here stood still at the most, in seconds.
+        # The longest time that this process stood still, in seconds.
         self.longest_pause = float(0)
         self.service = service
-        self._says = says
+        self._announce = announce
         self._started_at = time.monotonic()
         self.targets = [
             FakeTarget(name, functools.partial(self._serve, name))
@@ -92,17 +92,17 @@
 
     async def run(
         self,
-        play: Callable[['ThrottlingDeployment'], Awaitable[None]],
+        scenario: Callable[['ThrottlingDeployment'], Awaitable[None]],
     ) -> None:
-        """Run everything while a play lasts."""
+        """Run everything while a scenario lasts."""
         tasks = [await curio.spawn(target.run) for target in self.targets]
-        tasks.append(await curio.spawn(self._watch))
+        tasks.append(await curio.spawn(self._measure_pauses))
         for node in self.nodes:
             node.server.open()
             tasks.append(await curio.spawn(node.server.run))
         self._started_at = time.monotonic()
         try:
-            await play(self)
+            await scenario(self)
         finally:
             for task in tasks:
                 await task.cancel()
@@ -113,8 +113,8 @@
         per_second: float,
         nodes: Sequence[GatewayWorld] = (),
     ) -> list[ClientAnswer]:
-        """Ask nodes by turns at a rate; return what came back."""
-        asked = []
+        """Send requests to the nodes in turn at a rate; return the answers."""
+        tasks = []
         started = time.monotonic()
         turns = itertools.cycle(nodes or self.nodes)
         for number, node in enumerate(turns):
@@ -122,15 +122,15 @@
             if due > started + seconds:
                 break
             await curio.sleep(max(0, due - time.monotonic()))
-            asked.append(await curio.spawn(self._ask, node, number))
-        answers = [await task.join() for task in asked]
+            tasks.append(await curio.spawn(self._ask, node, number))
+        answers = [await task.join() for task in tasks]
         return [one for one in answers if one is not None]
 
     def not_served(self, answers: Sequence[ClientAnswer]) -> list[ClientAnswer]:
-        """Return the answers that are none, but for those a pause explains.
+        """Return the failed answers, except those that a pause explains.
 
-        On a machine with more to do than it can this whole process stands
-        still for seconds, and the requests under way are past their time then.
+        On an overloaded machine this whole process may stand still for
+        seconds, so that the requests in flight time out.
         """
         failed = [one for one in answers if one.status != _OK]
         if self.longest_pause < _PAUSE_SECONDS:
@@ -138,18 +138,18 @@
         return [
             one
             for one in failed
-            if not any(code in one.body for code in _PAST_THEIR_TIME)
+            if not any(code in one.body for code in _TIMEOUT_MARKERS)
         ]
 
-    def most_within(
+    def max_within(
         self,
         seconds: float,
         targets: Sequence[str],
         since: float,
     ) -> int:
-        """Return the most arrivals at one target in any span of a length."""
+        """Return the most arrivals at one target in any window of a length."""
         return max(
-            most_in_span(
+            max_in_window(
                 [
                     one.at
                     for one in self.arrivals
@@ -160,31 +160,33 @@
             for target in targets
         )
 
-    def most_in_rest(self, rest_seconds: float, from_seconds: float) -> int:
-        """Return the most requests of one node at a target within one rest.
+    def max_in_backoff(
+        self, backoff_seconds: float, grace_seconds: float
+    ) -> int:
+        """Return the most requests of one node at a target during one back-off.
 
-        A rest is told with each refusal; those count that come so many seconds
-        after it or later.
+        A back-off begins with a refusal; requests count from a grace period
+        after it.
         """
         return max(
             sum(
-                later.target == told.target
-                and later.node == told.node
-                and from_seconds < later.at - told.at < rest_seconds
+                later.target == refusal.target
+                and later.node == refusal.node
+                and grace_seconds < later.at - refusal.at < backoff_seconds
                 for later in self.arrivals
             )
-            for told in self.arrivals
-            if told.words.refuses
+            for refusal in self.arrivals
+            if refusal.announcement.refuses
         )
 
-    def after_word(self, seconds: float) -> int:
-        """Count requests that came to a target from a node it had told.
+    def arrivals_after_announcement(self, seconds: float) -> int:
+        """Count the requests of nodes to targets that had announced something.
 
-        Those count that come so many seconds after the first such answer.
+        Requests count from a number of seconds after the first such response.
         """
         first: dict[tuple[str, int], float] = {}
         for one in self.arrivals:
-            if one.words.lines:
+            if one.announcement.lines:
                 first.setdefault((one.target, one.node), one.at)
         return sum(
             one.at > first.get((one.target, one.node), one.at) + seconds
@@ -192,22 +194,22 @@
         )
 
     def count(self, target: str, since: float, until: float) -> int:
-        """Return the arrivals at a target in a span."""
+        """Return the arrivals at a target in a period."""
         return sum(
             one.target == target and since <= one.at < until
             for one in self.arrivals
         )
 
     def _new_node(self, number: int) -> GatewayWorld:
-        """Build a node that hears the others, and sends by the first names."""
+        """Create a node that is connected to the others."""
         node = GatewayWorld(
             service=self.service,
             others={target.name: target for target in self.targets},
             seed=number,
         )
         node.sharing_node_count = functools.partial(self._sharing_nodes, number)
-        node.tell_limits = functools.partial(self._tell_limits, number)
-        node.tell_leaving = functools.partial(self._tell_leaving, number)
+        node.tell_limits = functools.partial(self._publish_limits, number)
+        node.tell_leaving = functools.partial(self._publish_leaving, number)
         return node
 
     def _sharing_nodes(
@@ -215,28 +217,30 @@
         number: int,
         _domain: str,
         name: str,
-        most: int,
+        max_nodes: int,
     ) -> int:
-        """Rank nodes as the mesh does, by the numbers of node and target."""
+        """Rank nodes by the numbers of node and target, as the mesh would."""
         count = len(self.nodes)
-        turn = (number - zlib.crc32(name.encode())) % count
-        return min(most, count) if turn < most else 0
+        position = (number - zlib.crc32(name.encode())) % count
+        return min(max_nodes, count) if position < max_nodes else 0
 
-    def _tell_limits(self, teller: int, told: Sequence[LimitUpdate]) -> None:
-        for node in self._others(teller):
-            node.router.throttle.merge_updates(told, f'node-{teller}')
+    def _publish_limits(
+        self, sender: int, updates: Sequence[LimitUpdate]
+    ) -> None:
+        for node in self._others(sender):
+            node.router.throttle.merge_updates(updates, f'node-{sender}')
 
-    def _tell_leaving(self, teller: int, incarnation: Incarnation) -> None:
-        for node in self._others(teller):
-            mark_leaving(node.fleet, incarnation, f'node-{teller}')
+    def _publish_leaving(self, sender: int, incarnation: Incarnation) -> None:
+        for node in self._others(sender):
+            mark_leaving(node.fleet, incarnation, f'node-{sender}')
 
-    def _others(self, teller: int) -> list[GatewayWorld]:
-        return self.nodes[:teller] + self.nodes[teller + 1 :]
+    def _others(self, sender: int) -> list[GatewayWorld]:
+        return self.nodes[:sender] + self.nodes[sender + 1 :]
 
-    async def _watch(self) -> None:
+    async def _measure_pauses(self) -> None:
         while True:
             before = time.monotonic()
-            await curio.sleep(_LOOK_SECONDS)
+            await curio.sleep(_CHECK_SECONDS)
             pause = time.monotonic() - before
             self.longest_pause = max(self.longest_pause, pause)
 
@@ -254,16 +258,16 @@
 
     async def _serve(self, name: str, exchange: Exchange) -> None:
         node = int(exchange.headers['request-id'].partition('.')[0])
-        words = self._says(name, self.now)
-        self.arrivals.append(Arrival(self.now, name, node, words))
-        if words.refuses:
-            refusal = f'not-executed: 1\r\n{words.lines}'
+        announcement = self._announce(name, self.now)
+        self.arrivals.append(Arrival(self.now, name, node, announcement))
+        if announcement.refuses:
+            refusal = f'not-executed: 1\r\n{announcement.lines}'
             await exchange.answer(b'full', 503, signature='', extra=refusal)
         elif self.service == PLAIN:
             await curio.sleep(_EVENTS * _EVENT_SECONDS)
-            await exchange.answer(b'fine', extra=words.lines)
+            await exchange.answer(b'fine', extra=announcement.lines)
         else:
-            await exchange.start_stream(words.lines)
+            await exchange.start_stream(announcement.lines)
             for event in range(1, _EVENTS):
                 await exchange.events(event, event)
                 await curio.sleep(_EVENT_SECONDS)
--- a/tests/unit/test_broken_plain_instances.py
+++ b/tests/unit/test_broken_plain_instances.py
@@ -1,9 +1,8 @@
-"""Instances of a plain service that go down and up.
+"""Plain service instances that restart repeatedly are ejected by all nodes.
 
-One of three did, for 6 s: 22 calls that must not run twice were sent to it by
-22 nodes, each of which lost its one: '10.3.64.89:8008 broke the connection'
-from ten nodes within a third of a second. Each node sends it too little to
-learn anything by itself.
+Each of many nodes sends such an instance too few calls to detect the failure
+alone: one of three instances restarted for 6 s, and 22 calls that must not be
+repeated failed at 22 different nodes, ten of them within a third of a second.
 """
 
 from unittest import TestCase, mock
@@ -19,7 +18,7 @@
 _CALLS = 12
 
 
-async def _whole(exchange: Exchange) -> None:
+async def _succeed(exchange: Exchange) -> None:
     await exchange.answer(b'whole')
 
 
@@ -31,49 +30,49 @@
     await exchange.answer(b'no', 500)
 
 
-class BrokenPlainTest(TestCase):
-    """What a node does once one of its plain targets broke a connection."""
+class BrokenPlainInstanceTest(TestCase):
+    """What a node does when a plain instance breaks a connection."""
 
-    def test_it_is_passed_over_at_once(self) -> None:
-        """One call is lost, and all nodes are told once."""
-        world = GatewayWorld(_whole, _break, service=PLAIN)
+    def test_a_broken_connection_ejects_at_once(self) -> None:
+        """At most one call fails, and the other nodes are told once."""
+        world = GatewayWorld(_succeed, _break, service=PLAIN)
         curio.run(world.run, self._write)
         self.assertLessEqual(self.statuses.count(502), 1)
         self.assertEqual(len(world.told_broken), self.statuses.count(502))
 
-    def test_what_another_node_told_is_heeded(self) -> None:
-        """No call is lost to it."""
-        world = GatewayWorld(_whole, _break, service=PLAIN)
+    def test_an_instance_reported_by_another_node_is_avoided(self) -> None:
+        """No call fails at an instance that another node reported."""
+        world = GatewayWorld(_succeed, _break, service=PLAIN)
         world.router.eject_reported(world.fleet.instances['i1'].incarnation)
         curio.run(world.run, self._write)
         self.assertEqual(set(self.statuses), {200})
 
-    def test_the_others_are_full(self) -> None:
-        """Rather than refusing, the one that is passed over is tried."""
-        world = GatewayWorld(_whole, _whole, service=PLAIN)
+    def test_an_ejected_instance_is_used_when_others_are_full(self) -> None:
+        """It is tried rather than refusing the call."""
+        world = GatewayWorld(_succeed, _succeed, service=PLAIN)
         first, second = world.fleet.available(PLAIN)
         world.router.eject_reported(second.incarnation)
-        call = RoutingRequest(CONFIG, CONFIG.routes[0], PLAIN, '', 0, 2)
-        for _held in range(first.slots * 3):
-            self.assertIs(world.router.choose(call).instance, first)
+        request = RoutingRequest(CONFIG, CONFIG.routes[0], PLAIN, '', 0, 2)
+        for _number in range(first.slots * 3):
+            self.assertIs(world.router.choose(request).instance, first)
             world.router.in_flight_counts()[first.id] += 1
-        self.assertIs(world.router.choose(call).instance, second)
+        self.assertIs(world.router.choose(request).instance, second)
 
-    def test_all_break(self) -> None:
-        """Each call is still tried: nobody is told the same again and again."""
+    def test_all_instances_break_connections(self) -> None:
+        """Each call is still sent, and each instance is reported once."""
         world = GatewayWorld(_break, _break, service=PLAIN)
         curio.run(world.run, self._write)
         self.assertEqual(set(self.statuses), {502})
         self.assertLessEqual(len(world.told_broken), 2)
 
-    def test_an_error_is_no_broken_connection(self) -> None:
-        """A call may be at fault itself: three in a row count, as before."""
-        world = GatewayWorld(_whole, _fail, service=PLAIN)
+    def test_an_error_response_does_not_eject(self) -> None:
+        """The call itself may be at fault: only three in a row count."""
+        world = GatewayWorld(_succeed, _fail, service=PLAIN)
         curio.run(world.run, self._write)
         self.assertFalse(world.told_broken)
 
-    def test_it_is_tried_again_after_a_second(self) -> None:
-        """What it broke once does not keep it out."""
+    def test_a_reported_instance_is_ejected_for_a_second(self) -> None:
+        """One broken connection does not exclude it for longer."""
         clock = mock.Mock(return_value=5)
         ejection = OutlierEjection(clock)
         ejection.eject_reported(Incarnation('a'))
@@ -81,11 +80,11 @@
         clock.return_value = 6.1
         self.assertFalse(ejection.is_ejected(Incarnation('a')))
 
-    def test_drawn_faults(self) -> None:
-        """Told to all, less than half of the calls fail."""
-        alone, at_once, told = _plain.measure().values()
-        self.assertLess(told, alone / 2)
-        self.assertLess(told, at_once / 2)
+    def test_reports_halve_failures_under_random_faults(self) -> None:
+        """With reports to all nodes, less than half of the calls fail."""
+        unshared, at_once, shared = _plain.measure().values()
+        self.assertLess(shared, unshared / 2)
+        self.assertLess(shared, at_once / 2)
 
     async def _write(self, world: GatewayWorld) -> None:
         self.statuses = [
--- a/tests/unit/test_connection_limit.py
+++ b/tests/unit/test_connection_limit.py
@@ -1,8 +1,8 @@
-"""A node that says it is ready takes new connections, or says it is not.
+"""A node that reports ready accepts new connections.
 
-At the bound of its connections a server closed each new one without a word,
-while the balancer was told that it is ready; out of descriptors it left new
-ones waiting. Requests that came on them were lost, however little was to do.
+At its connection limit a server closed each new connection without a response
+while the load balancer was told that it is ready, and out of file descriptors
+it left new ones waiting. Their requests were lost even under little load.
 """
 
 import contextlib
@@ -27,34 +27,36 @@
 from tests.lib.waiting import until
 
 _LIMIT = 4
-_SOON_SECONDS = 3.0
+_MAX_WAIT_SECONDS = 3.0
 
 
-class Serving:
-    """A server with few places, whose requests end when a test says so."""
+class ServerHarness:
+    """A server with few connections, whose long requests end on a signal."""
 
     def __init__(self, limit: int = _LIMIT) -> None:
-        """Keep the bound; nothing listens until ``run``."""
+        """Set the limit; nothing listens until ``run``."""
         self.server = HttpServer(
             Address('127.0.0.1', 0),
             self._handle,
             ServerLimits(connections=limit),
         )
         self.end = curio.Event()
-        self.inside = 0
-        self.most = 0
+        self.in_progress = 0
+        self.max_in_progress = 0
 
-    async def run(self, play: Callable[['Serving'], Awaitable[None]]) -> None:
-        """Listen while a play lasts."""
+    async def run(
+        self, scenario: Callable[['ServerHarness'], Awaitable[None]]
+    ) -> None:
+        """Listen while a scenario lasts."""
         self.server.open()
-        serving = await curio.spawn(self.server.run)
+        server_task = await curio.spawn(self.server.run)
         try:
-            await play(self)
+            await scenario(self)
         finally:
-            await serving.cancel()
+            await server_task.cancel()
 
     async def connect(self, count: int) -> list[HttpConnection]:
-        """Open connections that ask nothing yet."""
+        """Open connections without sending a request."""
         found = []
         for _number in range(count):
             found.append(await HttpConnection.open(self.server.address))
@@ -62,111 +64,111 @@
         return found
 
     async def _handle(self, request: Request, responder: Responder) -> None:
-        self.inside += 1
-        self.most = max(self.most, self.inside)
+        self.in_progress += 1
+        self.max_in_progress = max(self.max_in_progress, self.in_progress)
         if request.path == '/long':
             await self.end.wait()
-        self.inside -= 1
+        self.in_progress -= 1
         await responder.send(Response(200))
 
 
-class RoomTest(unittest.TestCase):
-    """What becomes of one connection more."""
+class ConnectionLimitTest(unittest.TestCase):
+    """A further connection at the connection limit."""
 
-    def test_idle_ones_make_room(self) -> None:
-        """The longest idle ones go, the others stay."""
-        curio.run(Serving().run, self._idle)
+    def test_idle_connections_are_closed(self) -> None:
+        """The longest idle one is closed, the others stay."""
+        curio.run(ServerHarness().run, self._idle)
 
-    def test_all_are_busy(self) -> None:
-        """The server says so, and what waits is served in its turn."""
-        curio.run(Serving().run, self._busy)
+    def test_all_connections_are_busy(self) -> None:
+        """The server reports that it is full, and serves what waits in turn."""
+        curio.run(ServerHarness().run, self._busy)
 
-    def test_many_at_once(self) -> None:
-        """The bound holds also before the first of them was served."""
-        curio.run(Serving().run, self._many)
+    def test_many_connections_at_once(self) -> None:
+        """The limit holds even before the first of them is served."""
+        curio.run(ServerHarness().run, self._many)
 
     def test_out_of_descriptors(self) -> None:
-        """Idle ones make room there as well."""
-        curio.run(Serving(1000).run, self._without_descriptors)
+        """Idle connections are closed here as well."""
+        curio.run(ServerHarness(1000).run, self._without_descriptors)
 
-    def test_out_of_descriptors_and_busy(self) -> None:
-        """Then the server says that it takes nothing."""
-        curio.run(Serving(1000).run, self._busy_without_descriptors)
+    def test_out_of_descriptors_while_busy(self) -> None:
+        """The server reports that it is full."""
+        curio.run(ServerHarness(1000).run, self._busy_without_descriptors)
 
-    async def _idle(self, serving: Serving) -> None:
-        kept = await serving.connect(_LIMIT)
+    async def _idle(self, harness: ServerHarness) -> None:
+        connections = await harness.connect(_LIMIT)
         started = time.monotonic()
-        late = await HttpConnection.open(serving.server.address)
-        self.assertEqual(await _status(late), 200)
-        self.assertLess(time.monotonic() - started, _SOON_SECONDS)
+        additional = await HttpConnection.open(harness.server.address)
+        self.assertEqual(await _status(additional), 200)
+        self.assertLess(time.monotonic() - started, _MAX_WAIT_SECONDS)
         with self.assertRaises(ConnectionBrokenError):
-            await kept[0].send_and_read_head(Request('GET', '/'))
-        self.assertEqual(await _status(kept[-1]), 200)
-        self.assertFalse(serving.server.is_full)
-        await _close(late, *kept)
-
-    async def _busy(self, serving: Serving) -> None:
-        kept = await serving.connect(_LIMIT)
-        await _occupy(serving, kept)
-        self.assertFalse(serving.server.is_full)
-        late = await HttpConnection.open(serving.server.address)
-        await late.send(Request('GET', '/'))
-        await until(lambda: serving.server.is_full)
-        await serving.end.set()
-        self.assertEqual((await late.read_head()).status, 200)
-        for one in kept:
-            self.assertEqual((await one.read_head()).status, 200)
-        self.assertFalse(serving.server.is_full)
-        await _close(late, *kept)
-
-    async def _many(self, serving: Serving) -> None:
+            await connections[0].send_and_read_head(Request('GET', '/'))
+        self.assertEqual(await _status(connections[-1]), 200)
+        self.assertFalse(harness.server.is_full)
+        await _close(additional, *connections)
+
+    async def _busy(self, harness: ServerHarness) -> None:
+        connections = await harness.connect(_LIMIT)
+        await _occupy(harness, connections)
+        self.assertFalse(harness.server.is_full)
+        additional = await HttpConnection.open(harness.server.address)
+        await additional.send(Request('GET', '/'))
+        await until(lambda: harness.server.is_full)
+        await harness.end.set()
+        self.assertEqual((await additional.read_head()).status, 200)
+        for connection in connections:
+            self.assertEqual((await connection.read_head()).status, 200)
+        self.assertFalse(harness.server.is_full)
+        await _close(additional, *connections)
+
+    async def _many(self, harness: ServerHarness) -> None:
         socks = [socket.socket() for _number in range(3 * _LIMIT)]
-        address = serving.server.address
+        address = harness.server.address
         for sock in socks:
-            # All stand in the listener's queue before it looks.
+            # All wait in the listener's backlog before it accepts any.
             sock.connect((address.host, address.port))
             sock.sendall(b'GET /long HTTP/1.1\r\nhost: x\r\n\r\n')
-        await until(lambda: serving.server.is_full)
-        await serving.end.set()
+        await until(lambda: harness.server.is_full)
+        await harness.end.set()
         for sock in socks:
             answered = await curio.io.Socket(sock).recv(65536)
             self.assertIn(b' 200 ', answered)
-        self.assertLessEqual(serving.most, _LIMIT)
+        self.assertLessEqual(harness.max_in_progress, _LIMIT)
         for sock in socks:
             sock.close()
 
-    async def _without_descriptors(self, serving: Serving) -> None:
-        kept = await serving.connect(2)
-        with _few_descriptors(1):
-            late = await HttpConnection.open(serving.server.address)
+    async def _without_descriptors(self, harness: ServerHarness) -> None:
+        connections = await harness.connect(2)
+        with _limit_descriptors(1):
+            additional = await HttpConnection.open(harness.server.address)
             head = await curio.timeout_after(
-                _SOON_SECONDS,
-                late.send_and_read_head,
+                _MAX_WAIT_SECONDS,
+                additional.send_and_read_head,
                 Request('GET', '/'),
             )
         self.assertEqual(head.status, 200)
-        await _close(late, *kept)
+        await _close(additional, *connections)
 
-    async def _busy_without_descriptors(self, serving: Serving) -> None:
-        kept = await serving.connect(2)
-        await _occupy(serving, kept)
-        with _few_descriptors(1):
-            late = await HttpConnection.open(serving.server.address)
-            await late.send(Request('GET', '/'))
-            await until(lambda: serving.server.is_full)
-        await serving.end.set()
-        self.assertEqual((await late.read_head()).status, 200)
-        await until(lambda: not serving.server.is_full)
-        await _close(late, *kept)
+    async def _busy_without_descriptors(self, harness: ServerHarness) -> None:
+        connections = await harness.connect(2)
+        await _occupy(harness, connections)
+        with _limit_descriptors(1):
+            additional = await HttpConnection.open(harness.server.address)
+            await additional.send(Request('GET', '/'))
+            await until(lambda: harness.server.is_full)
+        await harness.end.set()
+        self.assertEqual((await additional.read_head()).status, 200)
+        await until(lambda: not harness.server.is_full)
+        await _close(additional, *connections)
 
 
 @contextlib.contextmanager
-def _few_descriptors(free: int) -> Generator[None, None, None]:
-    """Let this process open so many descriptors more."""
+def _limit_descriptors(free: int) -> Generator[None, None, None]:
+    """Allow this process a number of further file descriptors."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     with socket.socket() as probe:
-        lowest = probe.fileno()
-    resource.setrlimit(resource.RLIMIT_NOFILE, (lowest + free, hard))
+        first_free = probe.fileno()
+    resource.setrlimit(resource.RLIMIT_NOFILE, (first_free + free, hard))
     try:
         yield
     finally:
@@ -174,12 +176,12 @@
 
 
 async def _occupy(
-    serving: Serving,
+    harness: ServerHarness,
     connections: Sequence[HttpConnection],
 ) -> None:
-    for one in connections:
-        await one.send(Request('GET', '/long'))
-    await until(lambda: serving.inside == len(connections))
+    for connection in connections:
+        await connection.send(Request('GET', '/long'))
+    await until(lambda: harness.in_progress == len(connections))
 
 
 async def _status(connection: HttpConnection) -> int:
@@ -187,5 +189,5 @@
 
 
 async def _close(*connections: HttpConnection) -> None:
-    for one in connections:
-        await one.close()
+    for connection in connections:
+        await connection.close()
--- a/tests/unit/test_crash_simulation.py
+++ b/tests/unit/test_crash_simulation.py
@@ -1,4 +1,4 @@
-"""Targets end by the dozen: nobody is held who was there by chance."""
+"""Many targets terminate: no request is held that was there by chance."""
 
 import statistics
 import unittest
@@ -6,46 +6,46 @@
 from tests.lib.crash_simulation import CrashSimulation
 
 _DAYS = 8
-_MOST_ENDS = 6
+_MAX_TERMINATIONS = 6
 
 
-class HailTest(unittest.TestCase):
-    """Drawn days; a thousand of them by ``python -m tests.lib.crash_simulation 1000``."""
+class CrashSimulationTest(unittest.TestCase):
+    """For more days, run ``python -m tests.lib.crash_simulation 1000``."""
 
-    def test_without_a_cause(self) -> None:
-        """A target ends each second of a hundred, or each 2.5 s of eight."""
+    def test_without_a_culprit(self) -> None:
+        """One of a hundred targets terminates a second, of eight each 2.5 s."""
         for replicas, rate in ((100, 1.0), (8, 0.4)):
             for seed in range(_DAYS // 2):
                 with self.subTest(replicas=replicas, seed=seed):
                     day = CrashSimulation(
-                        replicas, seed, rate, has_cause=False
-                    ).play()
-                    self.assertEqual(day.held_by_chance, 0)
+                        replicas, seed, rate, has_culprit=False
+                    ).run()
+                    self.assertEqual(day.wrongly_held, 0)
 
-    def test_ends_that_show_late(self) -> None:
-        """Nobody is held who was there by chance, beside a cause or not."""
+    def test_terminations_reported_late(self) -> None:
+        """No request is wrongly held, beside a culprit or not."""
         for seed in range(_DAYS):
             with self.subTest(seed=seed):
                 day = CrashSimulation(
                     8,
                     seed,
                     0.4,
-                    has_cause=bool(seed % 2),
-                    tells_late=True,
-                ).play()
-                self.assertEqual(day.held_by_chance, 0)
+                    has_culprit=bool(seed % 2),
+                    reported_late=True,
+                ).run()
+                self.assertEqual(day.wrongly_held, 0)
 
-    def test_with_a_cause(self) -> None:
-        """It is held after a few ends, and nobody with it."""
+    def test_with_a_culprit(self) -> None:
+        """It is held after a few terminations, and no other request is."""
         days = [
-            CrashSimulation(8, seed, 0.4, has_cause=True).play()
+            CrashSimulation(8, seed, 0.4, has_culprit=True).run()
             for seed in range(_DAYS)
         ]
-        ends = [day.cause_ends for day in days]
-        self.assertLessEqual(statistics.median(ends), 5)
-        self.assertLessEqual(max(ends), _MOST_ENDS)
-        self.assertEqual(sum(day.held_by_chance for day in days), 0)
-        self.assertTrue(all(day.refused_cause for day in days))
+        terminations = [day.culprit_terminations for day in days]
+        self.assertLessEqual(statistics.median(terminations), 5)
+        self.assertLessEqual(max(terminations), _MAX_TERMINATIONS)
+        self.assertEqual(sum(day.wrongly_held for day in days), 0)
+        self.assertTrue(all(day.refused_culprit for day in days))
 
 
 if __name__ == '__main__':
--- a/tests/unit/test_crashing_requests.py
+++ b/tests/unit/test_crashing_requests.py
@@ -1,12 +1,12 @@
-"""One request may not end one target after the other.
+"""A request must not crash one target after the other.
 
-A request whose bytes end each engine that begins to run it came again and
-again, at any node. Each try ended as many heads as its route allows, 0.04 to
+A request whose bytes crash each engine that begins to run it was retried at
+any node. Each try crashed as many replica heads as its route allows, 0.04 to
 0.12 s after it began there ('did not finish its response: peer closed
-connection'), and its client's next try started from nothing: what a node keeps
-is by target, by service or by try, and a try has a new id. 23 and 26 instances
-ended under one request, and the streams that ran beside it were cut with them.
-The digest in 'target_disconnected' is the same at end after end.
+connection'), and the client's next try started without that knowledge, as
+nodes kept state by target, service or try, and each try has a new id. 23 and
+26 instances terminated under one request, along with the other streams on
+them. The digest of the request is the same at all of these terminations.
 """
 
 import contextlib
@@ -18,120 +18,123 @@
 import curio
 
 from cranecart.quarantine import CaseUpdate, HeldRows
-from tests.lib.crashing_targets import MARK, Deployment, ask_in_turn
+from tests.lib.crashing_targets import CRASH_MARK, Deployment, ask_in_turn
 from tests.lib.fake_platform import FakePlatform
 from tests.lib.fake_targets import PLAIN, ClientAnswer, GatewayWorld
 
-# How long after the third end everybody knows; the users allow three seconds.
-_KNOWN_SECONDS = 0.5
-# Sends beyond that which the users allow, from all nodes together.
-_MOST_LATER = 3
-# After so many ends it is decided, and where nobody can tell whether it had
-# begun at them.
-_DECIDED = 3
-_DECIDED_MUTE = 4
-# What is wanted at most, copies that were under way included.
-_MOST_ENDS = 6
-# Of eight targets six may be gone for a second of the four.
-_LEAST_SERVED = 0.8
+# Time after the third termination within which all nodes know; the acceptance
+# rule allows three seconds.
+_PROPAGATION_SECONDS = 0.5
+# Sends after that which the acceptance rule allows, from all nodes together.
+_MAX_LATE_SENDS = 3
+# Terminations after which the request is held, and the number where it is
+# unknown whether it had begun.
+_HOLD_THRESHOLD = 3
+_MUTE_HOLD_THRESHOLD = 4
+# The required bound, including copies that are in flight.
+_MAX_TERMINATIONS = 6
+# Of eight targets six may be down for a second of the four.
+_MIN_SERVED_FRACTION = 0.8
 _OK = 200
 
 
-class EndingRequestTest(unittest.TestCase):
-    """A request that ends what runs it, tried again at several nodes."""
+class CrashingRequestTest(unittest.TestCase):
+    """A request that crashes its targets, retried at several nodes."""
 
-    others: list[ClientAnswer]
-    took: float
+    responses: list[ClientAnswer]
+    elapsed_seconds: float
 
     def test_streams(self) -> None:
-        """It is held at all nodes, and others are served beside it."""
+        """It is held at all nodes, and other requests are served."""
         deployment = Deployment(4, 8)
         curio.run(deployment.run, self._play)
         self._check(deployment)
 
     def test_plain_calls(self) -> None:
-        """So is a plain call, whose targets come back under their ids."""
+        """The same for plain calls, whose targets restart under their ids."""
         deployment = Deployment(4, 8, service=PLAIN, renamed=False)
         curio.run(deployment.run, self._play)
-        self._check(deployment, is_unsure=True)
+        self._check(deployment, begin_unknown=True)
 
-    def test_ends_before_any_answer(self) -> None:
-        """Nobody can tell then whether it had begun; it is held all the same.
+    def test_crashes_before_any_answer(self) -> None:
+        """It is held although it is unknown whether it had begun.
 
-        A request that waited at a target when it ended looks the same.
+        A request that waited at the target looks the same.
         """
         deployment = Deployment(4, 8, mute=True)
         curio.run(deployment.run, self._play)
-        self._check(deployment, is_unsure=True)
+        self._check(deployment, begin_unknown=True)
 
-    def test_no_more_than_six_end(self) -> None:
-        """Copies under way included, also where nobody can tell."""
+    def test_at_most_six_targets_terminate(self) -> None:
+        """Including copies in flight, and where the begin is unknown."""
         deployment = Deployment(4, 8, mute=True)
         curio.run(deployment.run, self._play)
-        self.assertLessEqual(len(deployment.ends), _MOST_ENDS)
+        self.assertLessEqual(len(deployment.terminations), _MAX_TERMINATIONS)
 
-    def test_copies_at_once(self) -> None:
-        """Nine nodes get a copy at one moment; it is all over with these."""
+    def test_concurrent_copies(self) -> None:
+        """Nine nodes get a copy at once; no further ones are sent."""
         deployment = Deployment(9, 12)
-        curio.run(deployment.run, self._copies)
-        later = deployment.marked_after(3, _KNOWN_SECONDS)
-        self.assertEqual(later, 0)
-        self.assertLessEqual(len(deployment.ends), len(deployment.nodes))
+        curio.run(deployment.run, self._send_copies)
+        late_sends = deployment.marked_after(3, _PROPAGATION_SECONDS)
+        self.assertEqual(late_sends, 0)
+        self.assertLessEqual(
+            len(deployment.terminations), len(deployment.nodes)
+        )
 
-    def test_what_the_client_is_told(self) -> None:
-        """That a try has run where it has; else that it is held, at once."""
+    def test_client_error_codes(self) -> None:
+        """A try that has run ends in 502, a held one in 503 at once."""
         deployment = Deployment(2, 6, service=PLAIN)
-        curio.run(deployment.run, self._one_by_one)
-        first, last = self.others[0], self.others[-1]
+        curio.run(deployment.run, self._send_in_turn)
+        first, last = self.responses[0], self.responses[-1]
         self.assertEqual(first.status, 502)
         self.assertEqual(last.status, 503)
         self.assertIn(b'"code":"held"', last.body)
         self.assertGreater(float(last.headers['retry-after']), 60)
-        self.assertLess(self.took, 0.1)
+        self.assertLess(self.elapsed_seconds, 0.1)
 
-    def test_a_node_that_starts_later(self) -> None:
-        """It knows from the rows, before it serves."""
+    def test_a_node_started_later(self) -> None:
+        """It reads the rows before it serves."""
         deployment = Deployment(3, 8)
-        curio.run(deployment.run, self._with_late_node)
-        self.assertEqual(deployment.marked_after(3, _KNOWN_SECONDS), 0)
+        curio.run(deployment.run, self._play_with_late_node)
+        self.assertEqual(deployment.marked_after(3, _PROPAGATION_SECONDS), 0)
 
-    def test_a_node_that_hears_no_other(self) -> None:
-        """Rows tell it, and what it saw itself counts as well."""
+    def test_an_isolated_node(self) -> None:
+        """It learns from the rows, and its own observations count as well."""
         deployment = Deployment(3, 8)
-        deployment.nodes[2].tell = _tell_nobody
-        deployment.cut_off.append(deployment.nodes[2])
+        deployment.nodes[2].tell = _publish_to_nobody
+        deployment.isolated.append(deployment.nodes[2])
         curio.run(deployment.run, self._play_with_rows)
         self.assertLessEqual(
-            deployment.marked_after(3, _KNOWN_SECONDS),
-            _MOST_LATER,
+            deployment.marked_after(3, _PROPAGATION_SECONDS),
+            _MAX_LATE_SENDS,
         )
 
-    async def _copies(self, deployment: Deployment) -> None:
+    async def _send_copies(self, deployment: Deployment) -> None:
         for _round in range(4):
-            asking = [
+            tasks = [
                 await curio.spawn(
-                    functools.partial(node.ask, '/stream/x', body=MARK),
+                    functools.partial(node.ask, '/stream/x', body=CRASH_MARK),
                 )
                 for node in deployment.nodes
             ]
-            for task in asking:
+            for task in tasks:
                 with contextlib.suppress(curio.TaskError):
                     await task.join()
             await curio.sleep(0.3)
 
-    async def _one_by_one(self, deployment: Deployment) -> None:
-        self.others = []
+    async def _send_in_turn(self, deployment: Deployment) -> None:
+        self.responses = []
         for number in range(8):
             started = time.monotonic()
             node = deployment.nodes[number % 2]
-            self.others.append(await node.ask('/safe/x', body=MARK))
-            self.took = time.monotonic() - started
+            self.responses.append(await node.ask('/safe/x', body=CRASH_MARK))
+            self.elapsed_seconds = time.monotonic() - started
             await curio.sleep(0.05)
 
-    async def _with_late_node(self, deployment: Deployment) -> None:
+    async def _play_with_late_node(self, deployment: Deployment) -> None:
         await self._play(deployment, seconds=1)
         table = FakePlatform()
-        # Who saw the deciding end writes.
+        # The node that saw the deciding termination writes.
         for node in deployment.nodes:
             await _rows(node, table).write()
         late = deployment.new_node()
@@ -144,26 +147,31 @@
     async def _play_with_rows(self, deployment: Deployment) -> None:
         table = FakePlatform()
         rows = [_rows(node, table) for node in deployment.nodes]
-        keeping = await curio.spawn(_keep_rows, rows, table, daemon=True)
+        syncing = await curio.spawn(_sync_rows, rows, table, daemon=True)
         await self._play(deployment, seconds=3)
-        await keeping.cancel()
+        await syncing.cancel()
 
     def _check(
         self,
         deployment: Deployment,
         *,
-        is_unsure: bool = False,
+        begin_unknown: bool = False,
     ) -> None:
-        later = deployment.marked_after(3, _KNOWN_SECONDS)
-        self.assertLessEqual(later, _MOST_LATER)
-        # Copies that were under way when it was decided end targets as well,
-        # and on a busy machine more of them are.
-        decided = _DECIDED_MUTE if is_unsure else _DECIDED
-        behind = len(deployment.ends) - decided
-        self.assertLessEqual(behind, deployment.under_way(decided))
-        self.assertLessEqual(deployment.marked_after(decided, 0), _MOST_LATER)
-        served = sum(one.is_whole and one.status == _OK for one in self.others)
-        self.assertGreater(served, _LEAST_SERVED * len(self.others))
+        late_sends = deployment.marked_after(3, _PROPAGATION_SECONDS)
+        self.assertLessEqual(late_sends, _MAX_LATE_SENDS)
+        # Copies in flight when the request became held crash targets too,
+        # and there are more of them on a busy machine.
+        threshold = _MUTE_HOLD_THRESHOLD if begin_unknown else _HOLD_THRESHOLD
+        excess = len(deployment.terminations) - threshold
+        self.assertLessEqual(excess, deployment.in_flight(threshold))
+        self.assertLessEqual(
+            deployment.marked_after(threshold, 0), _MAX_LATE_SENDS
+        )
+        served = sum(
+            response.is_whole and response.status == _OK
+            for response in self.responses
+        )
+        self.assertGreater(served, _MIN_SERVED_FRACTION * len(self.responses))
 
     async def _play(
         self,
@@ -171,19 +179,21 @@
         *,
         seconds: float = 4,
     ) -> None:
-        """Ask seven marked times a second, beside ordinary requests."""
+        """Send seven marked requests a second, beside ordinary ones."""
         path = '/safe/x' if deployment.is_plain else '/stream/x'
-        beside = await curio.spawn(self._ask_others, deployment, path, seconds)
+        ordinary = await curio.spawn(
+            self._send_ordinary_requests, deployment, path, seconds
+        )
         await ask_in_turn(
             deployment.nodes,
             path,
-            MARK,
+            CRASH_MARK,
             seconds=seconds,
             per_second=7,
         )
-        self.others = await beside.join()
+        self.responses = await ordinary.join()
 
-    async def _ask_others(
+    async def _send_ordinary_requests(
         self,
         deployment: Deployment,
         path: str,
@@ -202,17 +212,17 @@
     return HeldRows('a node', table, node.guard.cases)
 
 
-async def _keep_rows(rows: Iterable[HeldRows], table: FakePlatform) -> None:
-    """Write and read as nodes do, at the pace of their housekeeping."""
+async def _sync_rows(rows: Iterable[HeldRows], table: FakePlatform) -> None:
+    """Write and read rows as nodes do, at the pace of their housekeeping."""
     while True:
-        for one in rows:
-            await one.write()
-            one.apply(table.rows, False)
+        for held_rows in rows:
+            await held_rows.write()
+            held_rows.apply(table.rows, False)
         await curio.sleep(0.2)
 
 
-def _tell_nobody(_cases: Sequence[CaseUpdate]) -> None:
-    """Reach no other node."""
+def _publish_to_nobody(_cases: Sequence[CaseUpdate]) -> None:
+    """Send updates to no other node."""
 
 
 if __name__ == '__main__':
--- a/tests/unit/test_event_gaps.py
+++ b/tests/unit/test_event_gaps.py
@@ -1,4 +1,4 @@
-"""What gaps between events teach about silence."""
+"""Stall thresholds learned from the gaps between events."""
 
 import itertools
 import unittest
@@ -9,35 +9,37 @@
 from cranecart.routing._event_gaps import EventGapTracker
 
 
-def _note(meter: EventGapTracker, model: str, gap: float, times: int) -> None:
-    for one in itertools.repeat(gap, times):
-        meter.record(model, one)
+def _record(
+    tracker: EventGapTracker, model: str, gap: float, times: int
+) -> None:
+    for seconds in itertools.repeat(gap, times):
+        tracker.record(model, seconds)
 
 
-class GapMeterTest(unittest.TestCase):
-    """The silence that is worth a look follows what is ordinary."""
+class EventGapTrackerTest(unittest.TestCase):
+    """The stall threshold follows the usual gaps."""
 
-    def test_quick_models_are_looked_at_earlier(self) -> None:
-        """Each model has its own bound."""
-        meter = EventGapTracker()
-        _note(meter, 'quick', 0.03, 100)
-        _note(meter, 'slow', 0.13, 100)
-        self.assertLess(meter.stall_seconds('quick'), 0.1)
-        self.assertGreater(meter.stall_seconds('slow'), 0.13)
+    def test_fast_models_are_checked_earlier(self) -> None:
+        """Each model has its own threshold."""
+        tracker = EventGapTracker()
+        _record(tracker, 'fast', 0.03, 100)
+        _record(tracker, 'slow', 0.13, 100)
+        self.assertLess(tracker.stall_seconds('fast'), 0.1)
+        self.assertGreater(tracker.stall_seconds('slow'), 0.13)
 
-    def test_one_long_gap_changes_little(self) -> None:
-        """A single stall does not make a node blind to the next one."""
-        meter = EventGapTracker()
-        _note(meter, 'm', 0.04, 300)
-        _note(meter, 'm', 3, 1)
-        _note(meter, 'm', 0.04, 50)
-        self.assertLess(meter.stall_seconds('m'), 0.1)
+    def test_one_long_gap_has_little_effect(self) -> None:
+        """A single stall must not hide the next one."""
+        tracker = EventGapTracker()
+        _record(tracker, 'm', 0.04, 300)
+        _record(tracker, 'm', 3, 1)
+        _record(tracker, 'm', 0.04, 50)
+        self.assertLess(tracker.stall_seconds('m'), 0.1)
 
     @given(st.lists(st.floats(0, 30), max_size=120))
     def test_always_within_bounds(self, gaps: list[float]) -> None:
-        """Whatever comes, a stopped replica is looked at within 0.2 s."""
-        meter = EventGapTracker()
+        """Whatever gaps are seen, a stalled replica is checked within 0.2 s."""
+        tracker = EventGapTracker()
         for gap in gaps:
-            meter.record('m', gap)
-        self.assertLessEqual(meter.stall_seconds('m'), 0.2)
-        self.assertGreaterEqual(meter.stall_seconds('m'), 0.08)
+            tracker.record('m', gap)
+        self.assertLessEqual(tracker.stall_seconds('m'), 0.2)
+        self.assertGreaterEqual(tracker.stall_seconds('m'), 0.08)
--- a/tests/unit/test_kept_ports.py
+++ b/tests/unit/test_kept_ports.py
@@ -13,7 +13,7 @@
 
 import curio
 
-from tests.lib.crashing_targets import MARK, Deployment, ask_in_turn
+from tests.lib.crashing_targets import CRASH_MARK, Deployment, ask_in_turn
 from tests.lib.fake_targets import PLAIN, ClientAnswer
 
 # The rule: all know within so long of the third end, but for so many sends.
@@ -53,7 +53,7 @@
         await ask_in_turn(
             deployment.nodes,
             path,
-            MARK,
+            CRASH_MARK,
             seconds=_PLAY_SECONDS,
             per_second=7,
         )
--- a/tests/unit/test_limit_registry.py
+++ b/tests/unit/test_limit_registry.py
@@ -1,4 +1,4 @@
-"""What a node believes of the limits that targets name."""
+"""A node's knowledge of the limits that targets announce."""
 
 import itertools
 import unittest
@@ -10,14 +10,14 @@
 from cranecart.ports import AnswerFacts, Incarnation
 from cranecart.throttling import LimitRegistry, LimitUpdate
 
-_LIFE = Incarnation('i1', 7)
+_INCARNATION = Incarnation('i1', 7)
 _PLAIN = AnswerFacts('r1', True, False)
 
-_NEWS = st.lists(
+_UPDATES = st.lists(
     st.builds(
         LimitUpdate,
-        st.just(_LIFE.id),
-        st.just(_LIFE.born),
+        st.just(_INCARNATION.id),
+        st.just(_INCARNATION.born),
         st.integers(1, 4),
         st.sampled_from((None, 1.0, 2.0)),
     ),
@@ -25,89 +25,106 @@
 )
 
 
-def _naming(limit: float | None) -> AnswerFacts:
+def _announcing(limit: float | None) -> AnswerFacts:
     return attrs.evolve(_PLAIN, limit=limit)
 
 
-class LimitBookTest(unittest.TestCase):
-    """Answers and news of one life, on a clock that the test turns."""
+class LimitRegistryTest(unittest.TestCase):
+    """Responses and updates of one incarnation, on a simulated clock."""
 
     def setUp(self) -> None:
-        """Know nothing."""
+        """Create an empty registry."""
         self.now = float(10)
-        self.book = LimitRegistry(self.clock)
+        self.registry = LimitRegistry(self.clock)
 
     def clock(self) -> float:
-        """Return what the test has turned the clock to."""
+        """Return the simulated time."""
         return self.now
 
     def limit(self) -> float | None:
         """Return the limit in force, if there is one."""
-        return next((one.per_second for one in self.book.active_limits()), None)
-
-    def test_an_answer_names_a_limit(self) -> None:
-        """It is news once, and again when it changes."""
-        first = self.book.record_response(_LIFE, _naming(2.0), 9.9)
+        return next(
+            (update.per_second for update in self.registry.active_limits()),
+            None,
+        )
+
+    def test_a_response_announces_a_limit(self) -> None:
+        """It is published once, and again when it changes."""
+        first = self.registry.record_response(
+            _INCARNATION, _announcing(2.0), 9.9
+        )
         self.assertEqual(first, LimitUpdate('i1', 7, 1, 2.0))
-        again = self.book.record_response(_LIFE, _naming(2.0), 9.95)
+        again = self.registry.record_response(
+            _INCARNATION, _announcing(2.0), 9.95
+        )
         self.assertIsNone(again)
-        changed = self.book.record_response(_LIFE, _naming(1.4), 9.95)
+        changed = self.registry.record_response(
+            _INCARNATION, _announcing(1.4), 9.95
+        )
         self.assertEqual(changed, LimitUpdate('i1', 7, 2, 1.4))
 
-    def test_one_without_lifts_it(self) -> None:
-        """But only if its request was sent after it had been named."""
-        self.book.record_response(_LIFE, _naming(2.0), 9.9)
+    def test_a_later_response_without_limit_ends_it(self) -> None:
+        """Only if its request was sent after the limit was announced."""
+        self.registry.record_response(_INCARNATION, _announcing(2.0), 9.9)
         self.now = 11
-        self.assertIsNone(self.book.record_response(_LIFE, _PLAIN, 9.5))
+        self.assertIsNone(
+            self.registry.record_response(_INCARNATION, _PLAIN, 9.5)
+        )
         self.assertEqual(self.limit(), 2)
-        self.assertIsNotNone(self.book.record_response(_LIFE, _PLAIN, 10.5))
+        self.assertIsNotNone(
+            self.registry.record_response(_INCARNATION, _PLAIN, 10.5)
+        )
         self.assertIsNone(self.limit())
 
-    def test_a_late_answer_names_no_larger_limit(self) -> None:
-        """It may be older than the one that named the smaller."""
-        self.book.record_response(_LIFE, _naming(1.4), 9.9)
+    def test_a_delayed_response_does_not_raise_a_limit(self) -> None:
+        """It may be older than the response with the smaller limit."""
+        self.registry.record_response(_INCARNATION, _announcing(1.4), 9.9)
         self.now = 11
-        self.book.record_response(_LIFE, _naming(2.0), 9.5)
+        self.registry.record_response(_INCARNATION, _announcing(2.0), 9.5)
         self.assertEqual(self.limit(), 1.4)
-        self.book.record_response(_LIFE, _naming(2.0), 10.5)
+        self.registry.record_response(_INCARNATION, _announcing(2.0), 10.5)
         self.assertEqual(self.limit(), 2)
 
-    def test_another_life_has_no_limit(self) -> None:
-        """What one life has named says nothing of the next."""
-        self.book.record_response(_LIFE, _naming(2.0), 9.9)
-        self.book.record_response(Incarnation('i1', 8), _PLAIN, 10.5)
-        incarnations = {one.incarnation for one in self.book.active_limits()}
-        self.assertEqual(incarnations, {_LIFE})
-
-    def test_old_news_changes_nothing(self) -> None:
-        """A node that has not heard of the end says what it knew."""
-        named = self.book.record_response(_LIFE, _naming(2.0), 9.9)
-        assert named is not None
+    def test_another_incarnation_has_no_limit(self) -> None:
+        """A limit applies to the incarnation that announced it."""
+        self.registry.record_response(_INCARNATION, _announcing(2.0), 9.9)
+        self.registry.record_response(Incarnation('i1', 8), _PLAIN, 10.5)
+        incarnations = {
+            update.incarnation for update in self.registry.active_limits()
+        }
+        self.assertEqual(incarnations, {_INCARNATION})
+
+    def test_an_outdated_update_is_ignored(self) -> None:
+        """A node that missed the end of a limit publishes the old one."""
+        announced = self.registry.record_response(
+            _INCARNATION, _announcing(2.0), 9.9
+        )
+        assert announced is not None
         self.now = 11
-        self.book.record_response(_LIFE, _PLAIN, 10.5)
-        self.assertFalse(self.book.merge(named, 'n2'))
+        self.registry.record_response(_INCARNATION, _PLAIN, 10.5)
+        self.assertFalse(self.registry.merge(announced, 'n2'))
         self.assertIsNone(self.limit())
 
-    def test_unlisted_lives_are_forgotten(self) -> None:
-        """But not at once, as an entry may be lost for some seconds."""
-        self.book.record_response(_LIFE, _naming(2.0), 9.9)
+    def test_unlisted_incarnations_are_pruned(self) -> None:
+        """But not at once, as an entry may be missing for some seconds."""
+        self.registry.record_response(_INCARNATION, _announcing(2.0), 9.9)
         self.now = 20
-        self.book.prune((), {_LIFE})
+        self.registry.prune((), {_INCARNATION})
         self.assertEqual(self.limit(), 2)
         self.now = 50
-        self.book.prune((), {_LIFE})
+        self.registry.prune((), {_INCARNATION})
         self.assertIsNone(self.limit())
 
-    @given(_NEWS)
+    @given(_UPDATES)
     def test_order_and_repeats_do_not_matter(
         self,
-        news: list[LimitUpdate],
+        updates: list[LimitUpdate],
     ) -> None:
-        """All nodes that hear the same believe the same."""
-        believed = set()
-        for order in itertools.islice(itertools.permutations(news), 24):
-            book = LimitRegistry(self.clock)
-            for one in (*order, *order):
-                book.merge(one, 'n2')
-            believed.add(tuple(book.active_limits()))
-        self.assertEqual(len(believed), 1)
+        """Nodes that receive the same updates reach the same state."""
+        states = set()
+        for order in itertools.islice(itertools.permutations(updates), 24):
+            registry = LimitRegistry(self.clock)
+            for update in (*order, *order):
+                registry.merge(update, 'n2')
+            states.add(tuple(registry.active_limits()))
+        self.assertEqual(len(states), 1)
--- a/tests/unit/test_limits.py
+++ b/tests/unit/test_limits.py
@@ -1,4 +1,4 @@
-"""Shares, rates, budgets and admission."""
+"""Limit shares, token rates, retry budgets and admission."""
 
 import itertools
 import unittest
@@ -15,8 +15,8 @@
 _NAME = 'o'
 _ORGANISATION = OrganisationSpec(_NAME, (), LimitsSpec(10, 100))
 _NODES = 4
-# What is admitted together never exceeds the limit, but for rounding.
-_MOST = 1.000001
+# The shares of all nodes never exceed the limit, but for rounding.
+_MAX_TOTAL_SHARE = 1.000001
 
 
 @attrs.define
@@ -27,8 +27,8 @@
         return self.now
 
 
-class _World:
-    """Nodes that hear each other's demand a second late."""
+class _Nodes:
+    """Nodes that receive each other's demand with a delay of a second."""
 
     def __init__(self, limit: int = 0) -> None:
         self.limit = limit
@@ -39,26 +39,26 @@
             self.nodes[one].record_demand(str(other), {})
 
     def step(self, demands: list[int]) -> float:
-        """Let a second pass; return the shares of all nodes together."""
-        said = [node.demand() for node in self.nodes]
-        for number, wanted in enumerate(demands):
-            self._want(number, wanted)
+        """Let a second pass; return the sum of the shares of all nodes."""
+        published = [node.demand() for node in self.nodes]
+        for number, demand in enumerate(demands):
+            self._set_demand(number, demand)
         self.clock.now += 1
-        together = sum(node.share(_NAME, self.limit) for node in self.nodes)
+        total = sum(node.share(_NAME, self.limit) for node in self.nodes)
         for one, other in itertools.permutations(range(_NODES), 2):
-            self.nodes[one].record_demand(str(other), said[other])
-        return together
+            self.nodes[one].record_demand(str(other), published[other])
+        return total
 
-    def _want(self, number: int, wanted: int) -> None:
-        change = wanted - self.demands[number]
-        self.demands[number] = wanted
+    def _set_demand(self, number: int, demand: int) -> None:
+        change = demand - self.demands[number]
+        self.demands[number] = demand
         node = self.nodes[number]
         for _ in range(abs(change)):
             (node.call_started if change > 0 else node.call_ended)(_NAME)
 
 
 class SharesTest(unittest.TestCase):
-    """All shares together."""
+    """The shares of all nodes together."""
 
     @given(
         st.lists(
@@ -68,36 +68,36 @@
         ),
         st.sampled_from([0, 10, 100]),
     )
-    def test_bounded_while_demand_moves_and_one_when_it_rests(
+    def test_shares_add_up_to_at_most_one(
         self,
         steps: list[list[int]],
         limit: int,
     ) -> None:
-        """Whatever the demand does; and after it rests they add up to one."""
-        world = _World(limit)
+        """They never exceed one, and reach one once demand is constant."""
+        world = _Nodes(limit)
         for demands in steps:
-            self.assertLessEqual(world.step(demands), _MOST)
+            self.assertLessEqual(world.step(demands), _MAX_TOTAL_SHARE)
         for _ in range(12):
-            together = world.step(steps[-1])
-        self.assertAlmostEqual(together, 1)
+            total = world.step(steps[-1])
+        self.assertAlmostEqual(total, 1)
 
     def test_shares_follow_demand(self) -> None:
-        """A busy node gets what idle ones do not use."""
-        world = _World()
+        """A busy node gets the share that idle ones do not use."""
+        world = _Nodes()
         for _ in range(8):
             world.step([40, 0, 0, 0])
         self.assertGreater(world.nodes[0].share(_NAME), 0.9)
 
-    def test_a_node_that_starts_gets_a_part_of_what_is_free(self) -> None:
-        """Three others have five calls each, of forty that are allowed."""
+    def test_a_new_node_gets_a_share_of_free_capacity(self) -> None:
+        """The three other nodes have five calls each, of a limit of forty."""
         shares = LimitShares(float)
         for source in ('b', 'c', 'd'):
             shares.record_demand(source, {'org': 5})
         shares.call_started('org')
         self.assertGreaterEqual(40 * shares.share('org', 40), 6)
 
-    def test_a_stopping_node_leaves_its_part_at_once(self) -> None:
-        """Its clients come to the others at once, so the share does too."""
+    def test_a_stopped_node_frees_its_share_at_once(self) -> None:
+        """Its clients move to the other nodes at once."""
         shares = LimitShares(float)
         for source in ('b', 'c'):
             shares.record_demand(source, {'org': 3})
@@ -106,9 +106,9 @@
         self.assertAlmostEqual(before, 1 / 9)
         self.assertAlmostEqual(shares.share('org'), 1 / 5)
 
-    def test_cut_off_keeps_its_share(self) -> None:
-        """A node that hears nobody does not take the whole limit."""
-        world = _World()
+    def test_an_isolated_node_keeps_its_share(self) -> None:
+        """A node that receives no demand does not take the whole limit."""
+        world = _Nodes()
         for _ in range(8):
             world.step([10, 10, 10, 10])
         world.clock.now += 30
@@ -116,35 +116,36 @@
 
 
 class AdmissionTest(unittest.TestCase):
-    """What is let in."""
+    """Which calls are admitted."""
 
     def setUp(self) -> None:
-        """Make an admission for a node that is alone."""
+        """Create the admission control of a single node."""
         self.clock = _Clock()
         self.shares = LimitShares(self.clock)
         rates = TokenRateLimiter(self.shares.share, self.clock)
         self.admission = Admission(Capacity(calls=8), self.shares, rates)
 
     def test_low_priority_is_shed_first(self) -> None:
-        """A node that fills up turns away low, then normal, then high."""
+        """A node that fills up refuses low, then normal, then high priority."""
         admitted = {
-            priority: self._fill(priority) for priority in reversed(Priority)
+            priority: self._admit_until_refused(priority)
+            for priority in reversed(Priority)
         }
         self.assertEqual(admitted[Priority.LOW], 6)
         self.assertEqual(admitted[Priority.NORMAL], 2)
         self.assertEqual(admitted[Priority.HIGH], 0)
 
-    def test_organisation_limit(self) -> None:
-        """The eleventh call at once of an organisation is refused."""
+    def test_organisation_limit_is_enforced(self) -> None:
+        """The eleventh concurrent call of an organisation is refused."""
         self.admission = Admission(
             Capacity(),
             self.shares,
             TokenRateLimiter(self.shares.share, self.clock),
         )
-        self.assertEqual(self._fill(Priority.HIGH), 10)
+        self.assertEqual(self._admit_until_refused(Priority.HIGH), 10)
 
-    def test_a_refusal_says_when_to_come_back(self) -> None:
-        """After that time the tokens are there."""
+    def test_a_refusal_says_when_to_retry(self) -> None:
+        """The tokens are available after that time."""
         rates = TokenRateLimiter(self.shares.share, self.clock)
         rates.take(_ORGANISATION, 400)
         with self.assertRaises(LimitedError) as caught:
@@ -153,24 +154,24 @@
         self.clock.now += caught.exception.retry_after + 0.001
         rates.take(_ORGANISATION, 50)
 
-    def _fill(self, priority: Priority) -> int:
-        """Admit calls that never end until one is refused."""
+    def _admit_until_refused(self, priority: Priority) -> int:
+        """Admit calls that never end until one is refused; count them."""
         for number in range(100):
-            admitted = self.admission.admit(_ORGANISATION, priority)
+            admission = self.admission.admit(_ORGANISATION, priority)
             try:
-                admitted.__enter__()
+                admission.__enter__()
             except (LimitedError, OverloadedError):
                 return number
-            self.addCleanup(admitted.__exit__, None, None, None)
-        raise AssertionError('nothing was refused')
+            self.addCleanup(admission.__exit__, None, None, None)
+        raise AssertionError('no call was refused')
 
 
 class RetryBudgetTest(unittest.TestCase):
-    """Retries stay a small part."""
+    """Retries stay a small part of the traffic."""
 
     @given(st.integers(0, 2000))
-    def test_at_most_a_tenth_and_a_few(self, calls: int) -> None:
-        """If every call wants to be retried."""
+    def test_retries_are_bounded(self, calls: int) -> None:
+        """Even if every call is retried."""
         budget = RetryBudget()
         retries = 0
         for _ in range(calls):
--- a/tests/unit/test_native_crashing_requests.py
+++ b/tests/unit/test_native_crashing_requests.py
@@ -1,7 +1,7 @@
-"""The native path holds a call that ends the targets that run it.
+"""The native path holds a call that crashes its targets.
 
-It had the same gap as the path on the users' platform: a call's attempts knew
-only their own targets, so that each try of its caller ended up to four more.
+The attempts of a call knew only their own targets, so that each try of its
+caller crashed up to four more.
 """
 
 import itertools
@@ -23,46 +23,50 @@
 
 _TARGETS = 12
 _CALLS = 6
-# One of which nobody can tell whether it had begun is held after four ends.
-_MOST_ENDS = 4
+# A call whose begin is unknown is held after four terminations.
+_MAX_TERMINATIONS = 4
 
 
-class NativeEndingTest(unittest.TestCase):
+class NativeCrashingRequestTest(unittest.TestCase):
     """One caller that sends the same call again and again."""
 
     def test_calls_at_one_node(self) -> None:
-        """Four ends, and then it is refused at once."""
+        """After four terminations it is refused at once."""
         targets = [_Target(f's{number}') for number in range(_TARGETS)]
-        errors = curio.run(_play, targets, [_gateway(targets)])
-        self.assertEqual(sum(one.has_ended for one in targets), _MOST_ENDS)
+        errors = curio.run(_send_calls, targets, [_gateway(targets)])
+        self.assertEqual(
+            sum(target.has_terminated for target in targets), _MAX_TERMINATIONS
+        )
         self.assertIsInstance(errors[-1], HeldError)
 
     def test_calls_at_several_nodes(self) -> None:
-        """The nodes add up what each saw."""
+        """The nodes add up their observations."""
         targets = [_Target(f's{number}') for number in range(_TARGETS)]
         nodes = [_gateway(targets) for _number in range(3)]
         guards = [node._guard for node in nodes]
         for guard in guards:
-            guard._publish = _Others(
-                [one for one in guards if one is not guard]
+            guard._publish = _OtherNodes(
+                [other for other in guards if other is not guard]
             )
-        curio.run(_play, targets, nodes)
-        self.assertEqual(sum(one.has_ended for one in targets), _MOST_ENDS)
+        curio.run(_send_calls, targets, nodes)
+        self.assertEqual(
+            sum(target.has_terminated for target in targets), _MAX_TERMINATIONS
+        )
 
 
 @attrs.define
 class _Target:
-    """A plain service that ends with its first call."""
+    """A plain service instance that terminates with its first call."""
 
     name: str
-    has_ended: bool = False
+    has_terminated: bool = False
     listener: socket.socket = attrs.field(
         factory=lambda: socket.create_server(('127.0.0.1', 0)),
     )
 
     @property
     def instance(self) -> Instance:
-        """Return its entry in the list."""
+        """Return its list entry."""
         host, port = self.listener.getsockname()[:2]
         return Instance(
             self.name,
@@ -75,18 +79,18 @@
         )
 
     async def run(self) -> None:
-        """Take one call, and end without an answer."""
+        """Accept one call, and terminate without an answer."""
         listener = curio.io.Socket(self.listener)
         async with listener:
             sock, _address = await listener.accept()
             async with sock:
                 await sock.recv(65536)
-                self.has_ended = True
+                self.has_terminated = True
 
 
 @attrs.define
 class _Directory:
-    """Lists all targets: that some have ended is not known yet."""
+    """Lists all targets; that some have terminated is not known yet."""
 
     instances: Sequence[Instance]
     failure_domain: str = 'east'
@@ -97,14 +101,14 @@
 
 
 @attrs.define
-class _Others:
-    """The other nodes."""
+class _OtherNodes:
+    """The other nodes, which get updates at once."""
 
     guards: Sequence[RequestGuard]
 
     def __call__(self, cases: Iterable[CaseUpdate]) -> None:
-        for guard, news in itertools.product(self.guards, cases):
-            guard.merge_remote(news, 'another node')
+        for guard, update in itertools.product(self.guards, cases):
+            guard.merge_remote(update, 'another node')
 
 
 def _gateway(targets: Iterable[_Target]) -> Gateway:
@@ -133,7 +137,7 @@
     )
 
 
-async def _play(
+async def _send_calls(
     targets: Iterable[_Target],
     nodes: Sequence[Gateway],
 ) -> list[RequestError]:
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -1,4 +1,4 @@
-"""What is remembered of requests under which targets end, and of whom not."""
+"""Detecting requests that crash their targets, and holding them."""
 
 import contextlib
 import unittest
@@ -36,13 +36,15 @@
     FakePlatform,
 )
 
-_LIVES = tuple(Incarnation(f'i{number}', number) for number in range(12))
-_ENDS = st.builds(Termination, st.sampled_from(_LIVES), st.booleans())
-_NEWS = st.builds(
+_INCARNATIONS = tuple(Incarnation(f'i{number}', number) for number in range(12))
+_TERMINATIONS = st.builds(
+    Termination, st.sampled_from(_INCARNATIONS), st.booleans()
+)
+_UPDATES = st.builds(
     CaseUpdate,
     st.sampled_from(('a', 'b')),
-    st.lists(_ENDS, max_size=3).map(tuple),
-    st.lists(st.sampled_from(_LIVES[:4]), max_size=2).map(tuple),
+    st.lists(_TERMINATIONS, max_size=3).map(tuple),
+    st.lists(st.sampled_from(_INCARNATIONS[:4]), max_size=2).map(tuple),
 )
 
 
@@ -54,31 +56,33 @@
         return self.now
 
 
-def _begun(*numbers: int) -> CaseUpdate:
+def _begun_at(*numbers: int) -> CaseUpdate:
     return CaseUpdate(
-        'a', tuple(Termination(_LIVES[one], True) for one in numbers)
+        'a', tuple(Termination(_INCARNATIONS[one], True) for one in numbers)
     )
 
 
-def _unsure(*numbers: int) -> CaseUpdate:
+def _unknown_at(*numbers: int) -> CaseUpdate:
     return CaseUpdate(
-        'a', tuple(Termination(_LIVES[one], False) for one in numbers)
+        'a', tuple(Termination(_INCARNATIONS[one], False) for one in numbers)
     )
 
 
 class IdentityTest(unittest.TestCase):
-    """What all tries at one request share."""
+    """The identity that all tries of a request share."""
 
-    def test_parts_do_not_run_into_each_other(self) -> None:
-        """No two different requests have the same text of parts."""
+    def test_part_boundaries_matter(self) -> None:
+        """Different parts with equal concatenations are different requests."""
         self.assertNotEqual(
             request_identity('ab', 'c', 'POST', '/', b'x'),
             request_identity('a', 'bc', 'POST', '/', b'x'),
         )
 
     @given(st.binary(), st.binary())
-    def test_bodies(self, one: bytes, other: bytes) -> None:
-        """Only the same bytes are the same request."""
+    def test_only_equal_bodies_are_the_same_request(
+        self, one: bytes, other: bytes
+    ) -> None:
+        """A host name is compared without regard to case."""
         self.assertEqual(
             request_identity('o', 'h', 'POST', '/p', one)
             == request_identity('o', 'H', 'POST', '/p', other),
@@ -86,116 +90,116 @@
         )
 
 
-class BookTest(unittest.TestCase):
-    """Sets of lives, whoever tells them."""
+class CaseRegistryTest(unittest.TestCase):
+    """Merging sets of terminations from several nodes."""
 
-    def test_three_begun_ends(self) -> None:
-        """Told by three nodes, and once again by each."""
-        book = CaseRegistry()
+    def test_three_begun_terminations_hold(self) -> None:
+        """Reported by three nodes, and again by each."""
+        cases = CaseRegistry()
         for number in (0, 1, 2, 0, 1, 2):
-            book.merge(_begun(number), is_own=False)
-        self.assertIs(book.verdict('a'), Verdict.HELD)
+            cases.merge(_begun_at(number), is_own=False)
+        self.assertIs(cases.verdict('a'), Verdict.HELD)
 
-    def test_one_life_counts_once(self) -> None:
-        """However many tries had begun there, and whoever tells it."""
-        book = CaseRegistry()
+    def test_one_incarnation_counts_once(self) -> None:
+        """However many tries had begun there, and whoever reports it."""
+        cases = CaseRegistry()
         for _number in range(9):
-            book.merge(_begun(0), is_own=True)
-        self.assertIs(book.verdict('a'), Verdict.SUSPECT)
+            cases.merge(_begun_at(0), is_own=True)
+        self.assertIs(cases.verdict('a'), Verdict.SUSPECT)
 
-    def test_who_may_have_waited(self) -> None:
-        """One end more is asked for, and none makes a suspect."""
-        book = CaseRegistry()
-        standings = []
+    def test_unknown_begins_need_one_more_termination(self) -> None:
+        """One more is needed to hold it, and a single one makes no suspect."""
+        cases = CaseRegistry()
+        verdicts = []
         for number in range(4):
-            book.merge(_unsure(number), is_own=True)
-            standings.append(book.verdict('a'))
+            cases.merge(_unknown_at(number), is_own=True)
+            verdicts.append(cases.verdict('a'))
         self.assertEqual(
-            standings,
+            verdicts,
             [Verdict.FREE, Verdict.ISOLATED, Verdict.ISOLATED, Verdict.HELD],
         )
 
-    def test_a_whole_answer_clears(self) -> None:
-        """Also against news of the same ends that come late."""
-        book = CaseRegistry()
-        book.merge(_begun(0, 1), is_own=True)
-        news = book.clearing_update('a')
-        assert news is not None
-        book.merge(news, is_own=True)
-        book.merge(_begun(0, 1), is_own=False)
-        book.merge(_begun(2), is_own=False)
-        self.assertIs(book.verdict('a'), Verdict.SUSPECT)
-
-    @given(st.lists(_NEWS, max_size=12), st.randoms())
+    def test_a_complete_answer_clears(self) -> None:
+        """Late reports of the same terminations change nothing."""
+        cases = CaseRegistry()
+        cases.merge(_begun_at(0, 1), is_own=True)
+        update = cases.clearing_update('a')
+        assert update is not None
+        cases.merge(update, is_own=True)
+        cases.merge(_begun_at(0, 1), is_own=False)
+        cases.merge(_begun_at(2), is_own=False)
+        self.assertIs(cases.verdict('a'), Verdict.SUSPECT)
+
+    @given(st.lists(_UPDATES, max_size=12), st.randoms())
     def test_order_does_not_matter(
         self,
-        told: list[CaseUpdate],
-        source: 'st.Random',  # type: ignore[name-defined]
+        updates: list[CaseUpdate],
+        rng: 'st.Random',  # type: ignore[name-defined]
     ) -> None:
-        """Late, again, and in any order: nodes come to the same."""
-        shuffled = [*told, *told]
-        source.shuffle(shuffled)
-        books = (CaseRegistry(), CaseRegistry())
-        for book, news in zip(books, (told, shuffled), strict=True):
-            for one in news:
-                book.merge(one, is_own=False)
+        """Late, repeated and reordered updates lead to the same verdicts."""
+        shuffled = [*updates, *updates]
+        rng.shuffle(shuffled)
+        registries = (CaseRegistry(), CaseRegistry())
+        for cases, order in zip(registries, (updates, shuffled), strict=True):
+            for update in order:
+                cases.merge(update, is_own=False)
         for identity in ('a', 'b'):
             self.assertIs(
-                books[0].verdict(identity),
-                books[1].verdict(identity),
+                registries[0].verdict(identity),
+                registries[1].verdict(identity),
             )
 
-    def test_who_is_explained(self) -> None:
-        """Who was at some ends of one that has more of them is let go."""
-        for news in (_begun(0, 1, 2), _unsure(0, 1, 2, 3)):
-            with self.subTest(news=news):
-                book = CaseRegistry()
-                beside = attrs.evolve(news, identity='beside')
-                book.merge(beside, is_own=True)
-                self.assertIs(book.verdict('beside'), Verdict.HELD)
-                book.merge(_begun(0, 1, 2, 3), is_own=True)
-                self.assertIs(book.verdict('beside'), Verdict.FREE)
-                self.assertIs(book.verdict('a'), Verdict.HELD)
-
-    def test_nobody_explains_the_cause(self) -> None:
-        """One that is held for as many ends, or of whom nobody can tell."""
-        book = CaseRegistry()
-        for beside in (_begun(0, 1, 2), _unsure(0, 1, 2, 3, 4)):
-            news = attrs.evolve(beside, identity=f'beside {beside}')
-            book.merge(news, is_own=True)
-        book.merge(_begun(0, 1, 2), is_own=True)
-        self.assertIs(book.verdict('a'), Verdict.HELD)
-
-    def test_bounded(self) -> None:
-        """Bodies that vary fill no memory; the newest held ones stay."""
-        book = CaseRegistry()
+    def test_terminations_are_explained_by_a_worse_case(self) -> None:
+        """A request beside one with more terminations is let go."""
+        for update in (_begun_at(0, 1, 2), _unknown_at(0, 1, 2, 3)):
+            with self.subTest(update=update):
+                cases = CaseRegistry()
+                other = attrs.evolve(update, identity='other')
+                cases.merge(other, is_own=True)
+                self.assertIs(cases.verdict('other'), Verdict.HELD)
+                cases.merge(_begun_at(0, 1, 2, 3), is_own=True)
+                self.assertIs(cases.verdict('other'), Verdict.FREE)
+                self.assertIs(cases.verdict('a'), Verdict.HELD)
+
+    def test_the_cause_is_not_explained_by_others(self) -> None:
+        """Others with as many terminations, or unknown ones, do not free it."""
+        cases = CaseRegistry()
+        for other in (_begun_at(0, 1, 2), _unknown_at(0, 1, 2, 3, 4)):
+            update = attrs.evolve(other, identity=f'other {other}')
+            cases.merge(update, is_own=True)
+        cases.merge(_begun_at(0, 1, 2), is_own=True)
+        self.assertIs(cases.verdict('a'), Verdict.HELD)
+
+    def test_memory_is_bounded(self) -> None:
+        """Varying bodies do not fill the memory; the newest held ones stay."""
+        cases = CaseRegistry()
         for number in range(3000):
-            news = attrs.evolve(_begun(0, 1, 2), identity=f'held {number}')
-            book.merge(news, is_own=True)
-            news = attrs.evolve(_begun(0), identity=f'suspect {number}')
-            book.merge(news, is_own=True)
-        counts = book.counts()
+            update = attrs.evolve(_begun_at(0, 1, 2), identity=f'held {number}')
+            cases.merge(update, is_own=True)
+            update = attrs.evolve(_begun_at(0), identity=f'suspect {number}')
+            cases.merge(update, is_own=True)
+        counts = cases.counts()
         self.assertLessEqual(counts['requests_held'], 256)
         self.assertLessEqual(counts['requests_suspected'], 2048)
-        self.assertIs(book.verdict('held 2999'), Verdict.HELD)
+        self.assertIs(cases.verdict('held 2999'), Verdict.HELD)
 
-    def test_suspects_are_forgotten(self) -> None:
-        """After an hour; what is held stays."""
+    def test_suspects_expire(self) -> None:
+        """Suspects are dropped after an hour; held requests stay."""
         clock = _Clock()
-        book = CaseRegistry(clock)
-        book.merge(_begun(0, 1, 2), is_own=True)
-        book.merge(attrs.evolve(_begun(0), identity='old'), is_own=True)
+        cases = CaseRegistry(clock)
+        cases.merge(_begun_at(0, 1, 2), is_own=True)
+        cases.merge(attrs.evolve(_begun_at(0), identity='old'), is_own=True)
         clock.now += 3700
-        book.merge(attrs.evolve(_begun(0), identity='new'), is_own=True)
-        self.assertIs(book.verdict('old'), Verdict.FREE)
-        self.assertIs(book.verdict('a'), Verdict.HELD)
+        cases.merge(attrs.evolve(_begun_at(0), identity='new'), is_own=True)
+        self.assertIs(cases.verdict('old'), Verdict.FREE)
+        self.assertIs(cases.verdict('a'), Verdict.HELD)
 
 
-class ProbeTest(unittest.TestCase):
-    """What a port says of a life."""
+class TerminationProbeTest(unittest.TestCase):
+    """What a port shows about an incarnation."""
 
-    def test_only_a_refusal_tells(self) -> None:
-        """A connection that is taken, or a cut path, is no evidence."""
+    def test_only_a_refused_connection_is_proof(self) -> None:
+        """An accepted connection or a cut path proves nothing."""
         for error, ended in (
             (None, False),
             (ConnectFailedError('no answer'), False),
@@ -203,242 +207,244 @@
         ):
             with self.subTest(error=error):
                 probe = TerminationProbe(_Port(error))
-                found = curio.run(probe.has_terminated, _listed(0))
+                found = curio.run(probe.has_terminated, _listed_instance(0))
                 self.assertIs(found, ended)
 
-    def test_asked_once_for_all(self) -> None:
-        """Thirty requests that break off together ask once."""
+    def test_concurrent_probes_connect_once(self) -> None:
+        """Thirty requests that break off together connect once."""
         port = _Port(ConnectRefusedError('nothing listens'))
-        curio.run(_ask_together, TerminationProbe(port), 30)
-        self.assertEqual(port.asked, 1)
+        curio.run(_probe_together, TerminationProbe(port), 30)
+        self.assertEqual(port.connections, 1)
 
-    def test_forgotten(self) -> None:
-        """Lives that are gone take no memory for ever."""
+    def test_old_results_are_pruned(self) -> None:
+        """Incarnations that are gone use no memory."""
         clock = _Clock()
         port = _Port(ConnectRefusedError('nothing listens'))
         probe = TerminationProbe(port, clock)
-        curio.run(probe.has_terminated, _listed(0))
+        curio.run(probe.has_terminated, _listed_instance(0))
         clock.now += 120
         probe.prune(())
         self.assertFalse(probe._probed or probe._locks)
 
 
-class GuardTest(unittest.TestCase):
-    """Which ends count, and what follows from them."""
+class RequestGuardTest(unittest.TestCase):
+    """Which terminations count, and their consequences."""
 
-    def test_what_does_not_count(self) -> None:
-        """Who had run for long, who left as planned, who lives on."""
-        for seconds, leaves, error in (
+    def test_unrelated_terminations_do_not_count(self) -> None:
+        """A long-running request, a planned stop, a target that lives on."""
+        for seconds, is_leaving, error in (
             (0.6, False, ConnectRefusedError('nothing listens')),
             (0.1, True, ConnectRefusedError('nothing listens')),
             (0.1, False, None),
         ):
-            with self.subTest(seconds=seconds, leaves=leaves, error=error):
+            with self.subTest(
+                seconds=seconds, is_leaving=is_leaving, error=error
+            ):
                 clock = _Clock()
-                guard = _guard(_Port(error), clock, leaves=leaves)
+                guard = _guard(_Port(error), clock, is_leaving=is_leaving)
                 for number in range(5):
-                    curio.run(_end_under, guard, number, clock, seconds)
+                    curio.run(_terminate_during, guard, number, clock, seconds)
                 self.assertTrue(guard.cases.is_empty)
 
-    def test_nothing_is_computed_on_ordinary_days(self) -> None:
-        """No digest where there is nothing to compare it with."""
+    def test_identity_is_not_computed_without_cases(self) -> None:
+        """There is nothing to compare it with."""
         guard = _guard(_Port(None))
-        with guard.track_running(_fail, _listed(0)):
-            self.assertFalse(guard.instances_to_avoid(_fail))
-        guard.record_served(_fail)
+        with guard.track_running(_fail_if_called, _listed_instance(0)):
+            self.assertFalse(guard.instances_to_avoid(_fail_if_called))
+        guard.record_served(_fail_if_called)
 
-    def test_held(self) -> None:
-        """The third end holds it; it is told with what it ended."""
+    def test_third_termination_holds(self) -> None:
+        """The error names the instances that terminated."""
         guard = _guard(_Port(ConnectRefusedError('nothing listens')))
         for number in range(3):
-            curio.run(_end_under, guard, number)
+            curio.run(_terminate_during, guard, number)
         with self.assertRaises(HeldError) as caught:
             guard.instances_to_avoid(lambda: 'a')
         self.assertIn('i0, i1, i2', str(caught.exception))
         self.assertFalse(guard.instances_to_avoid(lambda: 'b'))
 
-    def test_suspects_keep_apart(self) -> None:
-        """Those of one end go to different targets, others where none is."""
+    def test_suspects_avoid_each_other(self) -> None:
+        """Suspects use different targets; others avoid isolated requests."""
         guard = _guard(_Port(None))
         for identity, numbers in (('a', (0, 1)), ('b', (0,)), ('c', (0,))):
-            news = attrs.evolve(_begun(*numbers), identity=identity)
-            guard.cases.merge(news, is_own=True)
+            update = attrs.evolve(_begun_at(*numbers), identity=identity)
+            guard.cases.merge(update, is_own=True)
         with (
-            guard.track_running(lambda: 'a', _listed(4)),
-            guard.track_running(lambda: 'b', _listed(5)),
+            guard.track_running(lambda: 'a', _listed_instance(4)),
+            guard.track_running(lambda: 'b', _listed_instance(5)),
         ):
             self.assertEqual(
                 set(guard.instances_to_avoid(lambda: 'c')), {'i4', 'i5'}
             )
-            # Others are kept away only from what was there at two ends.
+            # Others avoid only requests that saw two terminations.
             self.assertEqual(set(guard.instances_to_avoid(lambda: 'x')), {'i4'})
         self.assertFalse(guard.instances_to_avoid(lambda: 'c'))
 
-    def test_told_again(self) -> None:
-        """News may be lost: it is repeated for two seconds, then no more."""
+    def test_updates_are_republished(self) -> None:
+        """Updates may be lost: they are repeated for two seconds."""
         clock = _Clock()
-        told: list[Sequence[CaseUpdate]] = []
+        updates: list[Sequence[CaseUpdate]] = []
         guard = RequestGuard(
             lambda _one: False,
-            told.append,
+            updates.append,
             CaseRegistry(clock),
             clock,
             TerminationProbe(_Port(ConnectRefusedError('nothing listens'))),
         )
-        curio.run(_end_under, guard, 0)
+        curio.run(_terminate_during, guard, 0)
         for _turn in range(9):
             clock.now += 0.5
             guard.refresh(())
-        self.assertEqual(len(told), 4)
+        self.assertEqual(len(updates), 4)
 
 
-class PendingTest(unittest.TestCase):
-    """Ends that show only after a connection broke."""
+class PendingTerminationsTest(unittest.TestCase):
+    """Terminations that show only after a connection broke."""
 
     def setUp(self) -> None:
-        """Know of no break."""
+        """Start without broken connections."""
         self.clock = _Clock()
         self.pending = PendingTerminations(self.clock)
         self.ended: set[Incarnation] = set()
 
-    def found(self) -> dict[str, bool]:
-        """Return who was there at ends that show now, and whether begun."""
-        news = self.pending.pop_terminated(self.ended.__contains__)
-        return {one.identity: one.ends[0].begun for one in news}
-
-    def test_known_later(self) -> None:
-        """It counts from when it broke, once."""
-        self.pending.record_break(_LIVES[0], 'a', begun=True)
-        self.assertEqual(self.found(), {})
-        self.ended.add(_LIVES[0])
-        self.assertEqual(self.found(), {'a': True})
-        self.assertEqual(self.found(), {})
-
-    def test_who_came_after_the_end(self) -> None:
-        """What is sent to a port without a target has ended nothing."""
-        self.pending.record_break(_LIVES[0], 'a', begun=True)
-        self.pending.record_break(_LIVES[0], 'waited', begun=False)
+    def pop_requests(self) -> dict[str, bool]:
+        """Return the requests at known terminations, and whether begun."""
+        updates = self.pending.pop_terminated(self.ended.__contains__)
+        return {one.identity: one.ends[0].begun for one in updates}
+
+    def test_termination_confirmed_later(self) -> None:
+        """The break is counted once."""
+        self.pending.record_break(_INCARNATIONS[0], 'a', begun=True)
+        self.assertEqual(self.pop_requests(), {})
+        self.ended.add(_INCARNATIONS[0])
+        self.assertEqual(self.pop_requests(), {'a': True})
+        self.assertEqual(self.pop_requests(), {})
+
+    def test_requests_after_the_termination_do_not_count(self) -> None:
+        """They were sent to a port without a target."""
+        self.pending.record_break(_INCARNATIONS[0], 'a', begun=True)
+        self.pending.record_break(_INCARNATIONS[0], 'waited', begun=False)
         self.clock.now += 0.5
-        self.pending.record_break(_LIVES[0], 'later', begun=False)
-        self.ended.add(_LIVES[0])
-        self.assertEqual(self.found(), {'a': True, 'waited': False})
+        self.pending.record_break(_INCARNATIONS[0], 'later', begun=False)
+        self.ended.add(_INCARNATIONS[0])
+        self.assertEqual(self.pop_requests(), {'a': True, 'waited': False})
 
-    def test_an_earlier_break(self) -> None:
-        """A connection was reset, and the target went on; then it ended."""
-        self.pending.record_break(_LIVES[0], 'reset', begun=False)
+    def test_a_break_before_the_termination_does_not_count(self) -> None:
+        """A connection was reset and the target went on for some time."""
+        self.pending.record_break(_INCARNATIONS[0], 'reset', begun=False)
         self.clock.now += 1
-        self.pending.record_break(_LIVES[0], 'waited', begun=False)
-        self.pending.record_alive(_LIVES[0])
-        self.ended.add(_LIVES[0])
-        self.assertEqual(self.found(), {'waited': False})
-
-    def test_it_does_not_wait_for_ever(self) -> None:
-        """An end that comes much later is another's doing."""
-        self.pending.record_break(_LIVES[0], 'a', begun=True)
+        self.pending.record_break(_INCARNATIONS[0], 'waited', begun=False)
+        self.pending.record_alive(_INCARNATIONS[0])
+        self.ended.add(_INCARNATIONS[0])
+        self.assertEqual(self.pop_requests(), {'waited': False})
+
+    def test_a_much_later_termination_does_not_count(self) -> None:
+        """It has another cause."""
+        self.pending.record_break(_INCARNATIONS[0], 'a', begun=True)
         self.clock.now += 10
-        self.assertEqual(self.found(), {})
-        self.ended.add(_LIVES[0])
-        self.assertEqual(self.found(), {})
+        self.assertEqual(self.pop_requests(), {})
+        self.ended.add(_INCARNATIONS[0])
+        self.assertEqual(self.pop_requests(), {})
 
 
-class RowsTest(unittest.TestCase):
-    """What outlasts every node."""
+class HeldRowsTest(unittest.TestCase):
+    """Held requests survive the restart of all nodes."""
 
-    def test_another_node_reads_it(self) -> None:
-        """One that has started since, or that nobody reaches."""
-        table, book = FakePlatform(), CaseRegistry()
-        book.merge(_begun(0, 1, 2), is_own=True)
-        curio.run(HeldRows('n0', table, book).write)
+    def test_another_node_reads_the_row(self) -> None:
+        """A node that started since, or that no other node reaches."""
+        table, cases = FakePlatform(), CaseRegistry()
+        cases.merge(_begun_at(0, 1, 2), is_own=True)
+        curio.run(HeldRows('n0', table, cases).write)
         other = CaseRegistry()
         HeldRows('n1', FakePlatform(), other).apply(table.rows, True)
         self.assertIs(other.verdict('a'), Verdict.HELD)
 
-    def test_written_once(self) -> None:
-        """Also where an answer was lost, or the store was away."""
+    def test_a_row_is_written_once(self) -> None:
+        """Also where a response was lost or the store was unavailable."""
         for faults in ((), (LOST_ANSWER,), (REFUSED, REFUSED)):
             with self.subTest(faults=faults):
                 table = FakePlatform(faults=iter(faults))
-                book = CaseRegistry()
-                rows = HeldRows('n0', table, book)
-                book.merge(_begun(0, 1, 2), is_own=True)
+                cases = CaseRegistry()
+                rows = HeldRows('n0', table, cases)
+                cases.merge(_begun_at(0, 1, 2), is_own=True)
                 for _turn in range(5):
                     curio.run(rows.write)
                     rows.apply(table.rows, False)
                 self.assertEqual(len(table.rows), 1)
                 self.assertLessEqual(table.version, 2)
 
-    def test_its_finder_dies(self) -> None:
-        """Another node writes what it was told, after some time."""
+    def test_another_node_writes_if_the_finder_fails(self) -> None:
+        """It does so after some time."""
         clock = _Clock()
-        table, book = FakePlatform(), CaseRegistry(clock)
-        rows = HeldRows('n1', table, book, clock)
-        book.merge(_begun(0, 1, 2), is_own=False)
+        table, cases = FakePlatform(), CaseRegistry(clock)
+        rows = HeldRows('n1', table, cases, clock)
+        cases.merge(_begun_at(0, 1, 2), is_own=False)
         curio.run(rows.write)
         self.assertFalse(table.rows)
         clock.now += 2.5
         curio.run(rows.write)
         self.assertTrue(table.rows)
 
-    def test_an_operator_releases(self) -> None:
-        """The row goes, nobody writes it again, and it starts at nothing."""
+    def test_an_operator_releases_a_request(self) -> None:
+        """The row is not written again, and the case starts from nothing."""
         for is_whole in (False, True):
             with self.subTest(is_whole=is_whole):
-                table, book = FakePlatform(), CaseRegistry()
-                rows = HeldRows('n0', table, book)
-                book.merge(_begun(0, 1, 2), is_own=True)
+                table, cases = FakePlatform(), CaseRegistry()
+                rows = HeldRows('n0', table, cases)
+                cases.merge(_begun_at(0, 1, 2), is_own=True)
                 curio.run(rows.write)
                 rows.apply(table.rows, False)
-                gone = {} if is_whole else dict.fromkeys(table.rows)
-                rows.apply(gone, is_whole)
+                deleted = {} if is_whole else dict.fromkeys(table.rows)
+                rows.apply(deleted, is_whole)
                 table.rows.clear()
-                book.merge(_begun(0, 1, 2), is_own=False)
+                cases.merge(_begun_at(0, 1, 2), is_own=False)
                 curio.run(rows.write)
                 self.assertFalse(table.rows)
-                self.assertIs(book.verdict('a'), Verdict.FREE)
+                self.assertIs(cases.verdict('a'), Verdict.FREE)
 
-    def test_a_read_from_before_the_write(self) -> None:
-        """It does not show that the row was dropped."""
-        table, book = FakePlatform(), CaseRegistry()
-        rows = HeldRows('n0', table, book)
-        book.merge(_begun(0, 1, 2), is_own=True)
+    def test_a_read_older_than_the_write_releases_nothing(self) -> None:
+        """It does not prove that the row was deleted."""
+        table, cases = FakePlatform(), CaseRegistry()
+        rows = HeldRows('n0', table, cases)
+        cases.merge(_begun_at(0, 1, 2), is_own=True)
         before = dict(table.rows)
         curio.run(rows.write)
         rows.apply(before, True)
-        self.assertIs(book.verdict('a'), Verdict.HELD)
+        self.assertIs(cases.verdict('a'), Verdict.HELD)
 
-    def test_cleared_drops_the_row(self) -> None:
-        """A copy that was under way is answered whole."""
-        table, book = FakePlatform(), CaseRegistry()
-        rows = HeldRows('n0', table, book)
-        book.merge(_begun(0, 1, 2), is_own=True)
+    def test_clearing_deletes_the_row(self) -> None:
+        """A copy of the request in flight was answered completely."""
+        table, cases = FakePlatform(), CaseRegistry()
+        rows = HeldRows('n0', table, cases)
+        cases.merge(_begun_at(0, 1, 2), is_own=True)
         curio.run(rows.write)
-        news = book.clearing_update('a')
-        assert news is not None
-        book.merge(news, is_own=True)
+        update = cases.clearing_update('a')
+        assert update is not None
+        cases.merge(update, is_own=True)
         curio.run(rows.write)
         self.assertFalse(table.rows)
 
     @given(st.one_of(st.text(), st.from_regex(r'\{"news":.*\}')))
-    def test_rows_of_other_writers(self, text: str) -> None:
-        """They hold nobody, and change nothing that is known."""
+    def test_unreadable_rows_are_ignored(self, text: str) -> None:
+        """They hold no request and change no known one."""
         key = held_key('a')
-        book = CaseRegistry()
-        book.merge(_begun(0, 1, 2), is_own=True)
-        rows = HeldRows('n0', FakePlatform(), book)
+        cases = CaseRegistry()
+        cases.merge(_begun_at(0, 1, 2), is_own=True)
+        rows = HeldRows('n0', FakePlatform(), cases)
         rows.apply({key: Row(key, 1, text)}, False)
-        self.assertIs(book.verdict('a'), Verdict.HELD)
+        self.assertIs(cases.verdict('a'), Verdict.HELD)
         self.assertFalse(held_from_rows({key: Row(key, 1, text)}))
 
 
 @attrs.define
 class _Port:
-    """A port that takes connections, or what it answers with."""
+    """A port that accepts connections, or raises an error."""
 
     error: Exception | None
-    asked: int = 0
+    connections: int = 0
 
     async def __call__(self, _address: Address) -> None:
-        self.asked += 1
+        self.connections += 1
         await curio.sleep(0.001)
         if self.error is not None:
             raise self.error
@@ -448,51 +454,51 @@
     port: _Port,
     clock: _Clock | None = None,
     *,
-    leaves: bool = False,
+    is_leaving: bool = False,
 ) -> RequestGuard:
     return RequestGuard(
-        lambda _one: leaves,
+        lambda _one: is_leaving,
         lambda _cases: None,
         clock=clock or _Clock(),
         probe=TerminationProbe(port),
     )
 
 
-async def _end_under(
+async def _terminate_during(
     guard: RequestGuard,
     number: int,
     clock: _Clock | None = None,
     progress_seconds: float = 0,
 ) -> None:
-    """Break an attempt off after its answer has been coming for so long."""
+    """Break an attempt off after its answer has progressed for a time."""
     with contextlib.suppress(TargetDisconnectedError):
-        async with guard.watch(lambda: 'a', _listed(number)) as watch:
+        async with guard.watch(lambda: 'a', _listed_instance(number)) as watch:
             watch.record_begun()
             watch.record_progress()
             if clock is not None:
                 clock.now += progress_seconds
-            raise TargetDisconnectedError('it broke off')
+            raise TargetDisconnectedError('connection broken')
 
 
-def _listed(number: int) -> ListedInstance:
-    incarnation = _LIVES[number]
+def _listed_instance(number: int) -> ListedInstance:
+    incarnation = _INCARNATIONS[number]
     address = Address('127.0.0.1', 1)
     return ListedInstance(
         incarnation.id, 's', address, 'east', 1, born=incarnation.born
     )
 
 
-async def _ask_together(probe: TerminationProbe, count: int) -> None:
+async def _probe_together(probe: TerminationProbe, count: int) -> None:
     asking = [
-        await curio.spawn(probe.has_terminated, _listed(0))
+        await curio.spawn(probe.has_terminated, _listed_instance(0))
         for _number in range(count)
     ]
     for task in asking:
         await task.join()
 
 
-def _fail() -> str:
-    raise AssertionError('there is nothing to compare it with')
+def _fail_if_called() -> str:
+    raise AssertionError('the identity is not needed without cases')
 
 
 if __name__ == '__main__':
--- a/tests/unit/test_requests_without_target.py
+++ b/tests/unit/test_requests_without_target.py
@@ -1,9 +1,9 @@
-"""A request that no target was asked for ends in an answer, and at once.
+"""A request that reaches no target ends in an answer, and at once.
 
-A closed connection or a 500 tells a client nothing: it may not repeat what
-must not run twice, and nobody told it when to come back. Whatever goes wrong
-before a target was asked ends in a 503 that names a time, or in a 4xx where
-the request itself is wrong.
+A closed connection or a 500 tells a client nothing: it must not repeat a
+request that must not run twice, and does not know when to retry. Whatever goes
+wrong before a target is reached ends in a 503 with a retry time, or in a 4xx
+where the request itself is wrong.
 """
 
 import time
@@ -30,13 +30,13 @@
     route,
 )
 
-# An answer at once, on a busy machine.
-_AT_ONCE_SECONDS = 2.0
-_PROPER = frozenset((400, 401, 404, 503))
+# An immediate answer, on a busy machine.
+_MAX_SECONDS = 2.0
+_EXPECTED_STATUSES = frozenset((400, 401, 404, 503))
 _PATHS = ('/stream/x', '/once/x', '/safe/x', '/unsafe/x')
 
 
-async def _fine(exchange: Exchange) -> None:
+async def _serve(exchange: Exchange) -> None:
     await exchange.answer(b'id: 1\ndata: 1\n\n')
 
 
@@ -53,58 +53,58 @@
     return Request('POST', target, {**headers, **named}, b'abc')
 
 
-class UnofferedTest(unittest.TestCase):
-    """Every way in which a request meets no target."""
+class RequestsWithoutTargetTest(unittest.TestCase):
+    """The ways in which a request reaches no target."""
 
     def test_no_configuration(self) -> None:
-        """A node that has just started says when to come back."""
-        world = GatewayWorld(_fine)
+        """A node that has just started answers with a retry time."""
+        world = GatewayWorld(_serve)
         world.config = None
         for path in _PATHS:
-            self._refused(_ask(world, _request(path)))
+            self._assert_refused(_ask(world, _request(path)))
 
     def test_no_target(self) -> None:
-        """Neither a replica nor an instance."""
-        world = GatewayWorld(_fine)
+        """There is neither a replica nor an instance."""
+        world = GatewayWorld(_serve)
         world.fleet.apply_instances({}, True)
         for path in _PATHS:
-            self._refused(_ask(world, _request(path)))
+            self._assert_refused(_ask(world, _request(path)))
 
-    def test_out_of_reach(self) -> None:
-        """Nothing listens where the targets are listed."""
+    def test_unreachable_targets(self) -> None:
+        """Nothing listens at the addresses of the listed targets."""
         for service, path in ((PLAIN, '/unsafe/x'), ('drafts', '/once/x')):
-            world = GatewayWorld(_fine, _fine, service=service)
+            world = GatewayWorld(_serve, _serve, service=service)
             world.put_out_of_reach('i0')
             world.put_out_of_reach('i1')
-            self._refused(_ask(world, _request(path)))
+            self._assert_refused(_ask(world, _request(path)))
 
     def test_no_time_left(self) -> None:
-        """What would be cut at once is not sent at all."""
-        for left in ('0', '1', '-5', '0.4', 'nan'):
+        """A request that would time out at once is not sent."""
+        for remaining in ('0', '1', '-5', '0.4', 'nan'):
             for service, path in ((PLAIN, '/unsafe/x'), ('drafts', '/once/x')):
-                world = GatewayWorld(_fine, service=service)
-                request = _request(path, deadline_ms=left)
-                self._refused(_ask(world, request))
-                self.assertEqual(world.targets[0].seen, [], left)
-
-    def test_shares_of_nothing(self) -> None:
-        """A split whose parts are all zero is drawn evenly."""
-        world = GatewayWorld(_fine, service=PLAIN)
+                world = GatewayWorld(_serve, service=service)
+                request = _request(path, deadline_ms=remaining)
+                self._assert_refused(_ask(world, request))
+                self.assertEqual(world.targets[0].seen, [], remaining)
+
+    def test_zero_weight_shares(self) -> None:
+        """A split whose weights are all zero is drawn evenly."""
+        world = GatewayWorld(_serve, service=PLAIN)
         shares = (Share(PLAIN, 0), Share(PLAIN, 0))
         split = route('split', shares=shares)
         world.config = attrs.evolve(CONFIG, routes=(split,))
         answer = _ask(world, _request('/split/x'))
         self.assertEqual(answer.status, 200)
 
-    def test_odd_targets(self) -> None:
-        """What is no path has no route; it ends in an answer still."""
+    def test_malformed_request_targets(self) -> None:
+        """What is not a valid path has no route, and still gets an answer."""
         for target in ('//[', '//[x/', 'http://[/safe/x', '*', '/safe/%zz'):
-            world = GatewayWorld(_fine, service=PLAIN)
+            world = GatewayWorld(_serve, service=PLAIN)
             answer = _ask(world, _request(target))
             self.assertIn(answer.status, {200, 400, 404}, target)
 
-    def test_odd_figures(self) -> None:
-        """A header that is no figure of use costs no answer."""
+    def test_malformed_headers(self) -> None:
+        """A header with an unusable value does not cost the answer."""
         for name, text in (
             ('token_usage', f'{"9" * 5000},1'),
             ('token_usage', f'{"9" * 400},{"9" * 400}'),
@@ -116,13 +116,15 @@
             ('authorization', 'Bearer \xff'),
         ):
             for path in _PATHS:
-                world = GatewayWorld(_fine)
+                world = GatewayWorld(_serve)
                 answer = _ask(world, _request(path, **{name: text}))
-                self.assertIn(answer.status, _PROPER | {200}, (name, path))
+                self.assertIn(
+                    answer.status, _EXPECTED_STATUSES | {200}, (name, path)
+                )
 
-    def test_a_name_in_any_letters(self) -> None:
-        """An organisation's name goes to the target as it is written."""
-        world = GatewayWorld(_fine, service=PLAIN)
+    def test_an_organisation_name_beyond_ascii(self) -> None:
+        """The name reaches the target unchanged."""
+        world = GatewayWorld(_serve, service=PLAIN)
         assert CONFIG.holders is not None
         holder = attrs.evolve(CONFIG.holders[0], name='Győr')
         world.config = attrs.evolve(CONFIG, holders=(holder,))
@@ -132,13 +134,13 @@
         sent = seen.headers['tenant']
         self.assertEqual(sent.encode('latin-1').decode(), 'Győr')
 
-    def test_a_fault_of_our_own(self) -> None:
-        """It is logged, and what was not sent is refused."""
-        self._refused(_ask(FaultyWorld(), _request('/safe/x')))
+    def test_internal_error(self) -> None:
+        """It is logged, and a request that was not sent is refused."""
+        self._assert_refused(_ask(FaultyGatewayWorld(), _request('/safe/x')))
 
-    def test_a_fault_of_our_own_after_it_was_sent(self) -> None:
-        """Nobody says then that it has not run."""
-        world = FaultyWorld(after_sending=True)
+    def test_internal_error_after_sending(self) -> None:
+        """The answer does not say that the request has not run."""
+        world = FaultyGatewayWorld(after_sending=True)
         answer = _ask(world, _request('/unsafe/x'))
         self.assertEqual(answer.status, 502)
         self.assertEqual(len(world.targets[0].seen), 1)
@@ -151,7 +153,7 @@
             ),
             st.text(
                 st.characters(min_codepoint=33, max_codepoint=255).filter(
-                    lambda one: not 127 <= ord(one) < 161,
+                    lambda character: not 127 <= ord(character) < 161,
                 ),
                 min_size=1,
                 max_size=30,
@@ -159,56 +161,58 @@
         ),
         path=st.sampled_from(_PATHS),
     )
-    def test_any_headers(self, headers: Mapping[str, str], path: str) -> None:
-        """They end in an answer."""
-        world = GatewayWorld(_fine)
+    def test_arbitrary_headers(
+        self, headers: Mapping[str, str], path: str
+    ) -> None:
+        """Any headers lead to an answer."""
+        world = GatewayWorld(_serve)
         answer = _ask(world, _request(path, **headers))
-        self.assertIn(answer.status, _PROPER | {200})
+        self.assertIn(answer.status, _EXPECTED_STATUSES | {200})
 
-    def _refused(self, answer: ClientAnswer) -> None:
+    def _assert_refused(self, answer: ClientAnswer) -> None:
         self.assertEqual(answer.status, 503)
         self.assertGreater(float(answer.headers['retry-after']), 0)
 
 
-class FaultyWorld(GatewayWorld):
-    """A gateway with a fault that nobody has thought of."""
+class FaultyGatewayWorld(GatewayWorld):
+    """A gateway with an unexpected internal error."""
 
     def __init__(self, *, after_sending: bool = False) -> None:
-        """Break the choice of a target, or what follows an answer."""
-        super().__init__(_fine, service=PLAIN)
-        broken = 'gaps' if after_sending else 'choose'
+        """Fail when choosing a target, or after sending."""
+        super().__init__(_serve, service=PLAIN)
+        faulty_member = 'gaps' if after_sending else 'choose'
         sender: Any = self.gateway._sender
-        sender.router = Broken(self.router, broken)
+        sender.router = FaultyRouter(self.router, faulty_member)
 
 
 @attrs.frozen
-class Broken:
-    """A router one part of which fails."""
+class FaultyRouter:
+    """A router one member of which fails."""
 
     _router: object
-    _part: str
+    _faulty_member: str
 
     def __getattr__(self, name: str) -> object:
-        """Return the router's own, but fail for the broken part."""
-        if name == self._part:
-            raise ZeroDivisionError('nobody has thought of this')
+        """Return the router's member, but fail for the faulty one."""
+        if name == self._faulty_member:
+            raise ZeroDivisionError('unexpected internal error')
         return getattr(self._router, name)
 
 
 def _ask(world: GatewayWorld, request: Request) -> ClientAnswer:
-    asking = _Asking(request)
+    exchange = _Exchange(request)
     started = time.monotonic()
-    curio.run(world.run, asking.play)
-    assert time.monotonic() - started < _AT_ONCE_SECONDS
-    return asking.answers[0]
+    curio.run(world.run, exchange.run)
+    assert time.monotonic() - started < _MAX_SECONDS
+    return exchange.answers[0]
 
 
 @attrs.define
-class _Asking:
+class _Exchange:
     request: Request
     answers: list[ClientAnswer] = attrs.field(factory=list)
 
-    async def play(self, world: GatewayWorld) -> None:
+    async def run(self, world: GatewayWorld) -> None:
         connection = await HttpConnection.open(world.server.address)
         head = await connection.send_and_read_head(self.request)
         body = await connection.read_body()
--- a/tests/unit/test_restored_rows.py
+++ b/tests/unit/test_restored_rows.py
@@ -1,4 +1,4 @@
-"""Rows of nodes and of held requests, after a return from a copy."""
+"""Rows of nodes and of held requests after the store was restored."""
 
 import unittest
 from types import SimpleNamespace
@@ -9,32 +9,32 @@
 from cranecart.quarantine import CaseRegistry, HeldRows, Verdict
 from cranecart.serving._registry import NodeRegistry
 from tests.lib.fake_platform import FakePlatform
-from tests.unit.test_quarantine import _begun, _Clock
+from tests.unit.test_quarantine import _begun_at, _Clock
 
 
 class RestoredHeldRowsTest(unittest.TestCase):
-    """Requests that end targets stay held."""
+    """Requests that crash targets stay held."""
 
     def setUp(self) -> None:
-        """Hold a request, and know its row."""
+        """Prepare an empty copy of the table."""
         self.clock = _Clock()
         self.table = FakePlatform()
-        self.book = CaseRegistry(self.clock)
+        self.cases = CaseRegistry(self.clock)
         self.empty = self.table.copied()
-        self.rows = HeldRows('n0', self.table, self.book, self.clock)
+        self.rows = HeldRows('n0', self.table, self.cases, self.clock)
 
-    def test_a_copy_lacks_a_held_request(self) -> None:
-        """Nobody has released it: it is held on, and written again."""
+    def test_a_held_request_missing_from_the_copy(self) -> None:
+        """Nobody has released it: it stays held, its row is written again."""
         self._hold(is_own=True)
         self.table.restore(self.empty)
         self.rows.restore(dict(self.table.rows))
         self.rows.apply(dict(self.table.rows), True)
-        self.assertIs(self.book.verdict('a'), Verdict.HELD)
+        self.assertIs(self.cases.verdict('a'), Verdict.HELD)
         curio.run(self.rows.write)
         self.assertTrue(self.table.rows)
 
-    def test_its_finder_has_gone(self) -> None:
-        """Another node writes it again, long after it was held."""
+    def test_another_node_writes_the_missing_row(self) -> None:
+        """The node that found it is gone, long after it was held."""
         self._hold(is_own=False)
         self.clock.now += 300
         self.table.restore(self.empty)
@@ -45,29 +45,29 @@
         curio.run(self.rows.write)
         self.assertTrue(self.table.rows)
 
-    def test_a_copy_holds_a_released_request(self) -> None:
-        """It stays released, and its row goes again."""
+    def test_a_released_request_present_in_the_copy(self) -> None:
+        """It stays released, and its row is deleted again."""
         self._hold(is_own=True)
         earlier = self.table.copied()
         self.rows.apply(dict.fromkeys(self.table.rows), False)
         self.table.restore(earlier)
         self.rows.restore(dict(self.table.rows))
-        self.assertIs(self.book.verdict('a'), Verdict.FREE)
+        self.assertIs(self.cases.verdict('a'), Verdict.FREE)
         curio.run(self.rows.write)
         self.assertFalse(self.table.rows)
 
     def _hold(self, *, is_own: bool) -> None:
         writer = CaseRegistry(self.clock)
-        writer.merge(_begun(0, 1, 2), is_own=True)
+        writer.merge(_begun_at(0, 1, 2), is_own=True)
         curio.run(HeldRows('n1', self.table, writer, self.clock).write)
-        self.book.merge(_begun(0, 1, 2), is_own=is_own)
+        self.cases.merge(_begun_at(0, 1, 2), is_own=is_own)
         self.rows.apply(dict(self.table.rows), False)
 
 
 class RestoredNodeRowTest(unittest.TestCase):
-    """Nodes that start later find those that were there."""
+    """Nodes that start later find the earlier ones."""
 
-    def test_a_copy_lacks_a_nodes_row(self) -> None:
+    def test_a_node_row_missing_from_the_copy(self) -> None:
         """It is written again, but not once the node has stopped."""
         settings: Any = SimpleNamespace(
             node_id='n0',
--- a/tests/unit/test_routing.py
+++ b/tests/unit/test_routing.py
@@ -1,4 +1,4 @@
-"""Routing policies."""
+"""Routing policies and outlier ejection."""
 
 import random
 import unittest
@@ -14,7 +14,7 @@
 from cranecart.selection._policies import choose
 from cranecart.targets import ServingReplica
 
-_SOURCE = random.Random(1)
+_RNG = random.Random(1)
 _LOADS = st.lists(st.integers(0, 40), min_size=1, max_size=9)
 
 
@@ -42,7 +42,7 @@
 
 
 class PolicyTest(unittest.TestCase):
-    """What the policies promise."""
+    """Guarantees of the routing policies."""
 
     @given(_LOADS, st.text())
     def test_prefix_affinity_bounds_the_load(
@@ -50,39 +50,39 @@
         loads: list[int],
         prefix: str,
     ) -> None:
-        """The chosen replica is never far over the mean."""
+        """The chosen replica is not loaded far above the mean."""
         replicas = _replicas(loads)
         policy = policy_from_name('prefix')
-        chosen = choose(policy, replicas, prefix, _load, _SOURCE).replica
+        chosen = choose(policy, replicas, prefix, _load, _RNG).replica
         mean = sum(map(_load, replicas)) / len(replicas)
         self.assertLessEqual(_load(chosen), 1.25 * mean + 1 / 16)
 
     @given(st.text())
-    def test_prefix_affinity_agrees_without_a_message(
+    def test_prefix_affinity_is_the_same_on_all_nodes(
         self,
         prefix: str,
     ) -> None:
-        """Nodes that list replicas in other orders choose the same."""
+        """Nodes that list replicas in different orders choose the same one."""
         replicas = _replicas([0] * 6)  # noqa: WPS435
         policy = policy_from_name('prefix')
         chosen = {
-            choose(policy, order, prefix, _load, _SOURCE).replica.id
+            choose(policy, order, prefix, _load, _RNG).replica.id
             for order in (replicas, list(reversed(replicas)))
         }
         self.assertEqual(len(chosen), 1)
 
-    def test_two_choices_avoid_the_loaded(self) -> None:
-        """The most loaded of many is never chosen."""
+    def test_two_choices_avoid_the_most_loaded(self) -> None:
+        """The most loaded of several replicas is never chosen."""
         replicas = _replicas([9, 1, 1, 1])
         policy = policy_from_name('two_choices')
         counts = Counter(
-            choose(policy, replicas, '', _load, _SOURCE).replica.id
+            choose(policy, replicas, '', _load, _RNG).replica.id
             for _ in range(200)
         )
         self.assertEqual(counts['r0'], 0)
 
-    def test_unknown_policy(self) -> None:
-        """A name that is no policy is refused."""
+    def test_unknown_policy_is_rejected(self) -> None:
+        """An unknown name is rejected, all listed names are accepted."""
         with self.assertRaises(ValueError):
             policy_from_name('best')
         self.assertEqual(len(set(map(policy_from_name, POLICIES))), 3)
@@ -96,42 +96,42 @@
         return self.now
 
 
-class EjectionTest(unittest.TestCase):
-    """Failing targets are passed over for a while."""
+class OutlierEjectionTest(unittest.TestCase):
+    """Failing targets are ejected for a while."""
 
     def setUp(self) -> None:
-        """Make two replicas, one of which fails."""
+        """Create two replicas, one of which will fail."""
         self.clock = _Clock()
         self.ejection = OutlierEjection(self.clock)
         self.replicas = _replicas([0, 0])
 
-    def test_three_failures_in_a_row(self) -> None:
-        """Then it is out for a second, and again after one more."""
+    def test_three_consecutive_failures_eject(self) -> None:
+        """A target is ejected for a second; a fourth failure doubles it."""
         for _ in range(3):
-            self.assertEqual(self._good(), ['r0', 'r1'])
+            self.assertEqual(self._not_ejected(), ['r0', 'r1'])
             self.ejection.record_failure('r0')
-        self.assertEqual(self._good(), ['r1'])
+        self.assertEqual(self._not_ejected(), ['r1'])
         self.clock.now += 1.1
-        self.assertEqual(self._good(), ['r0', 'r1'])
+        self.assertEqual(self._not_ejected(), ['r0', 'r1'])
         self.ejection.record_failure('r0')
         self.clock.now += 1.1
-        self.assertEqual(self._good(), ['r1'])
+        self.assertEqual(self._not_ejected(), ['r1'])
 
-    def test_success_forgets(self) -> None:
-        """Failures count only in a row."""
+    def test_success_resets_the_count(self) -> None:
+        """Only consecutive failures count."""
         self.ejection.record_failure('r0')
         self.ejection.record_failure('r0')
         self.ejection.record_success('r0')
         self.ejection.record_failure('r0')
-        self.assertEqual(self._good(), ['r0', 'r1'])
+        self.assertEqual(self._not_ejected(), ['r0', 'r1'])
 
-    def test_never_all(self) -> None:
-        """If all fail, all are tried."""
+    def test_all_failing_targets_stay_in_use(self) -> None:
+        """If all targets are ejected, all are used."""
         for name in ('r0', 'r1'):
             for _ in range(3):
                 self.ejection.record_failure(name)
-        self.assertEqual(self._good(), ['r0', 'r1'])
+        self.assertEqual(self._not_ejected(), ['r0', 'r1'])
 
-    def _good(self) -> list[str]:
-        good = self.ejection.without_ejected(self.replicas)
-        return [replica.id for replica in good]
+    def _not_ejected(self) -> list[str]:
+        healthy = self.ejection.without_ejected(self.replicas)
+        return [replica.id for replica in healthy]
--- a/tests/unit/test_said_to_leave.py
+++ b/tests/unit/test_said_to_leave.py
@@ -18,7 +18,7 @@
 from cranecart.ports import Incarnation
 from tests.lib.fake_targets import ENGINES, MODEL, ClientAnswer, instance
 from tests.lib.simulated_cluster import SimulatedCluster
-from tests.lib.throttling_targets import ThrottlingDeployment, Words
+from tests.lib.throttling_targets import Announcement, ThrottlingDeployment
 
 _LEAVE_AT = 0.5
 # The rule: nothing later than this after a node had such an answer.
@@ -27,9 +27,9 @@
 _A_SECOND = 120
 
 
-def _two_leave(name: str, now: float) -> Words:
+def _two_leave(name: str, now: float) -> Announcement:
     is_leaving = name in {'i0', 'i1'} and now >= _LEAVE_AT
-    return Words('server-leaving: 1\r\n' if is_leaving else '')
+    return Announcement('server-leaving: 1\r\n' if is_leaving else '')
 
 
 class SaidToLeaveTest(unittest.TestCase):
@@ -41,7 +41,9 @@
         """The others serve all."""
         deployment = ThrottlingDeployment(4, 10, _two_leave)
         curio.run(deployment.run, self._ask)
-        self.assertEqual(deployment.after_word(_LEAVING_SECONDS), 0)
+        self.assertEqual(
+            deployment.arrivals_after_announcement(_LEAVING_SECONDS), 0
+        )
         self.assertEqual(deployment.not_served(self.answers), [])
 
     async def _ask(self, deployment: ThrottlingDeployment) -> None:
--- a/tests/unit/test_target_throttle.py
+++ b/tests/unit/test_target_throttle.py
@@ -1,4 +1,4 @@
-"""What a node may send to targets that have said something of themselves."""
+"""What a node may send to targets that announced limits or back-offs."""
 
 import operator
 import time
@@ -16,155 +16,159 @@
 from cranecart.throttling import TargetThrottle
 from tests.lib.fake_targets import CONFIG, MODEL, Exchange, GatewayWorld
 
-_LIFE = Incarnation('i1', 7)
+_INCARNATION = Incarnation('i1', 7)
 _REFUSAL = AnswerFacts('r1', False, True, rest_seconds=3)
 _SUCCESS = AnswerFacts('r1', True, False)
 
 
-class RestTest(unittest.TestCase):
-    """Rests, on a clock that the test turns."""
+class BackoffTest(unittest.TestCase):
+    """Back-offs, on a simulated clock."""
 
     def setUp(self) -> None:
-        """Hear a target ask for three seconds at second ten."""
+        """Receive a request to back off for three seconds at second ten."""
         self.now = float(10)
-        self.gate = TargetThrottle(clock=self.clock)
-        self.gate.record_response(_LIFE, _REFUSAL, 9)
+        self.throttle = TargetThrottle(clock=self.clock)
+        self.throttle.record_response(_INCARNATION, _REFUSAL, 9)
 
     def clock(self) -> float:
-        """Return what the test has turned the clock to."""
+        """Return the simulated time."""
         return self.now
 
-    def test_it_ends(self) -> None:
-        """Until then nothing goes there, and it is known when it does."""
-        self.assertFalse(self.gate.accepts(_LIFE))
+    def test_back_off_ends(self) -> None:
+        """Nothing is sent until then, and the remaining time is known."""
+        self.assertFalse(self.throttle.accepts(_INCARNATION))
         self.now = 12
-        self.assertEqual(self.gate.seconds_until_accepted(_LIFE), 1)
+        self.assertEqual(self.throttle.seconds_until_accepted(_INCARNATION), 1)
         self.now = 13
-        self.assertTrue(self.gate.accepts(_LIFE))
-        self.gate.refresh({_LIFE})
-        self.assertTrue(self.gate.is_unrestricted)
+        self.assertTrue(self.throttle.accepts(_INCARNATION))
+        self.throttle.refresh({_INCARNATION})
+        self.assertTrue(self.throttle.is_unrestricted)
 
-    def test_a_success_does_not_end_it(self) -> None:
-        """Its request was sent before the target asked."""
-        self.gate.record_response(_LIFE, _SUCCESS, 9.5)
-        self.assertFalse(self.gate.accepts(_LIFE))
+    def test_a_success_does_not_end_a_back_off(self) -> None:
+        """Its request was sent before the target asked to back off."""
+        self.throttle.record_response(_INCARNATION, _SUCCESS, 9.5)
+        self.assertFalse(self.throttle.accepts(_INCARNATION))
 
-    def test_a_later_one_makes_it_longer_only(self) -> None:
-        """Answers pass each other."""
+    def test_a_later_back_off_only_extends_it(self) -> None:
+        """Responses overtake each other."""
         self.now = 12
         brief = attrs.evolve(_REFUSAL, rest_seconds=0.1)
-        self.gate.record_response(_LIFE, brief, 11)
-        self.assertEqual(self.gate.seconds_until_accepted(_LIFE), 1)
-        self.gate.record_response(_LIFE, _REFUSAL, 11)
-        self.assertEqual(self.gate.seconds_until_accepted(_LIFE), 3)
+        self.throttle.record_response(_INCARNATION, brief, 11)
+        self.assertEqual(self.throttle.seconds_until_accepted(_INCARNATION), 1)
+        self.throttle.record_response(_INCARNATION, _REFUSAL, 11)
+        self.assertEqual(self.throttle.seconds_until_accepted(_INCARNATION), 3)
 
-    def test_another_life_rests_not(self) -> None:
-        """What comes back under the same id has asked for nothing."""
-        self.assertTrue(self.gate.accepts(Incarnation('i1', 8)))
+    def test_another_incarnation_is_not_backed_off_from(self) -> None:
+        """What restarts under the same id has not asked for a back-off."""
+        self.assertTrue(self.throttle.accepts(Incarnation('i1', 8)))
 
-    def test_the_share_of_a_limit_is_told(self) -> None:
-        """What this node may send could not be seen in any line."""
+    def test_the_share_of_a_limit_is_logged(self) -> None:
+        """No log line showed what a node may send."""
         limited = AnswerFacts('r1', True, False, limit=2)
-        with self.assertLogs('cranecart.decisions', 'INFO') as told:
-            self.gate.record_response(_LIFE, limited, 9)
-        fields = map(operator.attrgetter('fields'), told.records)
+        with self.assertLogs('cranecart.decisions', 'INFO') as captured:
+            self.throttle.record_response(_INCARNATION, limited, 9)
+        fields = map(operator.attrgetter('fields'), captured.records)
         shares = [one for one in fields if one['event'] == 'target_share']
         self.assertEqual(len(shares), 1)
         self.assertEqual(shares[0]['per_second'], 2)
         self.assertEqual(shares[0]['nodes'], 1)
 
-    def test_a_rest_and_a_limit(self) -> None:
-        """Both hold, and a limit goes on behind a rest."""
+    def test_a_back_off_and_a_limit_both_apply(self) -> None:
+        """The limit goes on after the back-off has ended."""
         limited = AnswerFacts('r1', True, False, limit=2)
-        self.gate.record_response(_LIFE, limited, 9)
+        self.throttle.record_response(_INCARNATION, limited, 9)
         self.now = 11
-        self.assertFalse(self.gate.accepts(_LIFE))
+        self.assertFalse(self.throttle.accepts(_INCARNATION))
         self.now = 14
-        self.assertTrue(self.gate.accepts(_LIFE))
-        self.gate.record_sent(_LIFE)
-        self.gate.record_sent(_LIFE)
-        self.assertFalse(self.gate.accepts(_LIFE))
+        self.assertTrue(self.throttle.accepts(_INCARNATION))
+        self.throttle.record_sent(_INCARNATION)
+        self.throttle.record_sent(_INCARNATION)
+        self.assertFalse(self.throttle.accepts(_INCARNATION))
 
 
-class RankTest(unittest.TestCase):
-    """Ten requests a second of each of two ranks, at a target with a limit."""
+class PriorityTest(unittest.TestCase):
+    """Ten requests a second of each of two ranks, at a limited target."""
 
     def setUp(self) -> None:
-        """Hear of a limit of two a second."""
+        """Receive a limit of two requests a second."""
         self.now = float(10)
-        self.gate = TargetThrottle(clock=self.clock)
+        self.throttle = TargetThrottle(clock=self.clock)
         limited = AnswerFacts('r1', True, False, limit=2)
-        self.gate.record_response(_LIFE, limited, 9)
-        self.taken: Counter[int] = Counter()
+        self.throttle.record_response(_INCARNATION, limited, 9)
+        self.sent: Counter[int] = Counter()
 
     def clock(self) -> float:
-        """Return what the test has turned the clock to."""
+        """Return the simulated time."""
         return self.now
 
-    def test_urgent_ones_go_first(self) -> None:
-        """They get nearly all of it, whoever asks first."""
+    def test_urgent_requests_are_sent_first(self) -> None:
+        """They use nearly the whole limit, whoever asks first."""
         self._ask((3, 1))
-        self.assertGreater(self.taken[1], 9 * self.taken[3])
-        self.assertGreaterEqual(self.taken.total(), 0.9 * 2 * 20)
+        self.assertGreater(self.sent[1], 9 * self.sent[3])
+        self.assertGreaterEqual(self.sent.total(), 0.9 * 2 * 20)
 
-    def test_others_get_what_is_left(self) -> None:
-        """Where nothing urgent is turned away, nothing is kept for it."""
+    def test_other_requests_get_the_rest(self) -> None:
+        """Without rejected urgent requests nothing is reserved for them."""
         self._ask((3,))
-        self.assertGreaterEqual(self.taken[3], 0.9 * 2 * 20)
+        self.assertGreaterEqual(self.sent[3], 0.9 * 2 * 20)
 
     def _ask(self, ranks: Sequence[int]) -> None:
         for _turn in range(200):
             self.now += 0.1
             for rank in ranks:
-                if self.gate.accepts(_LIFE, rank):
-                    self.gate.record_sent(_LIFE)
-                    self.taken[rank] += 1
+                if self.throttle.accepts(_INCARNATION, rank):
+                    self.throttle.record_sent(_INCARNATION)
+                    self.sent[rank] += 1
                 else:
-                    self.gate.record_rejection((_LIFE,), rank)
+                    self.throttle.record_rejection((_INCARNATION,), rank)
 
 
 class ChangedLimitTest(unittest.TestCase):
-    """A limit that falls, where many nodes have shared it."""
-
-    def test_who_shares_it_is_found_at_once(self) -> None:
-        """Not only at the next look: each of them could send once more."""
-        asked: list[int] = []
-        gate = TargetThrottle(lambda _domain, _name, most: _note(asked, most))
+    """A limit that decreases while many nodes share it."""
+
+    def test_sharing_nodes_are_recomputed_at_once(self) -> None:
+        """Until the next regular check each of them could send once more."""
+        requested: list[int] = []
+        throttle = TargetThrottle(
+            lambda _domain, _name, max_nodes: _record_max_nodes(
+                requested, max_nodes
+            )
+        )
         for limit in (50, 2):
             facts = AnswerFacts('r1', True, False, limit=limit)
-            gate.record_response(_LIFE, facts, time.monotonic() + 60)
-        self.assertEqual(asked, [12, 1])
+            throttle.record_response(_INCARNATION, facts, time.monotonic() + 60)
+        self.assertEqual(requested, [12, 1])
 
 
-def _note(asked: list[int], most: int) -> int:
-    asked.append(most)
-    return most
+def _record_max_nodes(requested: list[int], max_nodes: int) -> int:
+    requested.append(max_nodes)
+    return max_nodes
 
 
-class WaySendTest(unittest.TestCase):
-    """A word that comes while a request is on its way to the target."""
+class CheckBeforeSendingTest(unittest.TestCase):
+    """A back-off that arrives while a request connects to the target."""
 
-    def test_looked_at_before_sending(self) -> None:
-        """It goes elsewhere, which is no failure and costs no retry."""
+    def test_back_off_is_checked_before_sending(self) -> None:
+        """The request goes elsewhere, without counting as failure or retry."""
         world = GatewayWorld(_serve, _serve, retries=0)
         curio.run(world.run, self._ask)
         self.assertEqual(len(world.targets[0].seen), 0)
 
-    def test_no_other_is_left(self) -> None:
-        """A stream has no target to move to where the other rests."""
+    def test_no_other_target_is_left(self) -> None:
+        """A stream has no other target if that one is backed off from."""
         world = GatewayWorld(_serve, _serve)
         route = next(one for one in CONFIG.routes if one.name == 'stream')
-        wanted = RoutingRequest(CONFIG, route, 'drafts', MODEL, 100, 2)
+        request = RoutingRequest(CONFIG, route, 'drafts', MODEL, 100, 2)
         ask = (CONFIG, 'drafts', MODEL, ['i0'])
         self.assertTrue(world.router.has_untried_target(*ask))
         world.router.throttle.record_response(Incarnation('i1'), _REFUSAL, 0)
         self.assertFalse(world.router.has_untried_target(*ask))
-        chosen = {world.router.choose(wanted).instance.id for _ in range(20)}
+        chosen = {world.router.choose(request).instance.id for _ in range(20)}
         self.assertEqual(chosen, {'i0'})
 
     async def _ask(self, world: GatewayWorld) -> None:
         sender = world.gateway._sender
-        sender.connections = SlowConnections(gate=world.router.throttle)
+        sender.connections = SlowConnections(throttle=world.router.throttle)
         for _number in range(6):
             answer = await world.ask('/stream/x')
             self.assertEqual(answer.status, 200)
@@ -172,9 +176,9 @@
 
 @attrs.define(kw_only=True)
 class SlowConnections(TargetConnectionPool):
-    """While the first target is connected to, another answer asks for rest."""
+    """While it connects, the first target asks for a back-off elsewhere."""
 
-    gate: TargetThrottle
+    throttle: TargetThrottle
 
     async def acquire(
         self,
@@ -184,7 +188,7 @@
         require_new: bool = False,
     ) -> HttpConnection:
         """Hear of the rest, then return a connection."""
-        self.gate.record_response(Incarnation('i0'), _REFUSAL, 0)
+        self.throttle.record_response(Incarnation('i0'), _REFUSAL, 0)
         return await super().acquire(
             instance, require_recent=require_recent, require_new=require_new
         )
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -220,7 +220,7 @@
         'begun >= _HOLD_BEGUN_THRESHOLD\n'
         '            or len(unexplained) >= _HOLD_THRESHOLD',
         'not unexplained and begun',
-        'tests.unit.test_crashing_requests.EndingRequestTest.test_streams',
+        'tests.unit.test_crashing_requests.CrashingRequestTest.test_streams',
     ),
     Mutation(
         'broken-connections-pass-for-ends',
@@ -231,7 +231,7 @@
         """        except ConnectFailedError:
             return True
         return True""",
-        'tests.unit.test_quarantine.ProbeTest.test_only_a_refusal_tells',
+        'tests.unit.test_quarantine.TerminationProbeTest.test_only_a_refused_connection_is_proof',
     ),
     Mutation(
         'suspensions-are-not-counted',
@@ -276,8 +276,8 @@
         'routing/_router.py',
         'self._report_broken(incarnation)',
         'return',
-        'tests.unit.test_broken_plain_instances.BrokenPlainTest'
-        '.test_it_is_passed_over_at_once',
+        'tests.unit.test_broken_plain_instances.BrokenPlainInstanceTest'
+        '.test_a_broken_connection_ejects_at_once',
     ),
     Mutation(
         'limits-of-targets-are-not-kept',
