--- a/src/cranecart/quarantine/_guard.py
+++ b/src/cranecart/quarantine/_guard.py
@@ -185,7 +185,7 @@
         return is_new
 
     def refresh(self, listed: Collection[Incarnation]) -> None:
-        """Drop instance_ids that are gone, and publish recent updates again."""
+        """Drop incarnations that are gone, and publish recent updates again."""
         self.probe.prune(listed)
         for update in self._pending.pop_terminated(self._has_terminated):
             self._record_termination(update, 'seen here, confirmed later')
--- a/src/cranecart/quarantine/_pending.py
+++ b/src/cranecart/quarantine/_pending.py
@@ -34,7 +34,7 @@
 
 @attrs.define
 class _Breaks:
-    """The connections that broke at entry incarnation.
+    """The connections that broke at one incarnation.
 
     It was certainly alive at ``alive_at``, when an answer that had begun was
     cut.
--- a/src/cranecart/quarantine/_probe.py
+++ b/src/cranecart/quarantine/_probe.py
@@ -17,7 +17,7 @@
 # How long an accepted connection counts: a reset of all connections breaks
 # dozens at the same moment.
 _ALIVE_CACHE_SECONDS = 0.25
-# A termination is final; this is how long anybody still asks for it.
+# A termination is final; its result is not needed for longer than this.
 _TERMINATED_CACHE_SECONDS = 60.0
 
 
--- a/src/cranecart/routing/_availability.py
+++ b/src/cranecart/routing/_availability.py
@@ -45,8 +45,8 @@
     """Return the targets that accept requests of a rank.
 
     Raise ``OverloadedError`` if none does; nothing is sent to them then.
-    ``return_after`` turns the seconds until one accepts into the client's
-    retry time.
+    ``retry_after`` turns the seconds until one accepts into the client's retry
+    time.
     """
     if throttle.is_unrestricted:
         return targets
--- a/src/cranecart/throttling/_throttle.py
+++ b/src/cranecart/throttling/_throttle.py
@@ -2,7 +2,7 @@
 
 Overloaded targets announce limits of a few requests a second for all nodes
 together, while each node may be asked for many times that. Others refuse
-requests and ask for a back-off; meanwhile they look idle sender their request
+requests and ask for a back-off; meanwhile they look idle by their request
 counts.
 """
 
@@ -237,7 +237,7 @@
                 self._publish(updates)
 
     def counts(self) -> dict[str, int]:
-        """Return metrics sender name."""
+        """Return metrics by name."""
         return {
             'targets_with_limit': len(self._allotments),
             'targets_at_rest': len(self._backoffs),
--- a/tests/unit/test_crash_simulation.py
+++ b/tests/unit/test_crash_simulation.py
@@ -13,7 +13,7 @@
     """For more days, run ``python -m tests.lib.crash_simulation 1000``."""
 
     def test_without_a_culprit(self) -> None:
-        """One of a hundred targets terminates a second, of eight each 2.5 s."""
+        """A target fails each second of a hundred, or each 2.5 s of eight."""
         for replicas, rate in ((100, 1.0), (8, 0.4)):
             for seed in range(_DAYS // 2):
                 with self.subTest(replicas=replicas, seed=seed):
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -150,7 +150,7 @@
             )
 
     def test_terminations_are_explained_by_a_worse_case(self) -> None:
-        """A request beside one with more terminations is let go."""
+        """A request beside one with more terminations is released."""
         for update in (_begun_at(0, 1, 2), _unknown_at(0, 1, 2, 3)):
             with self.subTest(update=update):
                 cases = CaseRegistry()
@@ -171,7 +171,7 @@
         self.assertIs(cases.verdict('a'), Verdict.HELD)
 
     def test_memory_is_bounded(self) -> None:
-        """Varying bodies do not fill the memory; the newest held ones stay."""
+        """Varying bodies do not fill the memory; the newest held cases stay."""
         cases = CaseRegistry()
         for number in range(3000):
             update = attrs.evolve(_begun_at(0, 1, 2), identity=f'held {number}')
--- a/tests/unit/test_target_throttle.py
+++ b/tests/unit/test_target_throttle.py
@@ -159,10 +159,10 @@
         world = GatewayWorld(_serve, _serve)
         route = next(one for one in CONFIG.routes if one.name == 'stream')
         request = RoutingRequest(CONFIG, route, 'drafts', MODEL, 100, 2)
-        ask = (CONFIG, 'drafts', MODEL, ['i0'])
-        self.assertTrue(world.router.has_untried_target(*ask))
+        arguments = (CONFIG, 'drafts', MODEL, ['i0'])
+        self.assertTrue(world.router.has_untried_target(*arguments))
         world.router.throttle.record_response(Incarnation('i1'), _REFUSAL, 0)
-        self.assertFalse(world.router.has_untried_target(*ask))
+        self.assertFalse(world.router.has_untried_target(*arguments))
         chosen = {world.router.choose(request).instance.id for _ in range(20)}
         self.assertEqual(chosen, {'i0'})
 
@@ -176,7 +176,7 @@
 
 @attrs.define(kw_only=True)
 class SlowConnections(TargetConnectionPool):
-    """While it connects, the first target asks for a back-off elsewhere."""
+    """Another response of the first target asks for back-off meanwhile."""
 
     throttle: TargetThrottle
 
@@ -187,7 +187,7 @@
         require_recent: bool,
         require_new: bool = False,
     ) -> HttpConnection:
-        """Hear of the rest, then return a connection."""
+        """Record the back-off, then return a connection."""
         self.throttle.record_response(Incarnation('i0'), _REFUSAL, 0)
         return await super().acquire(
             instance, require_recent=require_recent, require_new=require_new
