--- a/tests/lib/fake_engines.py
+++ b/tests/lib/fake_engines.py
@@ -1,4 +1,4 @@
-"""Engine instances in memory that keep the rules of orders, and notice."""
+"""Engine instances in memory that follow orders and check their rules."""
 
 import time
 from collections.abc import Sequence
@@ -30,7 +30,7 @@
 _WORKING_PHASES = frozenset((MemberPhase.OPEN, MemberPhase.CLOSING))
 
 
-def listed(
+def listed_instance(
     name: str,
     address: Address,
     fabric: str = 'east-0',
@@ -48,13 +48,14 @@
 
 @attrs.define
 class FakeEngines:
-    """Takes orders and shows their effect in a fleet's list at once.
-
-    A head without a member is broken after ``stall_seconds``. ``dark``
-    instances answer nothing, ``gone`` ones have ended, ``closed`` ones do not
-    listen but finish what they have; the
-    violations of what must always hold are collected. A closed replica's
-    work takes ``work_seconds``; ``cut`` counts orders that broke work off.
+    """Follows orders and shows their effect in a fleet's list at once.
+
+    A head without a member is broken after ``stall_seconds``. ``unreachable``
+    instances answer nothing, ``terminated`` ones have ended, ``refusing`` ones
+    do not listen but finish their requests; ``dropping_answers`` lose the
+    answer to their next order. Broken invariants are collected in
+    ``violations``. A closed replica takes ``work_seconds`` to finish its
+    requests; ``interrupted`` counts orders that cut requests off.
     """
 
     fleet: Fleet
@@ -113,7 +114,7 @@
         epoch: int,
         fencing: int,
     ) -> None:
-        """Let a replica serve; note it if not all members are ready."""
+        """Let a replica serve; record a violation if a member is missing."""
         self._receive(head, 'open')
         for name in self._members[replica, epoch]:
             member = self.fleet.find_instance(name)
@@ -129,7 +130,7 @@
         epoch: int,
         fencing: int,
     ) -> None:
-        """End a replica's service once its work has ended."""
+        """Stop accepting requests; end once the running ones are finished."""
         self._receive(head, 'close')
         self._set_phase(head.id, replica, epoch, MemberPhase.CLOSING)
         await curio.spawn(
@@ -164,13 +165,13 @@
         model: str,
         fencing: int,
     ) -> None:
-        """Bring a model to a host."""
+        """Copy a model to a host."""
         self._receive(instance, 'stage')
         current = self.fleet.instances.get(instance.id, instance)
         self._publish(attrs.evolve(current, staged=(model,)))
 
     def restart(self, name: str, born: int) -> None:
-        """Kill an instance and start it under its id: it has nothing."""
+        """Kill an instance and start it under its id, with nothing loaded."""
         known = self.fleet.find_instance(name)
         assert known is not None
         self._last_epochs.pop(name, None)
@@ -203,14 +204,14 @@
             raise OrderUnknownError(f'{order} of {instance.id}')
 
     def _check_not_serving_elsewhere(self, name: str, replica: str) -> None:
-        bound = [
+        memberships = [
             replica_epoch
             for replica_epoch, members in self._members.items()
             if name in members and replica_epoch[0] != replica
         ]
         self.violations.extend(
             f'{name} joined {replica}, had {replica_epoch[0]}'
-            for replica_epoch in bound
+            for replica_epoch in memberships
             if self._may_serve(replica_epoch)
         )
 
--- a/tests/lib/placement_simulation.py
+++ b/tests/lib/placement_simulation.py
@@ -1,8 +1,9 @@
-"""A deployment in simulated time, under the plans of its placers.
+"""Simulate a deployment that is placed by plans, in simulated time.
 
-Instances die and come back with what is on their hosts; replicas that lose a
-member end, and what is left of them is divided anew. No I/O: orders hold at once, and what
-they take is added up from the models' declared times.
+Instances fail and return with the models staged on their hosts; replicas that
+lose a member end, and the survivors are allocated again. There is no I/O:
+orders take effect at once, and their durations follow from the models' declared
+times.
 """
 
 import itertools
@@ -31,11 +32,12 @@
 from cranecart.http import Address
 from cranecart.models import EngineModel, EngineProfile, ServiceProfile
 from cranecart.ports import ListedInstance
-from tests.lib.fake_engines import SERVICE, listed
+from tests.lib.fake_engines import SERVICE, listed_instance
 
-# How often each placer plans here; a small node manages about that.
+# Interval between plans of a placer, about what a small node achieves.
 _TICK_SECONDS = 0.1
-# Until the nodes know of a death, and until a head without members is broken.
+# Time until the nodes detect a failure, and until a head without a member is
+# broken.
 _DETECTION_SECONDS = 0.5
 _STALL_SECONDS = 4.3
 _FABRICS_PER_PLACER = 2
@@ -44,7 +46,10 @@
 
 @attrs.frozen
 class SimulationLayout:
-    """Fabric domains, their instances, the models, and the work that comes."""
+    """The fabric domains, models and demand of a simulated deployment.
+
+    ``demand`` is in replicas of each model.
+    """
 
     fabrics: int
     fabric_size: int
@@ -79,11 +84,11 @@
 class SimulatedDeployment:
     """Instances, replicas and placers; ``now`` is in seconds.
 
-    ``work`` is how many replicas of each model the work fills.
+    ``demand`` is how many replicas of each model the requests fill.
     """
 
     def __init__(self, layout: SimulationLayout, source: random.Random) -> None:
-        """Divide all instances, before any request, as placers do."""
+        """Allocate all instances before the first request, as placers do."""
         self.now: float = 0
         self.demand = layout.demand
         self.replicas: dict[str, _Replica] = {}
@@ -125,12 +130,12 @@
         )
 
     def crash(self, count: int, downtime_seconds: float) -> None:
-        """Lose instances together; others take their places later."""
+        """Fail instances together; replacements appear after a downtime."""
         alive = sorted(self._instances(), key=lambda one: one.id)
         dead_ids = {one.id for one in self._source.sample(alive, count)}
         for one in alive:
             if one.id in dead_ids:
-                # What was on the host stays there.
+                # Models staged on the host survive.
                 back = attrs.evolve(
                     self._new(one.fabric_domain),
                     staged=one.staged,
@@ -149,7 +154,7 @@
             self._stagings.pop(name, None)
 
     def run(self, seconds: float) -> Iterator[Counter[str]]:
-        """Let time pass; yield what serves at each tick."""
+        """Advance the time; yield the open replicas at each tick."""
         until = self.now + seconds
         while self.now < until:
             self.now += _TICK_SECONDS
@@ -165,13 +170,13 @@
         return self.now
 
     def _new(self, fabric: str) -> ListedInstance:
-        return listed(f'i{next(self._numbers):04}', _ADDRESS, fabric)
+        return listed_instance(f'i{next(self._numbers):04}', _ADDRESS, fabric)
 
     def _add(self, instance: ListedInstance) -> None:
         self._free[instance.id] = instance
 
     def _stage_second_models(self) -> None:
-        """Bring all members the other model, as loads are quick then."""
+        """Stage the other model on all members, as loads are quick then."""
         names = [model.name for model in self._layout.models]
         for replica in self.replicas.values():
             other = next(name for name in names if name != replica.model)
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -23,7 +23,7 @@
     StutteringService,
     Turn,
 )
-from tests.lib.fake_engines import listed
+from tests.lib.fake_engines import listed_instance
 from tests.platform._standin import StandinStore, start
 
 
@@ -98,7 +98,7 @@
             await task.cancel()
 
     async def _order(self, address: Address) -> OrderError | None:
-        instance = attrs.evolve(listed('i', address))
+        instance = attrs.evolve(listed_instance('i', address))
         try:
             await PlatformOrders().join(instance, 'r', 7, 'm', ['i', 'j'], 3)
         except OrderError as error:
@@ -109,7 +109,7 @@
 async def _close_then_leave(engine: StutteringService) -> None:
     serving = await curio.spawn(engine.run)
     orders = PlatformOrders()
-    head = listed('i', engine.address)
+    head = listed_instance('i', engine.address)
     try:
         await orders.close(head, 'r', 7, 3)
         await orders.leave(head, 'r', 7, 3)
--- a/tests/platform/test_silence.py
+++ b/tests/platform/test_silence.py
@@ -29,7 +29,7 @@
 )
 from cranecart.platform._store import CALL_SECONDS
 from cranecart.ports import Put, Transaction
-from tests.lib.fake_engines import listed
+from tests.lib.fake_engines import listed_instance
 from tests.platform._standin import StandinStore, start
 
 # What a busy machine may add to a bound; without one it would be a minute.
@@ -212,4 +212,4 @@
         await task.cancel()
 
     async def _open(self, orders: PlatformOrders, address: Address) -> None:
-        await orders.open(listed('i', address), 'r', 1, 1)
+        await orders.open(listed_instance('i', address), 'r', 1, 1)
--- a/tests/unit/test_allocation.py
+++ b/tests/unit/test_allocation.py
@@ -1,4 +1,4 @@
-"""How a fabric domain's instances are divided between models."""
+"""Allocation of a fabric domain's instances to models."""
 
 import itertools
 import random
@@ -27,7 +27,7 @@
 from cranecart.http import Address
 from cranecart.models import EngineModel, EngineProfile, ServiceProfile
 from cranecart.ports import ListedInstance
-from tests.lib.fake_engines import SERVICE, listed
+from tests.lib.fake_engines import SERVICE, listed_instance
 
 _LARGE = EngineModel('large', 4, 1.0, 0.67, 16, 1.6)
 _SMALL = EngineModel('small', 2, 0.6, 0.33, 12, 1.1)
@@ -37,8 +37,8 @@
 
 
 def _warm_instance(name: str, model: str, fabric: str = 'f') -> ListedInstance:
-    """Return an instance that has one model loaded and the other staged."""
-    instance = listed(name, _ADDRESS, fabric)
+    """Return an instance with one model loaded and the other staged."""
+    instance = listed_instance(name, _ADDRESS, fabric)
     return attrs.evolve(
         instance,
         loaded=(model,),
@@ -51,10 +51,10 @@
 
 
 class ObjectiveTest(unittest.TestCase):
-    """What replicas are worth."""
+    """The value of numbers of replicas."""
 
     def test_marginal_value_decreases(self) -> None:
-        """Whatever there is of the other model."""
+        """Independently of the replicas of the other model."""
         objective = _objective()
         scores = [
             objective.value({'large': count, 'small': 4}) for count in range(9)
@@ -63,7 +63,7 @@
         self.assertEqual(gains, sorted(gains, reverse=True))
 
     def test_shares_replace_unknown_demand(self) -> None:
-        """Two thirds of the instances for four, a third for two."""
+        """Two thirds of the instances for size four, a third for size two."""
         objective = build_objective(_MODELS, {}, 48)
         self.assertAlmostEqual(
             objective.demand['large'] / objective.demand['small'],
@@ -76,7 +76,7 @@
     """One fabric domain."""
 
     def test_matches_exhaustive_search(self) -> None:
-        """Small cases, against all choices of members and closings."""
+        """Compare small cases with all choices of members and preemptions."""
         source = random.Random(7)
         for _case in range(150):
             pool = _random_pool(source)
@@ -89,7 +89,7 @@
             self.assertAlmostEqual(found.value, best)
 
     def test_survivors_wait_for_a_small_replica_to_close(self) -> None:
-        """Three of four and two of a plenty make four again, and one spare."""
+        """Three of four survivors get a member from a plentiful small model."""
         survivors = [
             Candidate(_warm_instance(f'l{number}', 'large'))
             for number in range(3)
@@ -107,7 +107,7 @@
         self.assertEqual([one.model for one in found.formed], ['large'])
 
     def test_no_step_is_reverted(self) -> None:
-        """What was just formed is not closed by the same measure."""
+        """A replica that was just formed is not preempted again."""
         for large, small in itertools.product(range(1, 9), repeat=2):
             members = tuple(
                 _warm_instance(f'l{number}', 'large') for number in range(4)
@@ -135,32 +135,32 @@
 
 
 class InitialPlanTest(unittest.TestCase):
-    """Empty instances of three failure domains, and no request yet."""
+    """Unused instances of three failure domains, before the first request."""
 
     def test_placers_agree_on_one_allocation(self) -> None:
-        """Each plans for all; its part of that plan fits the others'."""
+        """Each placer plans the whole; its part fits those of the others."""
         free = tuple(
-            listed(f'{fabric}-{number}', _ADDRESS, f'f{fabric}')
+            listed_instance(f'{fabric}-{number}', _ADDRESS, f'f{fabric}')
             for fabric, number in itertools.product(range(6), range(8))
         )
         plan_input = PlanInput(
             _PROFILE, free, {}, {}, {}, load_time_factor=0.1, instance_count=48
         )
-        whole = plan(plan_input)
-        counts = Counter(one.model for one in whole.replicas)
+        full_plan = plan(plan_input)
+        counts = Counter(one.model for one in full_plan.replicas)
         self.assertEqual(counts, {'large': 8, 'small': 8})
         parts = sum(
-            len(_part(whole, ends).replicas)
-            for ends in ({'f0', 'f1'}, {'f2', 'f3'}, {'f4', 'f5'})
+            len(_part(full_plan, fabrics).replicas)
+            for fabrics in ({'f0', 'f1'}, {'f2', 'f3'}, {'f4', 'f5'})
         )
-        self.assertEqual(parts, len(whole.replicas))
+        self.assertEqual(parts, len(full_plan.replicas))
 
 
 class FailuresTest(unittest.TestCase):
-    """Members die every two seconds for good, as on the worst days."""
+    """A member fails for good every two seconds."""
 
     def test_the_large_model_keeps_its_replicas(self) -> None:
-        """Taking what fits, and what was closed for it, left it 2 to 4 of 6."""
+        """Greedy allocation left it 2 to 4 of 6 replicas."""
         for seed in range(12):
             deployment = _Deployment(random.Random(seed))
             for _death in range(16):
@@ -176,7 +176,7 @@
 
 
 class _Deployment:
-    """Six fabric domains of eight, divided anew after each death."""
+    """Six fabric domains of eight, allocated again after each failure."""
 
     def __init__(self, source: random.Random) -> None:
         self._source = source
@@ -196,16 +196,16 @@
         return Counter(model for model, _members in self.replicas.values())
 
     def kill_one(self) -> None:
-        """Lose a member of some replica; the others are free."""
+        """Lose a member of some replica; the others become free."""
         name = self._source.choice(sorted(self.replicas))
         _model, members = self.replicas.pop(name)
         members.remove(self._source.choice(members))
         self.free.extend(members)
 
     def place(self) -> None:
-        """Act on plans until they ask for nothing more.
+        """Apply plans until they ask for nothing more.
 
-        Closed replicas end one after the other, with a plan in between.
+        Preempted replicas end one after the other, with a plan in between.
         """
         for _turn in range(6):
             if self.closing:
@@ -242,8 +242,8 @@
                 yield ServingMember(member, name, model)
 
 
-def _part(whole: Plan, fabrics: set[str]) -> Plan:
-    return whole.restricted_to(lambda one: one.fabric_domain in fabrics)
+def _part(full_plan: Plan, fabrics: set[str]) -> Plan:
+    return full_plan.restricted_to(lambda one: one.fabric_domain in fabrics)
 
 
 def _random_pool(source: random.Random) -> FabricPool:
@@ -253,7 +253,7 @@
         )
         for number in range(source.randint(0, 6))
     )
-    closable = tuple(
+    preemptible = tuple(
         PreemptibleReplica(
             f'r{number}',
             'small',
@@ -264,11 +264,11 @@
         )
         for number in range(source.randint(0, 2))
     )
-    return FabricPool(free, closable, drain_seconds=0.5)
+    return FabricPool(free, preemptible, drain_seconds=0.5)
 
 
 def _restrictions(pool: FabricPool) -> Iterable[FabricPool]:
-    """Yield the pool with every choice of instances and of closables."""
+    """Yield the pool with every subset of its instances and replicas."""
     for free, preemptible in itertools.product(
         _subsets(pool.candidates),
         _subsets(pool.preemptible),
--- a/tests/unit/test_follower.py
+++ b/tests/unit/test_follower.py
@@ -12,7 +12,7 @@
 from cranecart.http import Address
 from cranecart.mesh import ListNews, decode_mesh_message, encode_mesh_message
 from cranecart.ports import Changes, Snapshot, version_in
-from tests.lib.fake_engines import listed
+from tests.lib.fake_engines import listed_instance
 from tests.lib.waiting import until
 
 
@@ -229,7 +229,7 @@
 
     def test_news_over_the_wire(self) -> None:
         """Entries of the list survive their way between nodes."""
-        instance = listed('i', Address('127.0.0.1', 1))
+        instance = listed_instance('i', Address('127.0.0.1', 1))
         message = ListNews('n', SourceUpdate(1, 2, {'i': instance, 'j': None}))
         decoded = decode_mesh_message(encode_mesh_message(message))
         self.assertEqual(decoded, message)
--- a/tests/unit/test_grouping.py
+++ b/tests/unit/test_grouping.py
@@ -1,4 +1,4 @@
-"""A placer with engines in memory: form, repair, end."""
+"""Form, repair and tear down replicas with engines in memory."""
 
 import itertools
 import socket
@@ -20,7 +20,7 @@
     SERVICE,
     SMALL,
     FakeEngines,
-    listed,
+    listed_instance,
 )
 from tests.lib.fake_platform import FakePlatform
 from tests.lib.waiting import until
@@ -35,7 +35,7 @@
     """One placer, its table, and nine engine instances."""
 
     def __init__(self) -> None:
-        """Build it all; nothing runs."""
+        """Build the parts; nothing runs yet."""
         self.fleet = Fleet()
         self.listener = socket.create_server(('127.0.0.1', 0))
         self.address = Address(*self.listener.getsockname()[:2])
@@ -48,12 +48,12 @@
         self.placer = self.make_placer('one')
         names = [f'i{number}' for number in range(9)]
         self.fleet.apply_instances(
-            {one: listed(one, self.address) for one in names},
+            {one: listed_instance(one, self.address) for one in names},
             True,
         )
 
     def make_placer(self, node_id: str) -> GroupPlacer:
-        """Return a placer of this world's failure domain."""
+        """Return a placer of the failure domain."""
         return GroupPlacer(
             PlacerScope(DOMAIN, 1, _STALL_SECONDS),
             Lease(f'lease/{DOMAIN}', node_id, self.table, _TIMES),
@@ -78,9 +78,9 @@
         ]
 
     def lose(self, name: str) -> None:
-        """Let an instance fall silent and be found lost."""
+        """Make an instance unreachable and report it as lost."""
         self.engines.unreachable.add(name)
-        self.placer.failure_detector.report_lost(name, 'a test says so')
+        self.placer.failure_detector.report_lost(name, 'reported by the test')
 
     def _note_stopped(
         self,
@@ -92,15 +92,15 @@
 
 
 class GroupingTest(unittest.TestCase):
-    """What becomes of nine instances of one fabric domain."""
+    """Nine instances of one fabric domain."""
 
     def setUp(self) -> None:
-        """Build a world."""
+        """Build a testbed."""
         self.testbed = PlacerTestbed()
         self.addCleanup(self.testbed.listener.close)
 
     def test_forms_both_models_and_stages_spares(self) -> None:
-        """Four and three serve; each spare is staged for another model."""
+        """Replicas of four and three serve; each spare stages another model."""
         curio.run(self._form_and_stage)
         sizes = sorted(len(head.members) for head in self.testbed.heads())
         self.assertEqual(sizes, [3, 4])
@@ -119,41 +119,41 @@
         self.assertEqual(self.testbed.engines.violations, [])
 
     def test_spares_load_their_model(self) -> None:
-        """A spare needs no more time to join than a survivor."""
+        """A spare takes no longer to join than a survivor."""
         curio.run(self._wait_until_warmed)
         self.assertEqual(self.testbed.engines.violations, [])
 
     def test_no_member_is_warmed_before_it_is_free(self) -> None:
-        """A dark head may still serve with the members that it has."""
+        """An unreachable head may still serve with its members."""
         self.testbed.has_traffic = True
         curio.run(self._lose_head_briefly)
         self.assertEqual(self.testbed.engines.violations, [])
 
     def test_suspected_replica_is_checked_at_once(self) -> None:
-        """All nodes hear of a lost member before the next turn."""
+        """All nodes learn of a lost member before the next tick."""
         self.assertLess(curio.run(self._suspect_member), 0.03)
         self.assertEqual(len({name for name, _ in self.testbed.stopped}), 1)
 
     def test_survivors_rejoin_at_once(self) -> None:
-        """A freed member waits for no order that was never sent."""
+        """A released member does not wait for the time-out of an order."""
         seconds = curio.run(self._lose_member)
         self.assertLess(seconds, 0.45)
         self.assertEqual(self.testbed.engines.violations, [])
 
     def test_members_wait_for_an_unreachable_head(self) -> None:
-        """Nobody joins elsewhere while the head may still serve."""
+        """No member joins elsewhere while the head may still serve."""
         seconds = curio.run(self._lose_head)
         self.assertGreater(seconds, _STALL_SECONDS)
         self.assertEqual(self.testbed.engines.violations, [])
 
     def test_a_head_that_stopped_listening_may_serve(self) -> None:
-        """One that leaves finishes what it has behind a closed port."""
+        """A leaving head finishes its requests after it stopped listening."""
         seconds = curio.run(self._stop_listening_at_head)
         self.assertGreater(seconds, _STALL_SECONDS)
         self.assertEqual(self.testbed.engines.violations, [])
 
     def test_no_head_opens_before_all_are_ready(self) -> None:
-        """A member that takes no order keeps its replica from serving."""
+        """A member that follows no orders keeps its replica from serving."""
         self.testbed.engines.unreachable.add('i2')
         curio.run(self._form_for_a_while)
         members = {name for one in self.testbed.heads() for name in one.members}
@@ -161,13 +161,13 @@
         self.assertEqual(self.testbed.engines.violations, [])
 
     def test_an_unanswered_order_is_sent_again(self) -> None:
-        """An order whose answer is lost holds back nothing for long."""
+        """A lost answer delays the formation only briefly."""
         self.testbed.engines.dropping_answers.update(('i0', 'i1', 'i2'))
         curio.run(self._form_and_stage)
         self.assertEqual(self.testbed.engines.violations, [])
 
     def test_a_leaving_member_drains_the_replica(self) -> None:
-        """The head is closed before its members are freed."""
+        """The head is closed before its members are released."""
         curio.run(self._member_leaves)
         self.assertIn(
             'close', {name for name, _ in self.testbed.engines.orders}
@@ -179,7 +179,7 @@
         self.assertEqual(self.testbed.engines.violations, [])
 
     def test_a_successor_keeps_the_replicas(self) -> None:
-        """Another placer takes over rows and opens nothing a second time."""
+        """The next placer takes over the rows and joins no member again."""
         curio.run(self._replace_placer)
         members = {name for one in self.testbed.heads() for name in one.members}
         joins = [
@@ -190,7 +190,7 @@
         self.assertEqual(len(joins), 7)
 
     def test_instances_returning_one_by_one(self) -> None:
-        """No replica loads a model while better members are on their way."""
+        """No replica loads a model while better members are returning."""
         curio.run(self._return_one_by_one)
         reasons = {
             record.reason for record in self.testbed.fleet.records.values()
@@ -268,12 +268,12 @@
         await until(lambda: len(testbed.heads()) == 2)
         big = testbed.fleet.heads(SERVICE, BIG.name)[0]
         used = {name for one in testbed.heads() for name in one.members}
-        # The two that survive are too few for any replica.
+        # The two survivors are too few for any replica.
         for name in (testbed.fleet.instances.keys() - used) | {big.members[1]}:
             testbed.lose(name)
         for name in big.members[2:]:
-            # The model that is left is on their hosts, so that they would
-            # be spares for it.
+            # Their hosts hold the remaining model, so they would become spares
+            # for it.
             spare = attrs.evolve(
                 testbed.fleet.instances[name],
                 loaded=(),
@@ -366,14 +366,14 @@
 
 
 class FailingPlacerTest(unittest.TestCase):
-    """A placer whose store has gone."""
+    """A placer that cannot reach the store."""
 
     def test_a_failed_write_preempts_nothing(self) -> None:
-        """A replica that made room would be lost for nothing."""
+        """A replica is closed only if the one that replaces it is recorded."""
         curio.run(self._fail_preemption_write)
 
     def test_the_lease_is_not_claimed_without_store(self) -> None:
-        """It claims the duty no more, long before its lease ends."""
+        """Other nodes can look at the lease long before it expires."""
         curio.run(self._lose_store)
 
     async def _fail_preemption_write(self) -> None:
--- a/tests/unit/test_grouping_faults.py
+++ b/tests/unit/test_grouping_faults.py
@@ -1,4 +1,4 @@
-"""Drawn faults against a placer: never two replicas, never a part of one."""
+"""Random faults against a placer: no replica overlaps or is incomplete."""
 
 import unittest
 
@@ -15,7 +15,7 @@
     records_prefix,
 )
 from cranecart.ports import Row
-from tests.lib.fake_engines import DOMAIN, listed
+from tests.lib.fake_engines import DOMAIN, listed_instance
 from tests.lib.fake_platform import FINE, LOST_ANSWER, LOST_WRITE, REFUSED
 from tests.lib.waiting import until
 from tests.unit.test_grouping import PlacerTestbed
@@ -67,7 +67,7 @@
 
 @attrs.define
 class _FaultScenario:
-    """One world, and the faults that strike it one after the other."""
+    """A testbed, and the faults that are injected one after the other."""
 
     testbed: PlacerTestbed
     events: list[tuple[str, int]]
@@ -75,7 +75,7 @@
     snapshot: TableSnapshot = (0, {})
 
     async def run(self) -> None:
-        """Form, strike, and wait until nothing changes any more."""
+        """Form replicas, inject the faults, and wait for a stable state."""
         testbed = self.testbed
         self.running = await curio.spawn(testbed.placer.run)
         await until(lambda: len(testbed.heads()) == 2)
@@ -83,7 +83,7 @@
             await self._inject(kind, f'i{number}')
             await curio.sleep(_STEP_SECONDS)
         testbed.table.faults = iter(())
-        await until(self._is_settled, 12)
+        await until(self._is_stable, 12)
         await self.running.cancel()
 
     async def _inject(self, kind: str, name: str) -> None:
@@ -96,7 +96,7 @@
                 testbed.engines.terminated.add(name)
                 testbed.fleet.apply_instances({name: None}, False)
                 testbed.placer.failure_detector.report_lost(
-                    name, 'a test says so'
+                    name, 'reported by the test'
                 )
             case 'leaving' if instance is not None:
                 leaving = attrs.evolve(instance, leaving=True)
@@ -106,10 +106,12 @@
             case 'store':
                 testbed.table.faults = iter(_STORE_FAULTS)
             case 'new':
-                fresh = listed(
+                new_instance = listed_instance(
                     f'n{len(testbed.fleet.instances)}', testbed.address
                 )
-                testbed.fleet.apply_instances({fresh.id: fresh}, False)
+                testbed.fleet.apply_instances(
+                    {new_instance.id: new_instance}, False
+                )
             case 'placer':
                 await self._replace_placer()
             case _:
@@ -127,7 +129,7 @@
                 await self._restart_with_empty_fleet()
 
     def _rows(self) -> dict[str, ReplicaRecord]:
-        """Return what a node reads of the table's records."""
+        """Return the records that a node reads from the table."""
         prefix = records_prefix(DOMAIN)
         read = {
             key: record_from_row(row)
@@ -137,28 +139,30 @@
         return {key: one for key, one in read.items() if one is not None}
 
     async def _restart_with_empty_fleet(self) -> None:
-        """Kill the placer; the next one knows the list and the rows only."""
+        """Kill the placer; the next one knows only the list and the rows."""
         testbed = self.testbed
-        listed_now = dict(testbed.fleet.instances)
+        current_instances = dict(testbed.fleet.instances)
         testbed.fleet = Fleet()
-        testbed.fleet.apply_instances(listed_now, True)
+        testbed.fleet.apply_instances(current_instances, True)
         testbed.fleet.apply_records(self._rows(), True)
         testbed.engines.fleet = testbed.fleet
         testbed.has_traffic = True
         await self._replace_placer()
 
     async def _replace_placer(self) -> None:
-        """Kill the placer without a word; another one takes over."""
+        """Kill the placer without a handover; another one takes over."""
         testbed = self.testbed
         assert self.running is not None
         await self.running.cancel()
         lost = testbed.placer.failure_detector.lost_instances()
         testbed.placer = testbed.make_placer(f'{len(lost)}-{id(self.running)}')
         for name in lost:
-            testbed.placer.failure_detector.report_lost(name, 'a test says so')
+            testbed.placer.failure_detector.report_lost(
+                name, 'reported by the test'
+            )
         self.running = await curio.spawn(testbed.placer.run)
 
-    def _is_settled(self) -> bool:
+    def _is_stable(self) -> bool:
         records = self.testbed.fleet.records.values()
         serving = {head.replica for head in self.testbed.heads()}
         return bool(self.testbed.placer.held_failure_domain) and all(
@@ -168,7 +172,7 @@
 
 
 class GroupingFaultsTest(unittest.TestCase):
-    """Whatever strikes, in whatever order."""
+    """Any faults in any order."""
 
     @settings(max_examples=10, deadline=None)
     @given(_fault_events)
@@ -176,8 +180,8 @@
         self,
         events: list[tuple[str, int]],
     ) -> None:
-        """And in the end each recorded replica serves."""
-        self._play(events)
+        """In the end each recorded replica serves."""
+        self._run_scenario(events)
 
     @settings(max_examples=10, deadline=None)
     @given(_restore_events)
@@ -185,10 +189,10 @@
         self,
         events: list[tuple[str, int]],
     ) -> None:
-        """The table comes back from a copy, and nodes start afresh."""
-        self._play(events)
+        """The table is restored from a copy, and nodes start without state."""
+        self._run_scenario(events)
 
-    def _play(self, events: list[tuple[str, int]]) -> None:
+    def _run_scenario(self, events: list[tuple[str, int]]) -> None:
         testbed = PlacerTestbed()
         try:
             curio.run(_FaultScenario(testbed, events).run)
--- a/tests/unit/test_initial_allocation.py
+++ b/tests/unit/test_initial_allocation.py
@@ -1,10 +1,10 @@
-"""The first division, which all placers work out at about the same moment.
+"""The first allocation, which all placers compute at about the same time.
 
-Each placer plans for all failure domains and forms its own part. One that was
-35 ms later than another found two of that one's replicas already recorded, and
-planned the rest around them: 3 replicas of a model and 10 of the other came of
-it ('present': {'loba740e0': 2.0}), where 6 and 8 came of three plans at one
-moment. Seven of the ten were closed in the first seconds of traffic.
+Each placer plans for all failure domains and forms its own part. A placer that
+was 35 ms late found two replicas of another one recorded ('present':
+{'loba740e0': 2.0}) and planned around them: it gave 3 replicas of one model and
+10 of the other, where plans at the same moment give 6 and 8. Seven of the ten
+were closed in the first seconds of traffic.
 """
 
 import itertools
@@ -23,7 +23,7 @@
 from cranecart.grouping._stager import Stager
 from cranecart.http import Address
 from cranecart.models import EngineModel, EngineProfile, ServiceProfile
-from tests.lib.fake_engines import SERVICE, listed
+from tests.lib.fake_engines import SERVICE, listed_instance
 
 _LARGE = EngineModel('large', 4, 1.0, 0.5, 16, 1.6)
 _SMALL = EngineModel('small', 3, 0.6, 0.5, 12, 1.1)
@@ -42,7 +42,7 @@
     places = itertools.product(_DOMAINS, range(_FABRICS), range(_MEMBERS))
     entries = (
         attrs.evolve(
-            listed(f'{domain}-{fabric}-{number}', _ADDRESS),
+            listed_instance(f'{domain}-{fabric}-{number}', _ADDRESS),
             failure_domain=domain,
             fabric_domain=f'{domain}-{fabric}',
         )
@@ -56,9 +56,9 @@
     failure_detector: Any = SimpleNamespace(lost_instances=frozenset)
     nothing: Any = None
     stager = Stager(nothing, nothing, len(_DOMAINS), bool)
-    adoption = OrphanedReplicas(domain, fleet)
+    orphans = OrphanedReplicas(domain, fleet)
     return Inventory(
-        domain, fleet, failure_detector, stager, adoption, dict, bool, 4
+        domain, fleet, failure_detector, stager, orphans, dict, bool, 4
     )
 
 
@@ -85,10 +85,10 @@
 
 
 class InitialAllocationTest(unittest.TestCase):
-    """Placers that are some tens of milliseconds apart."""
+    """Placers that start some tens of milliseconds apart."""
 
     def test_a_late_placer_plans_the_same(self) -> None:
-        """However much of its part it has formed, the others' stay."""
+        """Its part does not depend on how much the first has formed."""
         expected = {one: _own_part(_fleet(), one) for one in _DOMAINS}
         for first, late in itertools.permutations(_DOMAINS, 2):
             fleet = _fleet()
@@ -98,7 +98,7 @@
                     self._check_same(fleet, late, expected[late])
 
     def test_own_part_is_not_formed_twice(self) -> None:
-        """What a placer has formed itself is not formed again."""
+        """A placer's own replicas are not formed again."""
         for domain in _DOMAINS:
             fleet = _fleet()
             for new in _own_part(fleet, domain):
--- a/tests/unit/test_large_replicas.py
+++ b/tests/unit/test_large_replicas.py
@@ -1,17 +1,17 @@
-"""A model whose replicas take four times the members of another's.
-
-On a day like the users' standard ones, with 222 instances in fabric domains of
-37, the model with sixteen members had 7 replicas at the start. Two were closed
-for eight of the model with four ('replica_chosen' with 'makes_room', 26 of
-those present where work filled 15.4). Then 28 instances died within a second,
-and what was left became small replicas: for fourteen seconds 2 or 3 large ones
-served, where work filled 3, beside 31 to 36 small ones, where it filled 13.7.
-37 requests found 'no whole replica', 119 clients left.
-
-At most two replicas were ever closed for another one, which makes room for
-eight members and never for sixteen; while a placer waited as others had just
-made room, survivors were taken by what fitted them; and a replica of sixteen
-was counted as lasting as long as one of four.
+"""A model whose replicas have four times the members of another's.
+
+In a deployment of 222 instances in fabric domains of 37, the model with sixteen
+members started with 7 replicas. Two were preempted for eight of the model with
+four members ('replica_chosen' with 'makes_room', 26 of those present where
+demand filled 15.4). When 28 instances failed within a second, the survivors
+became small replicas: for fourteen seconds 2 or 3 large replicas served where
+demand filled 3, beside 31 to 36 small ones where it filled 13.7. 37 requests
+found 'no whole replica', and 119 clients left.
+
+There were three causes. At most two replicas were preempted for another one,
+which frees eight members but never sixteen. While a placer waited because
+others had just preempted replicas, smaller replicas took the survivors. A
+replica of sixteen was assumed to last as long as one of four.
 """
 
 import random
@@ -32,7 +32,7 @@
 from cranecart.http import Address
 from cranecart.models import EngineModel, EngineProfile, ServiceProfile
 from cranecart.ports import ListedInstance
-from tests.lib.fake_engines import SERVICE, listed
+from tests.lib.fake_engines import SERVICE, listed_instance
 from tests.lib.placement_simulation import SimulatedDeployment, SimulationLayout
 
 _LARGE = EngineModel('large', 16, 1.0, 0.5, 16, 1.6)
@@ -44,7 +44,7 @@
 
 
 def _with(instance: ListedInstance, model: str) -> ListedInstance:
-    """Return an instance with a model loaded and the other on its host."""
+    """Return an instance with one model loaded and the other staged."""
     other = 'small' if model == 'large' else 'large'
     return attrs.evolve(instance, loaded=(model,), staged=(other,))
 
@@ -53,7 +53,9 @@
     names = [f'{model.name}{number}' for number in range(replicas)]
     return [
         ServingMember(
-            _with(listed(f'{name}-{member}', _ADDRESS, 'f'), model.name),
+            _with(
+                listed_instance(f'{name}-{member}', _ADDRESS, 'f'), model.name
+            ),
             name,
             model.name,
         )
@@ -63,7 +65,7 @@
 
 
 def _survivors(count: int) -> tuple[ListedInstance, ...]:
-    """Return what is left of a large replica that lost members."""
+    """Return the survivors of a large replica that lost members."""
     return tuple(one.instance for one in _serving(_LARGE, 1)[:count])
 
 
@@ -85,19 +87,19 @@
 
 
 class PreemptionTest(unittest.TestCase):
-    """Closing for a model with many members."""
+    """Preemption for a model with many members."""
 
     def test_four_small_replicas_are_preempted(self) -> None:
-        """With 3 large replicas for the work of 3, and 36 small ones."""
+        """With 3 large replicas for a demand of 3, and 36 small ones."""
         plan_input = _plan_input((), _serving(_SMALL, 9), 3, 36)
         found = plan(plan_input, PreemptionScope.ANYWHERE)
         self.assertEqual([one.model for one in found.replicas], ['large'])
         self.assertEqual(len(found.preempted), 4)
 
     def test_no_large_replica_is_preempted_for_four(self) -> None:
-        """As it lasts a quarter as long, 7 are no plenty for work of 2.5."""
+        """A large one lasts a quarter as long: 7 are not too many for 2.5."""
         members = (*_serving(_LARGE, 1), *_serving(_SMALL, 5))
-        spare = listed('spare', _ADDRESS, 'f')
+        spare = listed_instance('spare', _ADDRESS, 'f')
         plan_input = attrs.evolve(
             _plan_input((_with(spare, 'small'),), members, 7, 26),
             measured_demand={'large': 2.53, 'small': 15.4},
@@ -107,7 +109,7 @@
         )
 
     def test_survivors_wait_for_deferred_preemption(self) -> None:
-        """Another placer has just made room; these must not close yet."""
+        """Another placer has just preempted; this one must not do so yet."""
         now = 10.0
         cooldown = PreemptionCooldown(lambda: now)
         other = ReplicaRecord('r', 1, SERVICE, 'small', 'east', 'g', ('a',))
@@ -136,10 +138,10 @@
 
 
 class AvailabilityTest(unittest.TestCase):
-    """How long replicas last."""
+    """How the availability of replicas depends on their size."""
 
     def test_more_members_are_worth_less(self) -> None:
-        """Of two that do the same work, as each member may die."""
+        """Of two replicas with equal work, as each member may fail."""
         objective = build_objective(
             (attrs.evolve(_LARGE, name='a'), attrs.evolve(_SMALL, name='b')),
             {'a': 3.0, 'b': 3.0},
@@ -153,10 +155,10 @@
 
 
 class CrashTest(unittest.TestCase):
-    """An eighth of all instances dies at once, others one by one."""
+    """An eighth of all instances fails at once, others one by one."""
 
     def test_large_replicas_are_formed_again(self) -> None:
-        """Means of six seeds; with what fits taken first, 4.4 of 6 to 7."""
+        """Means of six seeds; greedy allocation gave 4.4 of 6 to 7."""
         demand = {'large': 2.6, 'small': 13.8}
         layout = SimulationLayout(6, 37, _MODELS, demand)
         seen: list[tuple[int, int]] = []
--- a/tests/unit/test_liveness.py
+++ b/tests/unit/test_liveness.py
@@ -1,10 +1,10 @@
-"""Whom a check of a replica's members accuses.
+"""Which members a liveness check reports as lost.
 
-While a large configuration came in, the link of a small node was full for an
-eighth of a second. Every connection that its placer tried then went unanswered
+The link of a small node was saturated for an eighth of a second while a large
+configuration arrived, and all connections of its placer timed out
 ('members_checked' with all members silent, four replicas in 0.1 s; before and
-after it all answered within 2 ms). Four sound replicas were ended, and their
-members kept out of use for six seconds as dead.
+after it all answered within 2 ms). Four healthy replicas were ended, and their
+members stayed unused for six seconds as dead.
 """
 
 import unittest
@@ -20,7 +20,7 @@
 from cranecart.grouping._liveness import LivenessCheck
 from cranecart.http import Address
 from cranecart.ports import ListedInstance
-from tests.lib.fake_engines import DOMAIN, SERVICE, listed
+from tests.lib.fake_engines import DOMAIN, SERVICE, listed_instance
 
 _ADDRESS = Address('127.0.0.1', 1)
 _MEMBERS = ('a', 'b')
@@ -29,13 +29,13 @@
 
 @attrs.define
 class _Network:
-    """Answers connections as told; ``None`` is silence."""
+    """Answers connections as configured; ``None`` is no answer."""
 
     answers: Mapping[str, bool | None]
     probed: list[str] = attrs.field(factory=list)
 
     async def probe(self, instance: ListedInstance) -> bool | None:
-        """Tell whether an instance listens."""
+        """Return whether an instance listens."""
         self.probed.append(instance.id)
         return self.answers[instance.id]
 
@@ -44,17 +44,17 @@
     """A replica of two members, beside others of the failure domain."""
 
     def test_nothing_is_lost_without_any_answer(self) -> None:
-        """The node's own link may be what is silent."""
+        """The node's own link may be the cause."""
         answers = dict.fromkeys('abxyz')
         self.assertEqual(_found_lost(answers), set())
 
     def test_all_members_are_lost_if_others_answer(self) -> None:
-        """They died together."""
+        """They failed together."""
         answers = {**dict.fromkeys('ab'), 'x': True, 'y': None, 'z': None}
         self.assertEqual(_found_lost(answers), {'a', 'b'})
 
     def test_members_lost_with_their_fabric_domain(self) -> None:
-        """Its other instances died with the members; one elsewhere answers."""
+        """Its other instances failed too; one elsewhere answers."""
         answers = {**dict.fromkeys('abxyz'), 'elsewhere': True}
         self.assertEqual(_found_lost(answers), {'a', 'b'})
 
@@ -64,7 +64,7 @@
         self.assertEqual(_found_lost(answers), {'a', 'b'})
 
     def test_others_probed_only_if_no_member_answers(self) -> None:
-        """Connections to instances are not free."""
+        """Connections to instances have a cost."""
         network = _Network({'a': None, **dict.fromkeys('bxyz', True)})
         self.assertEqual(_lost_by(network), {'a'})
         self.assertEqual(sorted(network.probed), ['a', 'b'])
@@ -74,7 +74,7 @@
         self,
         drawn: list[bool | None],
     ) -> None:
-        """And whoever refuses always is."""
+        """Instances that refuse the connection always are."""
         answers = dict(zip('abxyz', drawn, strict=False))
         lost = _found_lost(answers)
         self.assertFalse(any(answers[name] for name in lost))
@@ -90,21 +90,21 @@
     fleet = Fleet()
     names = (*_MEMBERS, 'x', 'y', 'z')
     fleet.apply_instances(
-        {one: listed(one, _ADDRESS, 'f') for one in names},
+        {one: listed_instance(one, _ADDRESS, 'f') for one in names},
         True,
     )
     if 'elsewhere' in network.answers:
         fleet.apply_instances(
-            {'elsewhere': listed('elsewhere', _ADDRESS, 'g')},
+            {'elsewhere': listed_instance('elsewhere', _ADDRESS, 'g')},
             False,
         )
     fleet.apply_records({_RECORD.key: _RECORD}, True)
     found = []
 
-    async def note(record: ReplicaRecord) -> None:  # noqa: WPS430
+    async def record_loss(record: ReplicaRecord) -> None:  # noqa: WPS430
         found.append(record.name)
 
-    failure_detector = FailureDetector(fleet, note)
+    failure_detector = FailureDetector(fleet, record_loss)
     failure_detector.liveness = LivenessCheck(network.probe)
 
     async def run() -> None:  # noqa: WPS430
--- a/tests/unit/test_lives.py
+++ b/tests/unit/test_lives.py
@@ -21,7 +21,7 @@
 from cranecart.http import Address
 from cranecart.ports import ListedInstance, MemberPhase, Membership
 from cranecart.routing import RoutingRequest
-from tests.lib.fake_engines import BIG, SERVICE, listed
+from tests.lib.fake_engines import BIG, SERVICE, listed_instance
 from tests.lib.fake_targets import (
     CONFIG,
     ENGINES,
@@ -45,7 +45,7 @@
 def _entry(name: str, born: int, *, is_member: bool = True) -> ListedInstance:
     phase = MemberPhase.OPEN if name == 'i0' else MemberPhase.READY
     return attrs.evolve(
-        listed(name, _ADDRESS),
+        listed_instance(name, _ADDRESS),
         born=born,
         loaded=(BIG.name,) if is_member else (),
         membership=Membership('r-1', 1, _NAMES.index(name), phase)
@@ -286,7 +286,7 @@
     def test_connections(self) -> None:
         """Nothing is sent on what was open to the old life."""
         connections = TargetConnectionPool()
-        old = listed('i0', _ADDRESS)
+        old = listed_instance('i0', _ADDRESS)
         connections.mark_unreliable(old)
         new = attrs.evolve(old, born=_SECOND)
         self.assertTrue(connections._is_unreliable(old))
--- a/tests/unit/test_placement_plan.py
+++ b/tests/unit/test_placement_plan.py
@@ -27,7 +27,7 @@
 
 
 def _apply(state: DomainState) -> DomainState:
-    """Carry a plan out as the table would."""
+    """Apply a plan as the table would."""
     rows = dict(state.rows)
     for action in plan(state):
         match action:
@@ -40,7 +40,7 @@
 
 
 def _follow_orders(state: DomainState) -> DomainState:
-    """Let every instance that answers follow its orders at once."""
+    """Let every reporting instance follow its orders at once."""
     reports = dict(state.reports)
     for order in plan_orders(state):
         if order.row is None:
@@ -73,7 +73,7 @@
 
 
 class PlanTest(unittest.TestCase):
-    """What the placer does about a failure domain."""
+    """What the placer decides for a failure domain."""
 
     @given(
         st.integers(0, 24),
@@ -88,7 +88,7 @@
         fabrics: int,
         losses: list[set[int]],
     ) -> None:
-        """No instance in two replicas, one fabric, no more than declared."""
+        """Replicas stay within a fabric domain and the declared number."""
         state = _empty_state(count, replicas, fabrics)
         for lost in (set[int](), *losses):
             state = _lose(state, {f'e{number:02}' for number in lost})
@@ -96,7 +96,7 @@
             self._check(state, replicas)
 
     def test_spare_replaces_a_lost_member(self) -> None:
-        """The replica goes on in a new generation."""
+        """The replica continues in a new generation."""
         state = _follow_orders(_apply(_empty_state(5, 1)))
         actions = plan(_lose(state, {'e01'}))
         self.assertEqual(len(actions), 1)
@@ -106,13 +106,13 @@
         self.assertEqual(action.row.generation, 2)
 
     def test_without_spare_the_replica_is_dissolved(self) -> None:
-        """Its instances are free for others rather than stranded."""
+        """Its instances are released rather than stranded."""
         state = _follow_orders(_apply(_empty_state(4, 1)))
         actions = plan(_lose(state, {'e01'}))
         self.assertEqual([type(one) for one in actions], [RetireReplica])
 
     def test_leaving_member_waits_for_work_to_end(self) -> None:
-        """Work in flight is never cut for a planned leave."""
+        """Requests in flight are never cut off by a planned leave."""
         state = _follow_orders(_apply(_empty_state(5, 1)))
         reports = dict(state.reports)
         reports['e02'] = attrs.evolve(reports['e02'], draining=True)
@@ -137,7 +137,7 @@
         self.assertEqual([one.row.generation for one in actions], [2])
 
     def test_a_busy_instance_is_not_free(self) -> None:
-        """An instance must let go of its work before it joins another."""
+        """An instance must have left its replica before it joins another."""
         state = _empty_state(4, 1)
         stray = ReplicaRow('x', 'm', 'v', 1, ('e00', 'e01'), DOMAIN, 'f0')
         reports = {**state.reports, **ready_reports(stray)}
@@ -175,7 +175,7 @@
         self.assertEqual([type(one) for one in plan(new)], [DrainReplica])
 
     def test_without_room_one_drains_at_a_time(self) -> None:
-        """Of two old replicas one serves on."""
+        """Of two old replicas one continues to serve."""
         state = _follow_orders(_apply(_empty_state(8, 2)))
         new = attrs.evolve(state, models=(make_spec(2, version='v2'),))
         self.assertEqual([type(one) for one in plan(new)], [DrainReplica])
--- a/tests/unit/test_replica_plan.py
+++ b/tests/unit/test_replica_plan.py
@@ -1,4 +1,4 @@
-"""What a placer wants to form and to stage."""
+"""Which replicas a placer forms, and which models it stages."""
 
 import unittest
 
@@ -18,7 +18,7 @@
 from cranecart.grouping._stager import Stager
 from cranecart.http import Address
 from cranecart.ports import ListedInstance
-from tests.lib.fake_engines import BIG, PROFILE, SERVICE, SMALL, listed
+from tests.lib.fake_engines import BIG, PROFILE, SERVICE, SMALL, listed_instance
 
 _ADDRESS = Address('127.0.0.1', 1)
 
@@ -26,7 +26,7 @@
 def _free_instance(
     name: str, staged: str = '', fabric: str = 'f'
 ) -> ListedInstance:
-    instance = listed(name, _ADDRESS, fabric)
+    instance = listed_instance(name, _ADDRESS, fabric)
     return attrs.evolve(instance, staged=(staged,) if staged else ())
 
 
@@ -39,7 +39,7 @@
     """Instances of one failure domain."""
 
     def test_one_load_rather_than_three(self) -> None:
-        """Three that have the big model wait for one more, not for all."""
+        """Three that have the big model wait for one to load, not for all."""
         free_instances = [
             _free_instance(f'b{number}', BIG.name) for number in range(3)
         ]
@@ -49,7 +49,7 @@
         self.assertEqual(found.replicas[0].cold_members, 1)
 
     def test_survivors_of_one_model_serve_another(self) -> None:
-        """Where that needs no load, and waiting for one would."""
+        """If that needs no load and their own model would."""
         free_instances = [
             _free_instance(f'b{number}', BIG.name) for number in range(3)
         ]
@@ -64,7 +64,7 @@
         )
 
     def test_a_replica_keeps_its_model(self) -> None:
-        """A spare that has the model spares survivors another one."""
+        """A spare with the model saves the survivors a switch."""
         free_instances = [
             attrs.evolve(
                 _free_instance(f'b{number}'),
@@ -77,7 +77,7 @@
         self.assertEqual([one.model for one in found.replicas], [BIG.name])
 
     def test_every_instance_gets_a_second_model(self) -> None:
-        """Members in use too, and what is loaded is not staged again."""
+        """Members in use as well; a loaded model is not staged again."""
         spare = attrs.evolve(
             _free_instance('a'), loaded=('big',), staged=('big',)
         )
@@ -114,7 +114,7 @@
         self.assertEqual(_plan(*free_instances).replicas, ())
 
     def test_a_spare_for_each_model_before_a_second(self) -> None:
-        """However the models' work and numbers differ for a moment."""
+        """Whatever the momentary demand and numbers of replicas."""
         free_instances = (_free_instance('a'), _free_instance('b'))
         plan_input = PlanInput(
             PROFILE,
@@ -138,7 +138,7 @@
     def test_no_instance_gets_two_roles(
         self, kinds: list[tuple[str, str]]
     ) -> None:
-        """Whatever is free, each instance gets one job at the most."""
+        """Each free instance gets at most one role."""
         free_instances = [
             _free_instance(f'i{number}', staged, fabric)
             for number, (fabric, staged) in enumerate(kinds)
@@ -156,29 +156,29 @@
     """A model that has lost its replicas to another."""
 
     def test_preempts_for_a_scarce_model(self) -> None:
-        """Three and a spare become four where four are lacking."""
+        """Three members and a spare become a replica of four."""
         found = _plan_preemption('big', 'r', spares=1, big=2, small=8)
         self.assertEqual(found.preempted, ('r',))
         self.assertEqual([one.model for one in found.replicas], ['big'])
 
     def test_preempts_two_for_one(self) -> None:
-        """Where no spare is left, six become four and two spares."""
+        """Six members without a spare become a replica of four, two spares."""
         found = _plan_preemption('big', 'ab', spares=0, big=1, small=9)
         self.assertEqual(found.preempted, ('a', 'b'))
         self.assertEqual([one.model for one in found.replicas], ['big'])
 
     def test_small_differences_are_ignored(self) -> None:
-        """Chance alone brings them."""
+        """They result from chance."""
         found = _plan_preemption('big', 'r', spares=1, big=7, small=6)
         self.assertEqual(found.preempted, ())
 
     def test_no_preemption_if_the_other_must_load(self) -> None:
-        """That would cost more than it brings."""
+        """The load would cost more than the preemption gains."""
         found = _plan_preemption('small', 'r', spares=1, big=2, small=8)
         self.assertEqual(found.preempted, ())
 
     def test_one_placer_at_a_time(self) -> None:
-        """What has made room is waited for before more is closed."""
+        """The effect of one preemption is awaited before the next."""
         now = 10.0
         cooldown = PreemptionCooldown(lambda: now)
         record = ReplicaRecord('r', 1, SERVICE, 'small', 'east', 'f', ('a',))
@@ -208,7 +208,7 @@
     spares: int,
     **replica_counts: int,
 ) -> Plan:
-    """Choose between small replicas whose members have a model staged."""
+    """Plan with small replicas whose members have a model staged."""
     members = tuple(
         ServingMember(
             attrs.evolve(
@@ -246,7 +246,7 @@
         self.assertTrue(stabilization.may_use(free_instances[:3]))
 
     def test_survivors_do_not_wait(self) -> None:
-        """Others' coming or going says nothing about old members."""
+        """Changes of other instances do not delay earlier members."""
         now = 10.0
         stabilization = ListStabilization(lambda: now)
         free_instances = [_free_instance(f'i{number}') for number in range(9)]
@@ -260,7 +260,7 @@
     """How many loads may run at once."""
 
     def setUp(self) -> None:
-        """Build a stager with traffic, one of three placers."""
+        """Build a stager with traffic, the only placer."""
         self.stager = Stager(
             None,  # type: ignore[arg-type]
             None,  # type: ignore[arg-type]
@@ -271,16 +271,16 @@
         self.engine = attrs.evolve(PROFILE.engine, loads_at_once=6)
 
     def test_no_load_slows_another(self) -> None:
-        """What would exceed the store's pace waits."""
+        """A load beyond the store's rate waits."""
         self.assertFalse(self.stager.may_load(self.engine, 2, 5))
         self.assertTrue(self.stager.may_load(self.engine, 2, 4))
 
     def test_a_large_replica_may_load_alone(self) -> None:
-        """One that needs more than the store's pace is not held for ever."""
+        """One that needs more loads than the limit does not wait for ever."""
         engine = attrs.evolve(self.engine, loads_at_once=2)
         self.assertTrue(self.stager.may_load(engine, 3, 0))
 
     def test_free_before_traffic(self) -> None:
-        """Nothing is counted then."""
+        """Loads are not limited then."""
         stager = attrs.evolve(self.stager, has_traffic=bool)
         self.assertTrue(stager.may_load(self.engine, 30, 30))
--- a/tests/unit/test_restored_list.py
+++ b/tests/unit/test_restored_list.py
@@ -8,14 +8,14 @@
 from cranecart.fleet._instance_list import InstanceList
 from cranecart.http import Address
 from cranecart.ports import ListedInstance
-from tests.lib.fake_engines import SERVICE, listed
+from tests.lib.fake_engines import SERVICE, listed_instance
 
 _SILENT_SECONDS = 3.6
 
 
 def _entry(name: str, *, leaving: bool = False) -> ListedInstance:
     return attrs.evolve(
-        listed(name, Address('127.0.0.1', 1)),
+        listed_instance(name, Address('127.0.0.1', 1)),
         born=7,
         leaving=leaving,
     )
--- a/tests/unit/test_restored_records.py
+++ b/tests/unit/test_restored_records.py
@@ -1,4 +1,4 @@
-"""Placers, after the table has come back from a copy."""
+"""Placers after the table has been restored from a copy."""
 
 from collections.abc import Awaitable, Callable
 from unittest import TestCase, mock
@@ -23,61 +23,61 @@
 
 _TARGET_SECONDS = 1.0
 _WATCH_SECONDS = 1.5
-# The list is waited for, then the head that lacks a member has to break.
+# The list is awaited, then the head that lacks a member has to break.
 _END_SECONDS = 8.0
 
 
 class RestoredRecordsTest(TestCase):
-    """Replicas that serve go on, and those that were given up stay so."""
+    """Serving replicas continue, and those given up do not return."""
 
     def setUp(self) -> None:
-        """Build a world with replicas to be formed."""
+        """Build a testbed with replicas to be formed."""
         self.testbed = PlacerTestbed()
         self.addCleanup(self.testbed.listener.close)
 
     def test_missing_records_are_written_again(self) -> None:
-        """The placer writes them again."""
+        """The placer restores the records of serving replicas."""
         self._run_scenario(self._lose_records)
         self.assertEqual(self._recorded(), self._serving())
 
     def test_a_successor_rewrites_missing_records(self) -> None:
-        """It knows them from before the return and goes on with them."""
+        """It knows the replicas from before the restore and keeps them."""
         self._run_scenario(self._replace_placer)
         self.assertEqual(self._recorded(), self._serving())
 
     def test_resurrected_records_are_deleted(self) -> None:
-        """Their rows go, and none of their members is ordered anything."""
+        """No orders are sent to the members of these replicas."""
         self._run_scenario(self._resurrect_records)
 
     def test_ending_replica_restored_as_serving_ends(self) -> None:
-        """It ends all the same."""
+        """The restored record does not undo the end."""
         self._run_scenario(self._restore_while_ending)
 
     def test_an_orphaned_replica_is_adopted(self) -> None:
         """All nodes are new, and the copy lacks its record."""
         self._run_scenario(self._restart_all_nodes)
-        self.assertEqual(self._serving(), self.first)
-        self.assertEqual(self._recorded(), self.first)
+        self.assertEqual(self._serving(), self.initial_replicas)
+        self.assertEqual(self._recorded(), self.initial_replicas)
 
     def test_an_incomplete_orphan_is_ended(self) -> None:
-        """It ends, and nothing is joined before its head has left."""
+        """Its members join nothing before its head has left."""
         self._run_scenario(self._restart_without_one_member)
         self.assertEqual(len(self._serving()), 2)
         self.assertEqual(self._recorded(), self._serving())
 
     def test_a_closing_replica_is_not_reopened(self) -> None:
-        """It is not brought up again while its head finishes."""
+        """A new node reads a copy that shows it as serving."""
         self._run_scenario(self._close_head)
 
     def test_nothing_is_ordered_before_the_rows_are_read(self) -> None:
-        """A placer that has the duty may fail to read what others wrote."""
+        """A placer with the lease may fail to read the earlier rows."""
         curio.run(self._fail_to_read)
         self.assertEqual(self.testbed.engines.orders, [])
 
     def test_other_nodes_keep_records_a_copy_lacks(self) -> None:
-        """Nodes that do not place keep the records that it lacks."""
+        """Nodes without the lease do not drop the records."""
         self._run_scenario(self._read_whole)
-        self.assertEqual(self._serving(), self.first)
+        self.assertEqual(self._serving(), self.initial_replicas)
 
     def _run_scenario(self, scenario: Callable[[], Awaitable[None]]) -> None:
         curio.run(self._run_after_forming, scenario)
@@ -86,30 +86,32 @@
     async def _run_after_forming(
         self, scenario: Callable[[], Awaitable[None]]
     ) -> None:
-        self.empty = self.testbed.table.copied()
+        self.empty_table = self.testbed.table.copied()
         self.running = await curio.spawn(self.testbed.placer.run)
         await until(lambda: len(self.testbed.heads()) == 2)
-        self.first = {head.replica for head in self.testbed.heads()}
+        self.initial_replicas = {head.replica for head in self.testbed.heads()}
         await scenario()
         await self.running.cancel()
 
     async def _lose_records(self) -> None:
         orders = self._orders()
-        self.testbed.table.restore(self.empty)
-        await until(lambda: self._recorded() == self.first, _TARGET_SECONDS)
+        self.testbed.table.restore(self.empty_table)
+        await until(
+            lambda: self._recorded() == self.initial_replicas, _TARGET_SECONDS
+        )
         await curio.sleep(_WATCH_SECONDS)
-        self.assertEqual(self._serving(), self.first)
+        self.assertEqual(self._serving(), self.initial_replicas)
         self.assertEqual(self._orders(), orders)
 
     async def _replace_placer(self) -> None:
         await self.running.cancel()
         orders = self._orders()
-        self.testbed.table.restore(self.empty)
+        self.testbed.table.restore(self.empty_table)
         placer = self.testbed.make_placer('two')
         self.running = await curio.spawn(placer.run)
-        await until(lambda: self._recorded() == self.first)
+        await until(lambda: self._recorded() == self.initial_replicas)
         await curio.sleep(_WATCH_SECONDS)
-        self.assertEqual(self._serving(), self.first)
+        self.assertEqual(self._serving(), self.initial_replicas)
         self.assertEqual(self._orders(), orders)
 
     async def _resurrect_records(self) -> None:
@@ -130,11 +132,13 @@
         earlier = testbed.table.copied()
         testbed.engines.work_seconds = 1
         head = testbed.heads()[0]
-        leaves = attrs.evolve(
+        leaving_member = attrs.evolve(
             testbed.fleet.instances[head.members[1]],
             leaving=True,
         )
-        testbed.fleet.apply_instances({leaves.id: leaves}, False)
+        testbed.fleet.apply_instances(
+            {leaving_member.id: leaving_member}, False
+        )
         await until(lambda: head.replica not in self._recorded())
         testbed.table.restore(earlier)
         await until(lambda: head.replica not in self._recorded())
@@ -144,14 +148,14 @@
     async def _restart_all_nodes(self) -> None:
         orders = self._orders()
         await self._restart()
-        await until(lambda: self._serving() == self.first)
+        await until(lambda: self._serving() == self.initial_replicas)
         await curio.sleep(_WATCH_SECONDS)
         self.assertEqual(self._orders(), orders)
 
     async def _restart_without_one_member(self) -> None:
         testbed = self.testbed
-        gone = testbed.heads()[0].members[1]
-        await self._restart(gone)
+        excluded = testbed.heads()[0].members[1]
+        await self._restart(excluded)
         await until(lambda: len(self._serving()) == 2, _END_SECONDS)
         await curio.sleep(_WATCH_SECONDS)
 
@@ -173,19 +177,19 @@
         assert transition is not None
         self.assertIs(transition.state, RecordState.CLOSING)
 
-    async def _restart(self, *gone: str) -> None:
-        """Begin with another node that knows the list only."""
+    async def _restart(self, *excluded: str) -> None:
+        """Start another node that knows only the instance list."""
         await self.running.cancel()
         testbed = self.testbed
         testbed.has_traffic = True
-        testbed.table.restore(self.empty)
-        listed = {
+        testbed.table.restore(self.empty_table)
+        listed_instances = {
             name: one
             for name, one in testbed.fleet.instances.items()
-            if name not in gone
+            if name not in excluded
         }
         testbed.fleet = Fleet()
-        testbed.fleet.apply_instances(listed, True)
+        testbed.fleet.apply_instances(listed_instances, True)
         testbed.engines.fleet = testbed.fleet
         self.running = await curio.spawn(testbed.make_placer('two').run)
 
@@ -204,16 +208,18 @@
 
     async def _read_whole(self) -> None:
         await self.running.cancel()
-        self.testbed.table.restore(self.empty)
+        self.testbed.table.restore(self.empty_table)
         self.testbed.fleet.apply_records({}, True, self.testbed.table.era)
 
     def _orders(self) -> int:
         """Return how many orders to members were sent."""
-        bound = {name for one in self.testbed.heads() for name in one.members}
+        member_ids = {
+            name for one in self.testbed.heads() for name in one.members
+        }
         return sum(
             1
             for order, name in self.testbed.engines.orders
-            if name in bound and order != 'stage'
+            if name in member_ids and order != 'stage'
         )
 
     def _serving(self) -> set[str]:
--- a/tests/unit/test_returning_list.py
+++ b/tests/unit/test_returning_list.py
@@ -17,7 +17,7 @@
 from cranecart.fleet._instance_list import InstanceList
 from cranecart.http import Address
 from cranecart.ports import ListedInstance
-from tests.lib.fake_engines import SERVICE, listed
+from tests.lib.fake_engines import SERVICE, listed_instance
 from tests.unit.test_follower import FakeSource, Held
 
 _NAMES = tuple(f'i{number:02}' for number in range(40))
@@ -25,7 +25,7 @@
 
 
 def _entry(name: str) -> ListedInstance:
-    return listed(name, Address('127.0.0.1', 1))
+    return listed_instance(name, Address('127.0.0.1', 1))
 
 
 class MissingEntriesTest(unittest.TestCase):
--- a/tests/unit/test_store_path.py
+++ b/tests/unit/test_store_reachability.py
@@ -1,8 +1,8 @@
-"""Readers of one node while the store is away, or turns this node away.
+"""The readers of one node while the store is unreachable or refuses it.
 
-In a day of 4,065 calls, 1,269 fell into the ten seconds around an outage of
-3.7 s: each node's readers of the list, the records and the configuration asked
-for themselves, and so did every node that looked for a placer.
+Of 4,065 calls in a day, 1,269 fell into the ten seconds around an outage of 3.7
+s: the readers of the list, the records and the configuration on each node
+retried on their own, and so did every node that looked at the placement lease.
 """
 
 import random
@@ -40,26 +40,26 @@
         ]
 
     async def run(self) -> curio.TaskGroup:
-        """Begin to read."""
+        """Start the readers."""
         tasks = curio.TaskGroup()
         for follower in self.followers:
             await tasks.spawn(follower.run)
         return tasks
 
     def all_synced(self) -> bool:
-        """Tell whether each reader has read."""
+        """Return whether each reader has read the store."""
         return all(held == {'a': '1'} for held in self.held.values())
 
 
 class VersionBurstTest(TestCase):
-    """Versions in quick succession.
+    """Configuration versions in quick succession.
 
-    In a day with seven of them in six seconds 78 nodes read the configuration
-    939 times, once each after every version.
+    When seven followed each other within six seconds, 78 nodes read the
+    configuration 939 times, once after every version.
     """
 
     def test_a_burst_of_versions_takes_few_reads(self) -> None:
-        """The first is known at once, the last soon, by few reads."""
+        """The first is read at once, the last soon, with few reads."""
         curio.run(self._publish_burst)
 
     async def _publish_burst(self) -> None:
@@ -85,26 +85,26 @@
         await task.cancel()
 
 
-class StorePathTest(TestCase):
-    """One reader asks; all know soon after the store's return."""
+class StoreReachabilityTest(TestCase):
+    """One reader retries; all read soon after the store has returned."""
 
     def test_one_reader_polls_an_unreachable_store(self) -> None:
-        """It is asked once by each reader, and then by one of them."""
+        """Each reader tries once, then one of them retries."""
         curio.run(self._lose_store)
 
     def test_one_source_fails_independently(self) -> None:
-        """Another one's answers neither stop it nor make it hurry."""
+        """Answers of another source neither stop nor hasten its retries."""
         curio.run(self._fail_one_source)
 
     def test_others_read_for_this_node(self) -> None:
-        """It may ask more seldom then."""
+        """It may retry less often then."""
         self.assertGreater(
             StoreReachability(mock.Mock(return_value=True)).max_retry_seconds,
             StoreReachability().max_retry_seconds,
         )
 
     def test_lease_is_polled_rarely_while_cut_off(self) -> None:
-        """The duty is looked at seldom until a reader has been answered."""
+        """The lease is read rarely until a reader has been answered."""
         lease = mock.Mock(is_held=False, acquire_or_renew=mock.AsyncMock())
         lease.acquire_or_renew.return_value = False
         environment = mock.Mock()
@@ -121,19 +121,19 @@
         environment.is_store_unreachable.return_value = False
         curio.run(placer._keep_lease)
         lease.acquire_or_renew.assert_awaited_once()
-        # One reader alone may fail for long, while the duty can be had.
+        # A single reader may fail for long although the lease can be read.
         environment.is_store_unreachable.return_value = True
         placer._lease_checked_at = since_boot() - 3.1
         curio.run(placer._keep_lease)
         self.assertEqual(lease.acquire_or_renew.await_count, 2)
 
     def test_a_failing_feed_is_not_logged_as_crash(self) -> None:
-        """Each failure was logged with its traceback as a task's crash."""
+        """Each failure was logged with its traceback as a crashed task."""
         with self.assertNoLogs('curio', 'ERROR'):
             curio.run(self._fail_while_following)
 
     def test_a_refused_reader_stops_no_others(self) -> None:
-        """Others go on waiting for answers: their connections are good."""
+        """The other readers keep waiting, as their connections work."""
         curio.run(self._refuse_one_reader)
 
     async def _refuse_one_reader(self) -> None:
@@ -166,7 +166,7 @@
         tasks = await node.run()
         await curio.sleep(2.5)
         self.assertTrue(node.path.is_unreachable)
-        # Pauses of 0.1, 0.2, 0.4, 0.8 and 1 s, each half as long at least.
+        # Pauses of 0.1, 0.2, 0.4, 0.8 and 1 s, each at least half as long.
         self.assertLessEqual(node.source.reads, len(_READERS) + 6)
         node.source.down = False
         await until(node.all_synced, 2)
@@ -176,12 +176,12 @@
     async def _fail_one_source(self) -> None:
         node = _NodeReaders()
         node.source.down = False
-        away = FakeSource(down=True)
-        node.followers[0]._source = away
+        failing_source = FakeSource(down=True)
+        node.followers[0]._source = failing_source
         tasks = await node.run()
         await curio.sleep(2)
-        self.assertGreaterEqual(away.reads, 3)
-        self.assertLessEqual(away.reads, 9)
-        away.down = False
+        self.assertGreaterEqual(failing_source.reads, 3)
+        self.assertLessEqual(failing_source.reads, 9)
+        failing_source.down = False
         await until(lambda: node.followers[0].is_informed, 2)
         await tasks.cancel_remaining()
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -268,7 +268,7 @@
         'fleet/_store_reachability.py',
         'if self._asking == reader:',
         'if True:',
-        'tests.unit.test_store_path.StorePathTest'
+        'tests.unit.test_store_reachability.StoreReachabilityTest'
         '.test_one_reader_polls_an_unreachable_store',
     ),
     Mutation(
