--- a/src/cranecart/gossip/_protocol.py
+++ b/src/cranecart/gossip/_protocol.py
@@ -48,7 +48,7 @@
 
 @attrs.frozen
 class PayloadExchanges:
-    """What nodes fetch from each other beside entries, in message payloads."""
+    """What nodes fetch from each other besides entries, in message payloads."""
 
     config: ConfigExchange
     instances: ListExchange
--- a/tests/lib/simulated_cluster.py
+++ b/tests/lib/simulated_cluster.py
@@ -98,12 +98,12 @@
         """Start a node, or restart it with empty state if it exists."""
         self.dead.discard(name)
         self.nodes[name] = SimulatedNode.in_cluster(self, name)
-        rows = {
+        peers = {
             one: PeerNode(node.state.local.address, node.domain)
             for one, node in self.nodes.items()
         }
         for node in self.alive:
-            node.mesh.update_peers(rows, True)
+            node.mesh.update_peers(peers, True)
 
     def enqueue(self, sender: str, address: str, encoded: bytes) -> None:
         """Put a message in transit and count it."""
@@ -185,7 +185,7 @@
             lambda message: any(
                 [cases.merge(one, is_own=False) for one in message.cases],
             ),
-            lambda news: versions.append(news.version),
+            lambda update: versions.append(update.version),
             _ignore,
             lambda: in_flight,
             lambda: configs[-1] if configs else None,
@@ -234,5 +234,5 @@
     """Ignore evidence."""
 
 
-def _ignore(_news: object) -> None:
+def _ignore(_update: object) -> None:
     """Ignore updates."""
--- a/tests/unit/test_mesh.py
+++ b/tests/unit/test_mesh.py
@@ -142,7 +142,7 @@
         self.assertEqual(sum(self.cluster.sent.values()), 0)
 
     def test_dead_placer_is_detected_without_relays(self) -> None:
-        """Nodes beside the placer get its beats directly, not from a relay.
+        """Nodes of the placer's domain get its beats directly, not from a relay.
 
         So they detect its death within a second, as in a small deployment.
         """
