--- a/src/cranecart/http/_client.py
+++ b/src/cranecart/http/_client.py
@@ -131,8 +131,8 @@
 
     def has_no_pending_input(self) -> bool:
         """Return whether nothing, not even an end of file, is there to read."""
-        # select supports file descriptors up to 1,023 only, and a node may
-        # hold thousands.
+        # A node may hold thousands of file descriptors, and select supports
+        # only the first 1,024.
         poller = select.poll()
         poller.register(self._sock.fileno(), select.POLLIN)
         return not poller.poll(0)
--- a/src/cranecart/targets/_directory.py
+++ b/src/cranecart/targets/_directory.py
@@ -24,8 +24,8 @@
     """What a failure domain tells the others about itself.
 
     ``replicas`` and ``services`` are a few targets for calls from other
-    domains, ``versions`` the domain's configuration versions, ``demand`` its
-    demand for the organisations' limits, which all domains share.
+    domains, ``versions`` the domain's configuration versions, ``demand`` the
+    recent peak of concurrent calls by organisation.
     """
 
     failure_domain: str
--- a/tests/lib/crashing_targets.py
+++ b/tests/lib/crashing_targets.py
@@ -20,7 +20,7 @@
     ClientAnswer,
     Exchange,
     FakeTarget,
-    GatewayWorld,
+    GatewayTestbed,
     instance,
 )
 
@@ -181,7 +181,7 @@
         self.restart_seconds = restart_seconds
         self.terminations: list[float] = []
         # Nodes that get no updates from the others.
-        self.isolated: list[GatewayWorld] = []
+        self.isolated: list[GatewayTestbed] = []
         self.arrivals: list[Arrival] = []
         self._renamed = renamed
         self._service = service
@@ -192,16 +192,16 @@
         ]
         self.nodes = [self.new_node(number) for number in range(nodes)]
 
-    def new_node(self, seed: int = 1) -> GatewayWorld:
+    def new_node(self, seed: int = 1) -> GatewayTestbed:
         """Create a node that knows the current targets."""
-        node = GatewayWorld(
+        node = GatewayTestbed(
             service=self._service,
-            others={target.name: target for target in self.targets},
+            other_targets={target.name: target for target in self.targets},
             seed=seed,
         )
         for target in self.targets:
             self._list(node, target)
-        node.tell = functools.partial(self._publish, node)
+        node.publish_cases = functools.partial(self._publish, node)
         return node
 
     async def run(
@@ -218,7 +218,7 @@
             for task in tasks:
                 await task.cancel()
 
-    async def start(self, node: GatewayWorld) -> curio.Task:
+    async def start(self, node: GatewayTestbed) -> curio.Task:
         """Start serving at a node."""
         node.server.open()
         return await curio.spawn(node.server.run, daemon=True)
@@ -258,7 +258,7 @@
         return arrived - terminations
 
     def _publish(
-        self, sender: GatewayWorld, cases: Sequence[CaseUpdate]
+        self, sender: GatewayTestbed, cases: Sequence[CaseUpdate]
     ) -> None:
         """Send updates to the other nodes."""
         for node in self.nodes:
@@ -266,7 +266,7 @@
                 for update in cases:
                     node.guard.merge_remote(update, 'another node')
 
-    def _list(self, node: GatewayWorld, target: CrashingTarget) -> None:
+    def _list(self, node: GatewayTestbed, target: CrashingTarget) -> None:
         name = target.name
         if self._renamed:
             name = f'{name}-{target.incarnations}'
@@ -299,7 +299,7 @@
 
 
 async def ask_in_turn(
-    nodes: Sequence[GatewayWorld],
+    nodes: Sequence[GatewayTestbed],
     path: str,
     body: bytes,
     *,
@@ -321,7 +321,7 @@
 
 
 async def _ask(
-    node: GatewayWorld,
+    node: GatewayTestbed,
     path: str,
     body: bytes,
     request_id: str,
--- a/tests/lib/fake_targets.py
+++ b/tests/lib/fake_targets.py
@@ -72,20 +72,20 @@
         extra: str = '',
     ) -> None:
         """Send a whole answer."""
-        named = request_id or self.headers['request-id']
+        answered_id = request_id or self.headers['request-id']
         signed = f'replica-signature: {signature}\r\n' if signature else ''
         head = (
-            f'HTTP/1.1 {status} X\r\nrequest-id: {named}\r\n{signed}{extra}'
+            f'HTTP/1.1 {status} X\r\nrequest-id: {answered_id}\r\n{signed}{extra}'
             f'content-length: {len(body)}\r\n\r\n'
         )
         await self.sock.sendall(head.encode('latin-1') + body)
 
     async def start_stream(self, extra: str = '') -> None:
         """Send the head of a stream."""
-        named = self.headers['request-id']
+        answered_id = self.headers['request-id']
         await self.sock.sendall(
             (
-                f'HTTP/1.1 200 OK\r\nrequest-id: {named}\r\n'
+                f'HTTP/1.1 200 OK\r\nrequest-id: {answered_id}\r\n'
                 f'replica-signature: sig\r\n{extra}'
                 'content-type: text/event-stream\r\n'
                 'transfer-encoding: chunked\r\n\r\n'
@@ -97,9 +97,9 @@
         for number in range(first, last + 1):
             await self.chunk(f'id: {number}\ndata: {number}\n\n'.encode())
 
-    async def chunk(self, piece: bytes) -> None:
+    async def chunk(self, data: bytes) -> None:
         """Send one chunk."""
-        await self.sock.sendall(b'%x\r\n%b\r\n' % (len(piece), piece))
+        await self.sock.sendall(b'%x\r\n%b\r\n' % (len(data), data))
 
     async def end_stream(self) -> None:
         """End the chunks."""
@@ -112,7 +112,7 @@
 
     name: str
     script: Script
-    seen: list[Exchange] = attrs.field(factory=list)
+    received: list[Exchange] = attrs.field(factory=list)
     closed: int = 0
     _listener: socket.socket = attrs.field(
         factory=lambda: socket.create_server(('127.0.0.1', 0)),
@@ -151,7 +151,7 @@
             return False
         head = events[0]
         assert isinstance(head, h11.Request)
-        pieces = [one.data for one in events if isinstance(one, h11.Data)]
+        chunks = [one.data for one in events if isinstance(one, h11.Data)]
         exchange = Exchange(
             sock,
             head.method.decode(),
@@ -160,9 +160,9 @@
                 name.decode(): text.decode('latin-1')
                 for name, text in head.headers
             },
-            b''.join(map(bytes, pieces)),
+            b''.join(map(bytes, chunks)),
         )
-        self.seen.append(exchange)
+        self.received.append(exchange)
         await self.script(exchange)
         return True
 
@@ -185,7 +185,7 @@
     return events
 
 
-class Listening(Protocol):
+class RunnableTarget(Protocol):
     """Anything that serves at an address."""
 
     @property
@@ -254,7 +254,7 @@
 )
 
 
-class GatewayWorld:
+class GatewayTestbed:
     """A gateway before scripted targets, all in one event loop."""
 
     def __init__(
@@ -262,7 +262,7 @@
         *scripts: Script,
         service: str = ENGINES,
         retries: float = 100,
-        others: Mapping[str, Listening] | None = None,
+        other_targets: Mapping[str, RunnableTarget] | None = None,
         seed: int = 1,
     ) -> None:
         """Build a target a script; nothing runs until ``run``.
@@ -273,16 +273,16 @@
             FakeTarget(f'i{number}', script)
             for number, script in enumerate(scripts)
         ]
-        self._listening: dict[str, Listening] = {
+        self._all_targets: dict[str, RunnableTarget] = {
             **{target.name: target for target in self.targets},
-            **(others or {}),
+            **(other_targets or {}),
         }
         self.config: RouteConfig | None = CONFIG
         self.fleet = Fleet()
         self.evidence: list[str] = []
         instances = {
             name: instance(name, target.address, service)
-            for name, target in self._listening.items()
+            for name, target in self._all_targets.items()
         }
         self.fleet.apply_instances(instances, True)
         records = (
@@ -301,28 +301,32 @@
         self.fleet.apply_records({one.key: one for one in records}, True)
         source = random.Random(seed)
         # Instances that all nodes were told to pass over.
-        self.told_broken: list[str] = []
+        self.reported_broken: list[str] = []
         # How a test has this node share targets with others, and tell them.
-        self.sharing_node_count: CountSharingNodes = _send_alone
-        self.tell_limits: Callable[[Sequence[LimitUpdate]], None] = _tell_nobody
-        self.tell_leaving: Callable[[Incarnation], None] = _tell_nobody
+        self.sharing_node_count: CountSharingNodes = _share_with_nobody
+        self.publish_limits: Callable[[Sequence[LimitUpdate]], None] = (
+            _publish_to_nobody
+        )
+        self.publish_leaving: Callable[[Incarnation], None] = _publish_to_nobody
         self.router = TargetRouter(
             self.fleet,
             source,
             lambda _name: 0,
             lambda _model: 0.1,
             'east',
-            report_broken=lambda incarnation: self.told_broken.append(
+            report_broken=lambda incarnation: self.reported_broken.append(
                 incarnation.id
             ),
             throttle=self._gate(),
         )
         self.connections = TargetConnectionPool()
         # Told of requests that end targets.
-        self.tell: Callable[[Sequence[CaseUpdate]], None] = _tell_nobody
+        self.publish_cases: Callable[[Sequence[CaseUpdate]], None] = (
+            _publish_to_nobody
+        )
         self.guard = RequestGuard(
             lambda one: one.id not in self.fleet.instances,
-            lambda cases: self.tell(cases),
+            lambda cases: self.publish_cases(cases),
             has_terminated=self._has_ended,
         )
         self.gateway = RoutedGateway(
@@ -332,7 +336,7 @@
                 self.router,
                 self.connections,
                 self.fleet.is_stopped,
-                self._note_evidence,
+                self._record_evidence,
             ),
             SharedRetryBudget(
                 RetryLimits(retries / 500, retries, 10), lambda: 1
@@ -348,11 +352,13 @@
 
     async def run(
         self,
-        play: Callable[['GatewayWorld'], Awaitable[None]],
+        play: Callable[['GatewayTestbed'], Awaitable[None]],
     ) -> None:
         """Run everything while a play lasts."""
         self.server.open()
-        tasks = [await curio.spawn(one.run) for one in self._listening.values()]
+        tasks = [
+            await curio.spawn(one.run) for one in self._all_targets.values()
+        ]
         tasks.append(await curio.spawn(self.server.run))
         try:
             await play(self)
@@ -377,10 +383,10 @@
         finally:
             await connection.close()
 
-    def put_out_of_reach(self, name: str) -> None:
+    def make_unreachable(self, name: str) -> None:
         """List a target at an address where nothing listens."""
-        known = self.fleet.instances[name]
-        gone = attrs.evolve(known, address=Address(known.address.host, 1))
+        listed = self.fleet.instances[name]
+        gone = attrs.evolve(listed, address=Address(listed.address.host, 1))
         self.fleet.apply_instances({name: gone}, False)
 
     def _gate(self) -> TargetThrottle:
@@ -389,20 +395,20 @@
                 domain, name, most
             ),
             self.fleet.find_instance,
-            lambda told: self.tell_limits(told),
-            self._leave,
+            lambda limits: self.publish_limits(limits),
+            self._note_leaving,
             self.fleet.instance_list.is_leaving,
         )
 
     def _has_ended(self, incarnation: Incarnation) -> bool:
-        known = self.fleet.instances.get(incarnation.id)
-        return known is None or known.incarnation.is_another(incarnation)
+        listed = self.fleet.instances.get(incarnation.id)
+        return listed is None or listed.incarnation.is_another(incarnation)
 
-    def _leave(self, incarnation: Incarnation) -> None:
+    def _note_leaving(self, incarnation: Incarnation) -> None:
         if mark_leaving(self.fleet, incarnation, 'an answer'):
-            self.tell_leaving(incarnation)
+            self.publish_leaving(incarnation)
 
-    async def _note_evidence(
+    async def _record_evidence(
         self,
         _forming: tuple[str, int],
         evidence: str,
@@ -433,13 +439,13 @@
     request: Request,
 ) -> ClientAnswer:
     head = await connection.send_and_read_head(request)
-    pieces = []
+    chunks = []
     try:
-        while piece := await connection.read_chunk():
-            pieces.append(piece)
+        while chunk := await connection.read_chunk():
+            chunks.append(chunk)
     except ConnectionBrokenError:
-        return ClientAnswer(head.status, head.headers, b''.join(pieces), False)
-    return ClientAnswer(head.status, head.headers, b''.join(pieces), True)
+        return ClientAnswer(head.status, head.headers, b''.join(chunks), False)
+    return ClientAnswer(head.status, head.headers, b''.join(chunks), True)
 
 
 def instance(name: str, address: Address, service: str) -> ListedInstance:
@@ -455,10 +461,10 @@
     )
 
 
-def _tell_nobody(_news: object) -> None:
+def _publish_to_nobody(_news: object) -> None:
     """Be a node without others."""
 
 
-def _send_alone(_domain: str, _name: str, _most: int) -> int:
+def _share_with_nobody(_domain: str, _name: str, _most: int) -> int:
     """Share targets with no other node."""
     return 1
--- a/tests/lib/throttling_targets.py
+++ b/tests/lib/throttling_targets.py
@@ -19,7 +19,7 @@
     ClientAnswer,
     Exchange,
     FakeTarget,
-    GatewayWorld,
+    GatewayTestbed,
 )
 from tests.lib.spans import max_in_window
 
@@ -111,7 +111,7 @@
         self,
         seconds: float,
         per_second: float,
-        nodes: Sequence[GatewayWorld] = (),
+        nodes: Sequence[GatewayTestbed] = (),
     ) -> list[ClientAnswer]:
         """Send requests to the nodes in turn at a rate; return the answers."""
         tasks = []
@@ -200,16 +200,16 @@
             for one in self.arrivals
         )
 
-    def _new_node(self, number: int) -> GatewayWorld:
+    def _new_node(self, number: int) -> GatewayTestbed:
         """Create a node that is connected to the others."""
-        node = GatewayWorld(
+        node = GatewayTestbed(
             service=self.service,
-            others={target.name: target for target in self.targets},
+            other_targets={target.name: target for target in self.targets},
             seed=number,
         )
         node.sharing_node_count = functools.partial(self._sharing_nodes, number)
-        node.tell_limits = functools.partial(self._publish_limits, number)
-        node.tell_leaving = functools.partial(self._publish_leaving, number)
+        node.publish_limits = functools.partial(self._publish_limits, number)
+        node.publish_leaving = functools.partial(self._publish_leaving, number)
         return node
 
     def _sharing_nodes(
@@ -234,7 +234,7 @@
         for node in self._others(sender):
             mark_leaving(node.fleet, incarnation, f'node-{sender}')
 
-    def _others(self, sender: int) -> list[GatewayWorld]:
+    def _others(self, sender: int) -> list[GatewayTestbed]:
         return self.nodes[:sender] + self.nodes[sender + 1 :]
 
     async def _measure_pauses(self) -> None:
@@ -246,7 +246,7 @@
 
     async def _ask(
         self,
-        node: GatewayWorld,
+        node: GatewayTestbed,
         number: int,
     ) -> ClientAnswer | None:
         path = '/safe/x' if self.service == PLAIN else '/stream/x'
--- a/tests/unit/test_broken_plain_instances.py
+++ b/tests/unit/test_broken_plain_instances.py
@@ -11,7 +11,7 @@
 
 from cranecart.ports import Incarnation
 from cranecart.routing import OutlierEjection, RoutingRequest
-from tests.lib.fake_targets import CONFIG, PLAIN, Exchange, GatewayWorld
+from tests.lib.fake_targets import CONFIG, PLAIN, Exchange, GatewayTestbed
 from tools.bench import _plain
 
 _WRITE = '/unsafe/x'
@@ -35,41 +35,41 @@
 
     def test_a_broken_connection_ejects_at_once(self) -> None:
         """At most one call fails, and the other nodes are told once."""
-        world = GatewayWorld(_succeed, _break, service=PLAIN)
-        curio.run(world.run, self._write)
+        testbed = GatewayTestbed(_succeed, _break, service=PLAIN)
+        curio.run(testbed.run, self._write)
         self.assertLessEqual(self.statuses.count(502), 1)
-        self.assertEqual(len(world.told_broken), self.statuses.count(502))
+        self.assertEqual(len(testbed.reported_broken), self.statuses.count(502))
 
     def test_an_instance_reported_by_another_node_is_avoided(self) -> None:
         """No call fails at an instance that another node reported."""
-        world = GatewayWorld(_succeed, _break, service=PLAIN)
-        world.router.eject_reported(world.fleet.instances['i1'].incarnation)
-        curio.run(world.run, self._write)
+        testbed = GatewayTestbed(_succeed, _break, service=PLAIN)
+        testbed.router.eject_reported(testbed.fleet.instances['i1'].incarnation)
+        curio.run(testbed.run, self._write)
         self.assertEqual(set(self.statuses), {200})
 
     def test_an_ejected_instance_is_used_when_others_are_full(self) -> None:
         """It is tried rather than refusing the call."""
-        world = GatewayWorld(_succeed, _succeed, service=PLAIN)
-        first, second = world.fleet.available(PLAIN)
-        world.router.eject_reported(second.incarnation)
+        testbed = GatewayTestbed(_succeed, _succeed, service=PLAIN)
+        first, second = testbed.fleet.available(PLAIN)
+        testbed.router.eject_reported(second.incarnation)
         request = RoutingRequest(CONFIG, CONFIG.routes[0], PLAIN, '', 0, 2)
         for _number in range(first.slots * 3):
-            self.assertIs(world.router.choose(request).instance, first)
-            world.router.in_flight_counts()[first.id] += 1
-        self.assertIs(world.router.choose(request).instance, second)
+            self.assertIs(testbed.router.choose(request).instance, first)
+            testbed.router.in_flight_counts()[first.id] += 1
+        self.assertIs(testbed.router.choose(request).instance, second)
 
     def test_all_instances_break_connections(self) -> None:
         """Each call is still sent, and each instance is reported once."""
-        world = GatewayWorld(_break, _break, service=PLAIN)
-        curio.run(world.run, self._write)
+        testbed = GatewayTestbed(_break, _break, service=PLAIN)
+        curio.run(testbed.run, self._write)
         self.assertEqual(set(self.statuses), {502})
-        self.assertLessEqual(len(world.told_broken), 2)
+        self.assertLessEqual(len(testbed.reported_broken), 2)
 
     def test_an_error_response_does_not_eject(self) -> None:
         """The call itself may be at fault: only three in a row count."""
-        world = GatewayWorld(_succeed, _fail, service=PLAIN)
-        curio.run(world.run, self._write)
-        self.assertFalse(world.told_broken)
+        testbed = GatewayTestbed(_succeed, _fail, service=PLAIN)
+        curio.run(testbed.run, self._write)
+        self.assertFalse(testbed.reported_broken)
 
     def test_a_reported_instance_is_ejected_for_a_second(self) -> None:
         """One broken connection does not exclude it for longer."""
@@ -86,8 +86,8 @@
         self.assertLess(shared, unshared / 2)
         self.assertLess(shared, at_once / 2)
 
-    async def _write(self, world: GatewayWorld) -> None:
+    async def _write(self, testbed: GatewayTestbed) -> None:
         self.statuses = [
-            (await world.ask(_WRITE, request_id=f'r{number}')).status
+            (await testbed.ask(_WRITE, request_id=f'r{number}')).status
             for number in range(_CALLS)
         ]
--- a/tests/unit/test_uneven_connections.py
+++ b/tests/unit/test_connection_reuse.py
@@ -34,7 +34,7 @@
     PLAIN,
     ClientAnswer,
     Exchange,
-    GatewayWorld,
+    GatewayTestbed,
     client_request,
 )
 
@@ -105,7 +105,7 @@
         late = Turn((ExtraAnswer(moment=Moment.NEXT),))
         target = StutteringService(_HERE, _STYLE, (late,))
         curio.run(
-            GatewayWorld(service=PLAIN, others={'s': target}).run,
+            GatewayTestbed(service=PLAIN, other_targets={'s': target}).run,
             _three_calls,
         )
         self.assertEqual(target.connections, 2)
@@ -122,7 +122,7 @@
         """The target did nothing wrong."""
         opened: list[int] = []
         play = _ShortDeadline(opened)
-        curio.run(GatewayWorld(_slow_when_asked, service=PLAIN).run, play.run)
+        curio.run(GatewayTestbed(_slow_when_asked, service=PLAIN).run, play.run)
         self.assertLessEqual(opened[0], 3)
 
     def test_behind_a_thousand_descriptors(self) -> None:
@@ -152,16 +152,16 @@
     def test_a_target_that_answers_only_others(self) -> None:
         """The call goes to the other target, in time."""
         answers: list[ClientAnswer] = []
-        world = GatewayWorld(_answers_others, _fine, service=PLAIN)
-        curio.run(world.run, _Safe(answers).run)
+        testbed = GatewayTestbed(_answers_others, _fine, service=PLAIN)
+        curio.run(testbed.run, _Safe(answers).run)
         self.assertEqual({one.status for one in answers}, {200})
 
     def test_answers_without_end(self) -> None:
         """Neither the call nor the node is held by them."""
         started = time.monotonic()
-        world = GatewayWorld(_pours, service=PLAIN)
+        testbed = GatewayTestbed(_pours, service=PLAIN)
         answers: list[ClientAnswer] = []
-        curio.run(world.run, _Unsafe(answers).run)
+        curio.run(testbed.run, _Unsafe(answers).run)
         self.assertEqual({one.status for one in answers}, {502})
         self.assertLess(time.monotonic() - started, 1.5)
 
@@ -172,7 +172,9 @@
     def test_a_late_refusal(self) -> None:
         """'Not run' is believed only of the call that it names."""
         with self.assertRaises(TargetBrokenError):
-            curio.run(GatewayWorld(_LateRefusal().script).run, _two_completions)
+            curio.run(
+                GatewayTestbed(_LateRefusal().script).run, _two_completions
+            )
 
 
 class MovedStreamTest(unittest.TestCase):
@@ -198,8 +200,8 @@
     def test_it_shares_no_connection(self) -> None:
         """What comes on a connection of its own is its own."""
         bodies: list[bytes] = []
-        world = GatewayWorld(_marked_twice, service=PLAIN)
-        curio.run(world.run, _Unnamed(bodies).run)
+        testbed = GatewayTestbed(_marked_twice, service=PLAIN)
+        curio.run(testbed.run, _Unnamed(bodies).run)
         self.assertEqual(bodies, [b'a', b'b', b'c'])
 
 
@@ -209,9 +211,9 @@
     await asking.ask(require_recent=False)
 
 
-async def _three_calls(world: GatewayWorld) -> None:
+async def _three_calls(testbed: GatewayTestbed) -> None:
     for number in range(3):
-        answer = await world.ask('/safe/x', request_id=f'r{number}')
+        answer = await testbed.ask('/safe/x', request_id=f'r{number}')
         assert answer.body == own_body(f'r{number}')
 
 
@@ -259,12 +261,12 @@
 class _ShortDeadline:
     opened: list[int]
 
-    async def run(self, world: GatewayWorld) -> None:
-        await world.ask('/unsafe/x', request_id='r0')
-        await world.ask('/unsafe/x', request_id='slow', deadline_ms=100)
+    async def run(self, testbed: GatewayTestbed) -> None:
+        await testbed.ask('/unsafe/x', request_id='r0')
+        await testbed.ask('/unsafe/x', request_id='slow', deadline_ms=100)
         for number in range(10):
-            await world.ask('/unsafe/x', request_id=f's{number}')
-        self.opened.append(world.connections.opened)
+            await testbed.ask('/unsafe/x', request_id=f's{number}')
+        self.opened.append(testbed.connections.opened)
 
 
 async def _answers_others(exchange: Exchange) -> None:
@@ -288,10 +290,10 @@
 class _Safe:
     answers: list[ClientAnswer]
 
-    async def run(self, world: GatewayWorld) -> None:
+    async def run(self, testbed: GatewayTestbed) -> None:
         for number in range(4):
             self.answers.append(
-                await world.ask(
+                await testbed.ask(
                     '/safe/x',
                     request_id=f'r{number}',
                     deadline_ms=800,
@@ -303,20 +305,20 @@
 class _Unsafe:
     answers: list[ClientAnswer]
 
-    async def run(self, world: GatewayWorld) -> None:
-        self.answers.append(await world.ask('/unsafe/x', deadline_ms=500))
+    async def run(self, testbed: GatewayTestbed) -> None:
+        self.answers.append(await testbed.ask('/unsafe/x', deadline_ms=500))
 
 
 @attrs.frozen
 class _Unnamed:
     bodies: list[bytes]
 
-    async def run(self, world: GatewayWorld) -> None:
+    async def run(self, testbed: GatewayTestbed) -> None:
         for mark in ('a', 'b', 'c'):
             plain = client_request('/safe/x')
             headers = {**plain.headers, 'x-mark': mark}
             headers.pop('request-id')
-            connection = await HttpConnection.open(world.server.address)
+            connection = await HttpConnection.open(testbed.server.address)
             await connection.send_and_read_head(
                 Request('POST', '/safe/x', headers, b'')
             )
@@ -356,8 +358,8 @@
     ).encode()
 
 
-async def _two_completions(world: GatewayWorld) -> None:
-    address = world.targets[0].address
+async def _two_completions(testbed: GatewayTestbed) -> None:
+    address = testbed.targets[0].address
     replica = ServingReplica(
         'r', 1, 'm', '', (), ('i0',), address, 'east', 0, 0, 1
     )
--- a/tests/unit/test_crashing_requests.py
+++ b/tests/unit/test_crashing_requests.py
@@ -20,7 +20,7 @@
 from cranecart.quarantine import CaseUpdate, HeldRows
 from tests.lib.crashing_targets import CRASH_MARK, Deployment, ask_in_turn
 from tests.lib.fake_platform import FakePlatform
-from tests.lib.fake_targets import PLAIN, ClientAnswer, GatewayWorld
+from tests.lib.fake_targets import PLAIN, ClientAnswer, GatewayTestbed
 
 # Time after the third termination within which all nodes know; the acceptance
 # rule allows three seconds.
@@ -101,7 +101,7 @@
     def test_an_isolated_node(self) -> None:
         """It learns from the rows, and its own observations count as well."""
         deployment = Deployment(3, 8)
-        deployment.nodes[2].tell = _publish_to_nobody
+        deployment.nodes[2].publish_cases = _publish_to_nobody
         deployment.isolated.append(deployment.nodes[2])
         curio.run(deployment.run, self._play_with_rows)
         self.assertLessEqual(
@@ -208,7 +208,7 @@
         )
 
 
-def _rows(node: GatewayWorld, table: FakePlatform) -> HeldRows:
+def _rows(node: GatewayTestbed, table: FakePlatform) -> HeldRows:
     return HeldRows('a node', table, node.guard.cases)
 
 
--- a/tests/unit/test_forwarding.py
+++ b/tests/unit/test_forwarding.py
@@ -14,7 +14,7 @@
     ClientAnswer,
     Exchange,
     FakeTarget,
-    GatewayWorld,
+    GatewayTestbed,
     Script,
     client_request,
 )
@@ -106,10 +106,10 @@
     def test_two_attempts_at_the_most(self) -> None:
         """A cut stream does not look complete."""
         scripts = (_stops_in_an_event, _stops_in_an_event, _whole_stream)
-        world = GatewayWorld(*scripts[:2])
-        answer = _ask_world(world, '/stream/x')
+        testbed = GatewayTestbed(*scripts[:2])
+        answer = _ask_world(testbed, '/stream/x')
         self.assertFalse(answer.is_whole)
-        self.assertEqual(sum(len(one.seen) for one in world.targets), 2)
+        self.assertEqual(sum(len(one.received) for one in testbed.targets), 2)
 
     def test_silence_of_the_last_attempt_is_waited_for(self) -> None:
         """Nothing is cut that may still come: there is no other attempt."""
@@ -124,54 +124,54 @@
 
     def test_a_stream_that_must_not_run_twice(self) -> None:
         """It is not sent to a second replica."""
-        world = GatewayWorld(_stops_in_an_event, _stops_in_an_event)
-        answer = _ask_world(world, '/once/x')
+        testbed = GatewayTestbed(_stops_in_an_event, _stops_in_an_event)
+        answer = _ask_world(testbed, '/once/x')
         self.assertFalse(answer.is_whole)
-        self.assertEqual(sum(len(one.seen) for one in world.targets), 1)
+        self.assertEqual(sum(len(one.received) for one in testbed.targets), 1)
 
     def test_a_stopped_replica_is_left_at_once(self) -> None:
         """A finding moves the stream long before silence would."""
-        world = GatewayWorld(_stalls_after_two, _stalls_after_two)
-        curio.run(world.run, self._stop_in_the_middle)
+        testbed = GatewayTestbed(_stalls_after_two, _stalls_after_two)
+        curio.run(testbed.run, self._stop_in_the_middle)
         self.assertLess(self.took, 0.3)
 
     def test_client_leaves(self) -> None:
         """The target's connection is closed at once."""
-        curio.run(GatewayWorld(_silent_but_reading).run, self._leave)
+        curio.run(GatewayTestbed(_silent_but_reading).run, self._leave)
 
     def test_client_leaves_before_it_was_read(self) -> None:
         """It sent its request and closed; the target is not kept at work."""
-        world = GatewayWorld(_silent_but_reading)
-        curio.run(world.run, self._send_and_close)
-        self.assertEqual(world.gateway.in_flight, 0)
+        testbed = GatewayTestbed(_silent_but_reading)
+        curio.run(testbed.run, self._send_and_close)
+        self.assertEqual(testbed.gateway.in_flight, 0)
 
-    async def _send_and_close(self, world: GatewayWorld) -> None:
-        connection = await HttpConnection.open(world.server.address)
+    async def _send_and_close(self, testbed: GatewayTestbed) -> None:
+        connection = await HttpConnection.open(testbed.server.address)
         await connection.send(client_request('/stream/x'))
         await connection.close()
         await curio.sleep(0.4)
-        seen, closed = world.targets[0].seen, world.targets[0].closed
+        seen, closed = testbed.targets[0].received, testbed.targets[0].closed
         self.assertEqual(bool(seen), bool(closed))
 
-    async def _stop_in_the_middle(self, world: GatewayWorld) -> None:
-        asking = await curio.spawn(world.ask, '/stream/x')
-        await until(lambda: any(one.seen for one in world.targets))
-        used = _used(world)
-        other = next(one for one in world.targets if one is not used)
+    async def _stop_in_the_middle(self, testbed: GatewayTestbed) -> None:
+        asking = await curio.spawn(testbed.ask, '/stream/x')
+        await until(lambda: any(one.received for one in testbed.targets))
+        used = _used(testbed)
+        other = next(one for one in testbed.targets if one is not used)
         other.script = _whole_stream
         await curio.sleep(0.1)
         started = time.monotonic()
-        world.fleet.mark_stopped((used.name, 1), 'a test says so')
+        testbed.fleet.mark_stopped((used.name, 1), 'a test says so')
         answer = await asking.join()
         self.took = time.monotonic() - started
         self.assertEqual(answer.body, _EVENTS)
 
-    async def _leave(self, world: GatewayWorld) -> None:
-        connection = await HttpConnection.open(world.server.address)
+    async def _leave(self, testbed: GatewayTestbed) -> None:
+        connection = await HttpConnection.open(testbed.server.address)
         await connection.send(client_request('/stream/x'))
-        await until(lambda: world.targets[0].seen)
+        await until(lambda: testbed.targets[0].received)
         await connection.close()
-        await until(lambda: world.targets[0].closed, 0.4)
+        await until(lambda: testbed.targets[0].closed, 0.4)
 
 
 async def _slow_third(exchange: Exchange) -> None:
@@ -191,15 +191,15 @@
 
     def test_client_leaves(self) -> None:
         """The work on its unanswered request ends at once."""
-        world = GatewayWorld(_silent_but_reading, service=PLAIN)
-        curio.run(world.run, self._leave)
+        testbed = GatewayTestbed(_silent_but_reading, service=PLAIN)
+        curio.run(testbed.run, self._leave)
 
     def test_out_of_reach_costs_no_retry(self) -> None:
         """Nothing came to a target, so that the first one is still to come."""
         for seed in range(6):
-            world = GatewayWorld(_fine, _fine, service=PLAIN, retries=0)
-            world.put_out_of_reach(f'i{seed % 2}')
-            self.assertEqual(_ask_world(world, '/unsafe/x').status, 200)
+            testbed = GatewayTestbed(_fine, _fine, service=PLAIN, retries=0)
+            testbed.make_unreachable(f'i{seed % 2}')
+            self.assertEqual(_ask_world(testbed, '/unsafe/x').status, 200)
 
     def test_a_mute_target_is_left(self) -> None:
         """Half of the objective is kept for another target."""
@@ -232,10 +232,12 @@
     def test_unknown_outcome_is_not_repeated(self) -> None:
         """And never called 'not run'."""
         for script in (_cuts, _refuses_without_saying):
-            world = GatewayWorld(script, script, service=PLAIN)
-            answer = _ask_world(world, '/unsafe/x')
+            testbed = GatewayTestbed(script, script, service=PLAIN)
+            answer = _ask_world(testbed, '/unsafe/x')
             self.assertEqual(answer.status, 502)
-            self.assertEqual(sum(len(one.seen) for one in world.targets), 1)
+            self.assertEqual(
+                sum(len(one.received) for one in testbed.targets), 1
+            )
 
     def test_refused_is_sent_elsewhere(self) -> None:
         """What has not run may go to another target."""
@@ -266,15 +268,15 @@
 
     def test_keys_and_routes(self) -> None:
         """Unknown ones reach no target, and the key is not passed on."""
-        world = GatewayWorld(_fine, service=PLAIN)
-        self.assertEqual(_ask_world(world, '/safe/x', key='no').status, 401)
-        world = GatewayWorld(_fine, service=PLAIN)
-        self.assertEqual(_ask_world(world, '/none/x').status, 404)
-        world = GatewayWorld(_fine, service=PLAIN)
-        self.assertEqual(_ask_world(world, '/open/x', key='no').status, 200)
-        world = GatewayWorld(_fine, service=PLAIN)
-        _ask_world(world, '/safe/x')
-        sent = world.targets[0].seen[0].headers
+        testbed = GatewayTestbed(_fine, service=PLAIN)
+        self.assertEqual(_ask_world(testbed, '/safe/x', key='no').status, 401)
+        testbed = GatewayTestbed(_fine, service=PLAIN)
+        self.assertEqual(_ask_world(testbed, '/none/x').status, 404)
+        testbed = GatewayTestbed(_fine, service=PLAIN)
+        self.assertEqual(_ask_world(testbed, '/open/x', key='no').status, 200)
+        testbed = GatewayTestbed(_fine, service=PLAIN)
+        _ask_world(testbed, '/safe/x')
+        sent = testbed.targets[0].received[0].headers
         self.assertEqual(sent['tenant'], 'org')
         self.assertNotIn('authorization', sent)
 
@@ -283,16 +285,16 @@
         answer = _ask('/unsafe/x', _fine, service=PLAIN, body=b'x' * 300000)
         self.assertEqual(answer.status, 200)
 
-    async def _leave(self, world: GatewayWorld) -> None:
-        connection = await HttpConnection.open(world.server.address)
+    async def _leave(self, testbed: GatewayTestbed) -> None:
+        connection = await HttpConnection.open(testbed.server.address)
         await connection.send(client_request('/safe/x'))
-        await until(lambda: world.targets[0].seen)
+        await until(lambda: testbed.targets[0].received)
         await connection.close()
-        await until(lambda: world.targets[0].closed, 0.4)
+        await until(lambda: testbed.targets[0].closed, 0.4)
 
 
-def _used(world: GatewayWorld) -> FakeTarget:
-    return next(one for one in world.targets if one.seen)
+def _used(testbed: GatewayTestbed) -> FakeTarget:
+    return next(one for one in testbed.targets if one.received)
 
 
 def _ask(
@@ -303,21 +305,21 @@
     **how: Any,
 ) -> ClientAnswer:
     """Ask a world, in which ``first`` is the least loaded, if it is given."""
-    world = GatewayWorld(*scripts, service=service)
-    for target in world.targets:
+    testbed = GatewayTestbed(*scripts, service=service)
+    for target in testbed.targets:
         # One more in flight, so that the other is chosen.
         is_later = first is not None and target.script is not first
-        world.router.in_flight_counts()[target.name] += is_later
-    return _ask_world(world, path, **how)
+        testbed.router.in_flight_counts()[target.name] += is_later
+    return _ask_world(testbed, path, **how)
 
 
 def _ask_world(
-    world: GatewayWorld,
+    testbed: GatewayTestbed,
     path: str,
     **how: Any,
 ) -> ClientAnswer:
     asking = _Asking(path, how)
-    curio.run(world.run, asking.play)
+    curio.run(testbed.run, asking.play)
     return asking.answers[0]
 
 
@@ -327,5 +329,5 @@
     how: Mapping[str, Any]
     answers: list[ClientAnswer] = attrs.field(factory=list)
 
-    async def play(self, world: GatewayWorld) -> None:
-        self.answers.append(await world.ask(self.path, **self.how))
+    async def play(self, testbed: GatewayTestbed) -> None:
+        self.answers.append(await testbed.ask(self.path, **self.how))
--- a/tests/unit/test_leaving_targets.py
+++ b/tests/unit/test_leaving_targets.py
@@ -11,7 +11,7 @@
 from cranecart.fleet import SourceFollower, SourceUpdate
 from cranecart.ports import Changes, ListedInstance, Snapshot
 from cranecart.routing import RoutingRequest
-from tests.lib.fake_targets import CONFIG, ENGINES, MODEL, PLAIN, GatewayWorld
+from tests.lib.fake_targets import CONFIG, ENGINES, MODEL, PLAIN, GatewayTestbed
 from tests.lib.waiting import until
 
 _CHOICES = 40
@@ -70,11 +70,11 @@
 
     def __init__(self, service: str) -> None:
         """Build everything; nothing is read until ``start``."""
-        world = GatewayWorld(_unused, _unused, service=service)
+        testbed = GatewayTestbed(_unused, _unused, service=service)
         self.service = service
-        self.fleet = world.fleet
-        self.router = world.router
-        self.before = dict(world.fleet.instances)
+        self.fleet = testbed.fleet
+        self.router = testbed.router
+        self.before = dict(testbed.fleet.instances)
         self.source = ListSource(dict(self.before))
         self.follower = SourceFollower(
             'list',
--- a/tests/unit/test_lives.py
+++ b/tests/unit/test_lives.py
@@ -27,7 +27,7 @@
     ENGINES,
     MODEL,
     Exchange,
-    GatewayWorld,
+    GatewayTestbed,
 )
 from tests.lib.waiting import until
 from tests.unit.test_grouping import PlacerTestbed
@@ -157,9 +157,9 @@
 
     def setUp(self) -> None:
         """Build a world whose instances tell their births."""
-        self.world = PlacerTestbed()
-        self.addCleanup(self.world.listener.close)
-        fleet = self.world.fleet
+        self.testbed = PlacerTestbed()
+        self.addCleanup(self.testbed.listener.close)
+        fleet = self.testbed.fleet
         fleet.apply_instances(
             {
                 name: attrs.evolve(one, born=_FIRST)
@@ -171,28 +171,28 @@
     def test_a_head_that_lives_anew(self) -> None:
         """Its members are free at once, not after the stall."""
         seconds = curio.run(self._back, 0)
-        self.assertLess(seconds, self.world.engines.stall_seconds)
-        self.assertEqual(self.world.engines.violations, [])
+        self.assertLess(seconds, self.testbed.engines.stall_seconds)
+        self.assertEqual(self.testbed.engines.violations, [])
 
     def test_a_member_that_lives_anew(self) -> None:
         """The head leaves, and the others form with the same instance."""
         seconds = curio.run(self._back, 2)
-        self.assertLess(seconds, self.world.engines.stall_seconds)
-        self.assertEqual(self.world.engines.violations, [])
+        self.assertLess(seconds, self.testbed.engines.stall_seconds)
+        self.assertEqual(self.testbed.engines.violations, [])
 
     def test_back_while_joining(self) -> None:
         """A replica that still forms is formed anew with the new life."""
-        self.world.engines.unreachable.add('i2')
+        self.testbed.engines.unreachable.add('i2')
         curio.run(self._back_while_joining)
-        self.assertEqual(self.world.engines.violations, [])
+        self.assertEqual(self.testbed.engines.violations, [])
 
     def test_a_dead_head_is_not_asked_on_and_on(self) -> None:
         """One was ordered to leave each half second until its end."""
         curio.run(self._dead_head)
         leaves = [
             name
-            for order, name in self.world.engines.orders
-            if order == 'leave' and name in self.world.engines.unreachable
+            for order, name in self.testbed.engines.orders
+            if order == 'leave' and name in self.testbed.engines.unreachable
         ]
         self.assertLessEqual(len(leaves), 1)
 
@@ -201,16 +201,16 @@
         curio.run(self._dark_replica)
         asked = [
             name
-            for order, name in self.world.engines.orders
-            if order == 'leave' and name in self.world.engines.unreachable
+            for order, name in self.testbed.engines.orders
+            if order == 'leave' and name in self.testbed.engines.unreachable
         ]
         self.assertLessEqual(len(asked), 2)
 
     async def _back(self, rank: int) -> float:
-        world = self.world
-        running = await curio.spawn(world.placer.run)
-        await until(lambda: len(world.heads()) == 2)
-        big = world.fleet.heads(SERVICE, BIG.name)[0]
+        testbed = self.testbed
+        running = await curio.spawn(testbed.placer.run)
+        await until(lambda: len(testbed.heads()) == 2)
+        big = testbed.fleet.heads(SERVICE, BIG.name)[0]
         await curio.sleep(0.2)
         started = time.monotonic()
         self._start_again(big.members[rank])
@@ -219,46 +219,46 @@
         return time.monotonic() - started
 
     async def _back_while_joining(self) -> None:
-        world = self.world
-        running = await curio.spawn(world.placer.run)
+        testbed = self.testbed
+        running = await curio.spawn(testbed.placer.run)
         await until(lambda: self._naming('i2'))
         old = self._naming('i2')[0]
         self._start_again('i2')
-        await until(lambda: old.key not in world.fleet.records)
-        await until(lambda: len(world.heads()) == 2)
+        await until(lambda: old.key not in testbed.fleet.records)
+        await until(lambda: len(testbed.heads()) == 2)
         await running.cancel()
 
     async def _dead_head(self) -> None:
-        world = self.world
-        running = await curio.spawn(world.placer.run)
-        await until(lambda: len(world.heads()) == 2)
-        big = world.fleet.heads(SERVICE, BIG.name)[0]
-        world.lose(big.id)
+        testbed = self.testbed
+        running = await curio.spawn(testbed.placer.run)
+        await until(lambda: len(testbed.heads()) == 2)
+        big = testbed.fleet.heads(SERVICE, BIG.name)[0]
+        testbed.lose(big.id)
         await until(lambda: self._is_replaced(big))
         await running.cancel()
 
     async def _dark_replica(self) -> None:
-        world = self.world
-        running = await curio.spawn(world.placer.run)
-        await until(lambda: len(world.heads()) == 2)
-        big = world.fleet.heads(SERVICE, BIG.name)[0]
+        testbed = self.testbed
+        running = await curio.spawn(testbed.placer.run)
+        await until(lambda: len(testbed.heads()) == 2)
+        big = testbed.fleet.heads(SERVICE, BIG.name)[0]
         for name in big.members:
-            world.lose(name)
+            testbed.lose(name)
         await curio.sleep(1)
         await running.cancel()
 
     def _naming(self, name: str) -> list[ReplicaRecord]:
-        records = self.world.fleet.records.values()
+        records = self.testbed.fleet.records.values()
         return [record for record in records if name in record.members]
 
     def _start_again(self, name: str) -> None:
-        engines = self.world.engines
+        engines = self.testbed.engines
         engines.unreachable.discard(name)
         engines.restart(name, _SECOND)
 
     def _is_replaced(self, old: ServingHead) -> bool:
-        heads = self.world.fleet.heads(SERVICE, BIG.name)
-        states = {one.state for one in self.world.fleet.records.values()}
+        heads = self.testbed.fleet.heads(SERVICE, BIG.name)
+        states = {one.state for one in self.testbed.fleet.records.values()}
         return (
             bool(heads)
             and heads[0].replica_epoch != old.replica_epoch
@@ -271,17 +271,17 @@
 
     def test_failures_and_silence(self) -> None:
         """They are the old life's; the new one is used like any other."""
-        world = GatewayWorld(_never, _never)
+        testbed = GatewayTestbed(_never, _never)
         old = attrs.evolve(
-            world.fleet.instances[world.targets[0].name],
+            testbed.fleet.instances[testbed.targets[0].name],
             born=_FIRST,
         )
-        world.fleet.apply_instances({old.id: old}, False)
-        world.router.record_failure(old.incarnation, reached=False)
-        self.assertEqual(_chosen(world), {world.targets[1].name})
+        testbed.fleet.apply_instances({old.id: old}, False)
+        testbed.router.record_failure(old.incarnation, reached=False)
+        self.assertEqual(_chosen(testbed), {testbed.targets[1].name})
         new = attrs.evolve(old, born=_SECOND)
-        world.fleet.apply_instances({new.id: new}, False)
-        self.assertEqual(_chosen(world), {old.id, world.targets[1].name})
+        testbed.fleet.apply_instances({new.id: new}, False)
+        self.assertEqual(_chosen(testbed), {old.id, testbed.targets[1].name})
 
     def test_connections(self) -> None:
         """Nothing is sent on what was open to the old life."""
@@ -293,8 +293,8 @@
         self.assertFalse(connections._is_unreliable(new))
 
 
-def _chosen(world: GatewayWorld) -> set[str]:
-    return {world.router.choose(_WANTED).instance.id for _ in range(30)}
+def _chosen(testbed: GatewayTestbed) -> set[str]:
+    return {testbed.router.choose(_WANTED).instance.id for _ in range(30)}
 
 
 async def _never(_exchange: Exchange) -> None:
--- a/tests/unit/test_requests_without_target.py
+++ b/tests/unit/test_requests_without_target.py
@@ -26,7 +26,7 @@
     PLAIN,
     ClientAnswer,
     Exchange,
-    GatewayWorld,
+    GatewayTestbed,
     route,
 )
 
@@ -58,49 +58,49 @@
 
     def test_no_configuration(self) -> None:
         """A node that has just started answers with a retry time."""
-        world = GatewayWorld(_serve)
-        world.config = None
+        testbed = GatewayTestbed(_serve)
+        testbed.config = None
         for path in _PATHS:
-            self._assert_refused(_ask(world, _request(path)))
+            self._assert_refused(_ask(testbed, _request(path)))
 
     def test_no_target(self) -> None:
         """There is neither a replica nor an instance."""
-        world = GatewayWorld(_serve)
-        world.fleet.apply_instances({}, True)
+        testbed = GatewayTestbed(_serve)
+        testbed.fleet.apply_instances({}, True)
         for path in _PATHS:
-            self._assert_refused(_ask(world, _request(path)))
+            self._assert_refused(_ask(testbed, _request(path)))
 
     def test_unreachable_targets(self) -> None:
         """Nothing listens at the addresses of the listed targets."""
         for service, path in ((PLAIN, '/unsafe/x'), ('drafts', '/once/x')):
-            world = GatewayWorld(_serve, _serve, service=service)
-            world.put_out_of_reach('i0')
-            world.put_out_of_reach('i1')
-            self._assert_refused(_ask(world, _request(path)))
+            testbed = GatewayTestbed(_serve, _serve, service=service)
+            testbed.make_unreachable('i0')
+            testbed.make_unreachable('i1')
+            self._assert_refused(_ask(testbed, _request(path)))
 
     def test_no_time_left(self) -> None:
         """A request that would time out at once is not sent."""
         for remaining in ('0', '1', '-5', '0.4', 'nan'):
             for service, path in ((PLAIN, '/unsafe/x'), ('drafts', '/once/x')):
-                world = GatewayWorld(_serve, service=service)
+                testbed = GatewayTestbed(_serve, service=service)
                 request = _request(path, deadline_ms=remaining)
-                self._assert_refused(_ask(world, request))
-                self.assertEqual(world.targets[0].seen, [], remaining)
+                self._assert_refused(_ask(testbed, request))
+                self.assertEqual(testbed.targets[0].received, [], remaining)
 
     def test_zero_weight_shares(self) -> None:
         """A split whose weights are all zero is drawn evenly."""
-        world = GatewayWorld(_serve, service=PLAIN)
+        testbed = GatewayTestbed(_serve, service=PLAIN)
         shares = (Share(PLAIN, 0), Share(PLAIN, 0))
         split = route('split', shares=shares)
-        world.config = attrs.evolve(CONFIG, routes=(split,))
-        answer = _ask(world, _request('/split/x'))
+        testbed.config = attrs.evolve(CONFIG, routes=(split,))
+        answer = _ask(testbed, _request('/split/x'))
         self.assertEqual(answer.status, 200)
 
     def test_malformed_request_targets(self) -> None:
         """What is not a valid path has no route, and still gets an answer."""
         for target in ('//[', '//[x/', 'http://[/safe/x', '*', '/safe/%zz'):
-            world = GatewayWorld(_serve, service=PLAIN)
-            answer = _ask(world, _request(target))
+            testbed = GatewayTestbed(_serve, service=PLAIN)
+            answer = _ask(testbed, _request(target))
             self.assertIn(answer.status, {200, 400, 404}, target)
 
     def test_malformed_headers(self) -> None:
@@ -116,34 +116,34 @@
             ('authorization', 'Bearer \xff'),
         ):
             for path in _PATHS:
-                world = GatewayWorld(_serve)
-                answer = _ask(world, _request(path, **{name: text}))
+                testbed = GatewayTestbed(_serve)
+                answer = _ask(testbed, _request(path, **{name: text}))
                 self.assertIn(
                     answer.status, _EXPECTED_STATUSES | {200}, (name, path)
                 )
 
     def test_an_organisation_name_beyond_ascii(self) -> None:
         """The name reaches the target unchanged."""
-        world = GatewayWorld(_serve, service=PLAIN)
+        testbed = GatewayTestbed(_serve, service=PLAIN)
         assert CONFIG.holders is not None
         holder = attrs.evolve(CONFIG.holders[0], name='Győr')
-        world.config = attrs.evolve(CONFIG, holders=(holder,))
-        answer = _ask(world, _request('/safe/x'))
+        testbed.config = attrs.evolve(CONFIG, holders=(holder,))
+        answer = _ask(testbed, _request('/safe/x'))
         self.assertEqual(answer.status, 200)
-        seen = world.targets[0].seen[0]
+        seen = testbed.targets[0].received[0]
         sent = seen.headers['tenant']
         self.assertEqual(sent.encode('latin-1').decode(), 'Győr')
 
     def test_internal_error(self) -> None:
         """It is logged, and a request that was not sent is refused."""
-        self._assert_refused(_ask(FaultyGatewayWorld(), _request('/safe/x')))
+        self._assert_refused(_ask(FaultyTestbed(), _request('/safe/x')))
 
     def test_internal_error_after_sending(self) -> None:
         """The answer does not say that the request has not run."""
-        world = FaultyGatewayWorld(after_sending=True)
-        answer = _ask(world, _request('/unsafe/x'))
+        testbed = FaultyTestbed(after_sending=True)
+        answer = _ask(testbed, _request('/unsafe/x'))
         self.assertEqual(answer.status, 502)
-        self.assertEqual(len(world.targets[0].seen), 1)
+        self.assertEqual(len(testbed.targets[0].received), 1)
 
     @settings(max_examples=40)
     @given(
@@ -165,8 +165,8 @@
         self, headers: Mapping[str, str], path: str
     ) -> None:
         """Any headers lead to an answer."""
-        world = GatewayWorld(_serve)
-        answer = _ask(world, _request(path, **headers))
+        testbed = GatewayTestbed(_serve)
+        answer = _ask(testbed, _request(path, **headers))
         self.assertIn(answer.status, _EXPECTED_STATUSES | {200})
 
     def _assert_refused(self, answer: ClientAnswer) -> None:
@@ -174,7 +174,7 @@
         self.assertGreater(float(answer.headers['retry-after']), 0)
 
 
-class FaultyGatewayWorld(GatewayWorld):
+class FaultyTestbed(GatewayTestbed):
     """A gateway with an unexpected internal error."""
 
     def __init__(self, *, after_sending: bool = False) -> None:
@@ -199,10 +199,10 @@
         return getattr(self._router, name)
 
 
-def _ask(world: GatewayWorld, request: Request) -> ClientAnswer:
+def _ask(testbed: GatewayTestbed, request: Request) -> ClientAnswer:
     exchange = _Exchange(request)
     started = time.monotonic()
-    curio.run(world.run, exchange.run)
+    curio.run(testbed.run, exchange.run)
     assert time.monotonic() - started < _MAX_SECONDS
     return exchange.answers[0]
 
@@ -212,8 +212,8 @@
     request: Request
     answers: list[ClientAnswer] = attrs.field(factory=list)
 
-    async def run(self, world: GatewayWorld) -> None:
-        connection = await HttpConnection.open(world.server.address)
+    async def run(self, testbed: GatewayTestbed) -> None:
+        connection = await HttpConnection.open(testbed.server.address)
         head = await connection.send_and_read_head(self.request)
         body = await connection.read_body()
         await connection.close()
--- a/tests/unit/test_stalls.py
+++ b/tests/unit/test_stalls.py
@@ -12,7 +12,7 @@
     ENGINES,
     MODEL,
     Exchange,
-    GatewayWorld,
+    GatewayTestbed,
 )
 
 # Clearly longer than the silence that is tolerated by default.
@@ -75,18 +75,18 @@
 
     def test_new_requests_avoid_a_stalled_replica(self) -> None:
         """Requests sent to it missed their objective for over a second."""
-        world = GatewayWorld(_never_called, _never_called)
-        stalled = Incarnation(world.targets[0].name)
+        testbed = GatewayTestbed(_never_called, _never_called)
+        stalled = Incarnation(testbed.targets[0].name)
         with contextlib.ExitStack() as streams:
             for _stream in range(2):
-                tracking = world.router.stalls.track_stream(stalled)
+                tracking = testbed.router.stalls.track_stream(stalled)
                 streams.enter_context(tracking).record_event()
             time.sleep(_STALL_SECONDS)
             chosen = {
-                world.router.choose(_REQUEST).instance.id
+                testbed.router.choose(_REQUEST).instance.id
                 for _request in range(20)
             }
-        self.assertEqual(chosen, {world.targets[1].name})
+        self.assertEqual(chosen, {testbed.targets[1].name})
 
 
 class UnreachableTargetTest(unittest.TestCase):
--- a/tests/unit/test_foreign_answers.py
+++ b/tests/unit/test_surplus_responses.py
@@ -36,7 +36,7 @@
     own_body,
 )
 from cranecart.targets import ServiceCall, ServiceClient
-from tests.lib.fake_targets import PLAIN, ClientAnswer, GatewayWorld
+from tests.lib.fake_targets import PLAIN, ClientAnswer, GatewayTestbed
 from tests.lib.waiting import until
 
 _STYLE = AnswerStyle('request-id', more=(('replica-signature', 'sig'),))
@@ -70,12 +70,12 @@
     settled: int = 0
     answers: list[ClientAnswer] = attrs.field(factory=list)
 
-    async def run(self, world: GatewayWorld) -> None:
+    async def run(self, testbed: GatewayTestbed) -> None:
         """Make the calls."""
         for number, path in enumerate(self.paths):
             if number == self.settled:
                 await until(self._is_settled)
-            answer = await world.ask(
+            answer = await testbed.ask(
                 path,
                 request_id=f'r{number}',
                 deadline_ms=4000,
@@ -103,7 +103,7 @@
         targets.append(StutteringService(_HERE, _STYLE))
     others = {f's{number}': one for number, one in enumerate(targets)}
     play = _Play(paths, targets, len(script) + _SOON)
-    curio.run(GatewayWorld(service=PLAIN, others=others).run, play.run)
+    curio.run(GatewayTestbed(service=PLAIN, other_targets=others).run, play.run)
     return play.answers, target
 
 
--- a/tests/unit/test_target_throttle.py
+++ b/tests/unit/test_target_throttle.py
@@ -14,7 +14,7 @@
 from cranecart.ports import AnswerFacts, Incarnation, ListedInstance
 from cranecart.routing import RoutingRequest
 from cranecart.throttling import TargetThrottle
-from tests.lib.fake_targets import CONFIG, MODEL, Exchange, GatewayWorld
+from tests.lib.fake_targets import CONFIG, MODEL, Exchange, GatewayTestbed
 
 _INCARNATION = Incarnation('i1', 7)
 _REFUSAL = AnswerFacts('r1', False, True, rest_seconds=3)
@@ -150,27 +150,27 @@
 
     def test_back_off_is_checked_before_sending(self) -> None:
         """The request goes elsewhere, without counting as failure or retry."""
-        world = GatewayWorld(_serve, _serve, retries=0)
-        curio.run(world.run, self._ask)
-        self.assertEqual(len(world.targets[0].seen), 0)
+        testbed = GatewayTestbed(_serve, _serve, retries=0)
+        curio.run(testbed.run, self._ask)
+        self.assertEqual(len(testbed.targets[0].received), 0)
 
     def test_no_other_target_is_left(self) -> None:
         """A stream has no other target if that one is backed off from."""
-        world = GatewayWorld(_serve, _serve)
+        testbed = GatewayTestbed(_serve, _serve)
         route = next(one for one in CONFIG.routes if one.name == 'stream')
         request = RoutingRequest(CONFIG, route, 'drafts', MODEL, 100, 2)
         arguments = (CONFIG, 'drafts', MODEL, ['i0'])
-        self.assertTrue(world.router.has_untried_target(*arguments))
-        world.router.throttle.record_response(Incarnation('i1'), _REFUSAL, 0)
-        self.assertFalse(world.router.has_untried_target(*arguments))
-        chosen = {world.router.choose(request).instance.id for _ in range(20)}
+        self.assertTrue(testbed.router.has_untried_target(*arguments))
+        testbed.router.throttle.record_response(Incarnation('i1'), _REFUSAL, 0)
+        self.assertFalse(testbed.router.has_untried_target(*arguments))
+        chosen = {testbed.router.choose(request).instance.id for _ in range(20)}
         self.assertEqual(chosen, {'i0'})
 
-    async def _ask(self, world: GatewayWorld) -> None:
-        sender = world.gateway._sender
-        sender.connections = SlowConnections(throttle=world.router.throttle)
+    async def _ask(self, testbed: GatewayTestbed) -> None:
+        sender = testbed.gateway._sender
+        sender.connections = SlowConnections(throttle=testbed.router.throttle)
         for _number in range(6):
-            answer = await world.ask('/stream/x')
+            answer = await testbed.ask('/stream/x')
             self.assertEqual(answer.status, 200)
 
 
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -38,7 +38,7 @@
     'tests.unit.test_grouping_faults.GroupingFaultsTest'
     '.test_no_overlap_and_no_partial_replica'
 )
-_FOREIGN_ANSWERS = 'tests.unit.test_foreign_answers.StutterTest'
+_FOREIGN_ANSWERS = 'tests.unit.test_surplus_responses.StutterTest'
 _LIMIT_SHARES = 'tests.unit.test_limit_shares'
 _RESTORED = 'tests.platform.test_restored_store.RestoredStoreTest'
 _RESTORED_RECORDS = 'tests.unit.test_restored_records.RestoredRecordsTest'
@@ -90,7 +90,7 @@
         'targets/_observations.py',
         'self._observations.pop(node_id, None)',
         'self._observations.get(node_id)',
-        'tests.unit.test_assemble',
+        'tests.unit.test_replica_reports',
     ),
     Mutation(
         'older-versions-are-taken',
@@ -253,7 +253,7 @@
         'forwarding/_startup.py',
         'while not self._is_informed() and self._clock() < wait_until:',
         'while False:',
-        'tests.unit.test_starting.StartGateTest.test_waits_until_informed',
+        'tests.unit.test_startup_gate.StartGateTest.test_waits_until_informed',
     ),
     Mutation(
         'entries-that-lapsed-in-an-outage-are-gone',
