--- a/src/cranecart/quarantine/_guard.py
+++ b/src/cranecart/quarantine/_guard.py
@@ -128,12 +128,12 @@
         runner: Runner,
     ) -> AsyncGenerator['AttemptProgress', None]:
         """Watch an attempt; it succeeds if the context raises no error."""
-        watch = AttemptProgress(self._clock)
+        progress = AttemptProgress(self._clock)
         try:
             with self.track_running(identity, runner):
-                yield watch
+                yield progress
         except TargetDisconnectedError:
-            await self._check_termination(identity(), runner, watch)
+            await self._check_termination(identity(), runner, progress)
             raise
         self.record_served(identity)
 
@@ -212,22 +212,22 @@
         self,
         identity: str,
         runner: Runner,
-        watch: AttemptProgress,
+        progress: AttemptProgress,
     ) -> None:
         """Check whether the target of a broken attempt has terminated."""
         if self._is_expected(runner):
             return
-        if watch.progress_seconds > _STARTUP_SECONDS:
+        if progress.progress_seconds > _STARTUP_SECONDS:
             self._pending.record_alive(runner.incarnation)
             return
         if await self.probe.has_terminated(runner):
-            termination = Termination(runner.incarnation, watch.has_begun)
+            termination = Termination(runner.incarnation, progress.has_begun)
             self._record_termination(
                 CaseUpdate(identity, (termination,)), 'seen here'
             )
         else:
             self._pending.record_break(
-                runner.incarnation, identity, begun=watch.has_begun
+                runner.incarnation, identity, begun=progress.has_begun
             )
 
     def _record_termination(self, update: CaseUpdate, source: str) -> None:
--- a/src/cranecart/quarantine/_rows.py
+++ b/src/cranecart/quarantine/_rows.py
@@ -96,13 +96,13 @@
         """Tell whether there is something to write and no write in progress."""
         return not self._is_writing and any(self._pending())
 
-    def apply(self, items: Mapping[str, Row | None], is_whole: bool) -> None:
+    def apply(self, items: Mapping[str, Row | None], is_complete: bool) -> None:
         """Apply changed rows, or all rows; a deleted row releases a request."""
         held = held_from_rows(items)
         deleted = [
             identity for identity, update in held.items() if update is None
         ]
-        if is_whole:
+        if is_complete:
             keys = {key.removeprefix(_PREFIX) for key in items}
             deleted.extend(self._read - keys)
         for identity in deleted:
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -387,15 +387,15 @@
 
     def test_an_operator_releases_a_request(self) -> None:
         """The row is not written again, and the case starts from nothing."""
-        for is_whole in (False, True):
-            with self.subTest(is_whole=is_whole):
+        for is_complete in (False, True):
+            with self.subTest(is_complete=is_complete):
                 table, cases = FakePlatform(), CaseRegistry()
                 rows = HeldRows('n0', table, cases)
                 cases.merge(_begun_at(0, 1, 2), is_own=True)
                 curio.run(rows.write)
                 rows.apply(table.rows, False)
-                deleted = {} if is_whole else dict.fromkeys(table.rows)
-                rows.apply(deleted, is_whole)
+                deleted = {} if is_complete else dict.fromkeys(table.rows)
+                rows.apply(deleted, is_complete)
                 table.rows.clear()
                 cases.merge(_begun_at(0, 1, 2), is_own=False)
                 curio.run(rows.write)
