--- a/src/cranecart/limits/_shares.py
+++ b/src/cranecart/limits/_shares.py
@@ -184,8 +184,10 @@
     def _target_share(self, organisation: str) -> float:
         own = self._published_demand().get(organisation, 0)
         remote = self._remote_demand.values()
-        total = own + sum(one.demand.get(organisation, 0) for one in remote)
-        nodes = 1 + sum(one.nodes for one in remote)
+        total = own + sum(
+            source.demand.get(organisation, 0) for source in remote
+        )
+        nodes = 1 + sum(source.nodes for source in remote)
         free = self._limits.get(organisation, 0) - total
         unclaimed = max(free, nodes * _IDLE_WEIGHT)
         return (own + unclaimed / nodes) / (total + unclaimed)
--- a/src/cranecart/quarantine/_guard.py
+++ b/src/cranecart/quarantine/_guard.py
@@ -264,7 +264,7 @@
             born=incarnation and incarnation.born,
             source=source,
             standing=self.cases.verdict(identity).value,
-            ends=[one.id for one in case.ends],
+            ends=[ended.id for ended in case.ends],
             begun=sum(case.ends.values()),
         )
 
--- a/src/cranecart/quarantine/_identity.py
+++ b/src/cranecart/quarantine/_identity.py
@@ -24,7 +24,7 @@
     """
     digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
     parts = (organisation, host.lower(), method, target)
-    for part in (*(one.encode() for one in parts), body):
+    for part in (*(text.encode() for text in parts), body):
         digest.update(len(part).to_bytes(_LENGTH_BYTES))
         digest.update(part)
     return digest.hexdigest()
--- a/src/cranecart/routing/_router.py
+++ b/src/cranecart/routing/_router.py
@@ -108,8 +108,8 @@
         )
         expected_seconds = min(
             (
-                self.throttle.seconds_until_accepted(one.incarnation)
-                for one in targets
+                self.throttle.seconds_until_accepted(target.incarnation)
+                for target in targets
             ),
             default=_NO_REPLICA_SECONDS,
         )
@@ -128,9 +128,9 @@
         """
         is_open = self.throttle.is_unrestricted
         return any(
-            one.id not in tried
-            and (is_open or self.throttle.accepts(one.incarnation))
-            for one in _targets(self._fleet, config, service, model)
+            target.id not in tried
+            and (is_open or self.throttle.accepts(target.incarnation))
+            for target in _targets(self._fleet, config, service, model)
         )
 
     @contextlib.contextmanager
@@ -231,7 +231,9 @@
             request.was_refused,
             request.is_resumed,
         )
-        states = [self._replica_state(one, request) for one in heads.values()]
+        states = [
+            self._replica_state(target, request) for target in heads.values()
+        ]
         choice = decide(dispatch_request, states)
         if isinstance(choice, Refuse):
             raise OverloadedError(
@@ -265,9 +267,9 @@
         """Leave out ejected and stalled replicas, unless no other is left."""
         healthy = self._ejection.without_ejected(drawn)
         active = [
-            one
-            for one in healthy
-            if not self.stalls.is_stalled(one.incarnation, request.model)
+            target
+            for target in healthy
+            if not self.stalls.is_stalled(target.incarnation, request.model)
         ]
         return active or healthy
 
@@ -335,8 +337,8 @@
             throttled=len(eligible) - len(instances),
         )
 
-    def _load_then_random(self, one: ListedInstance) -> tuple[int, float]:
-        return self.load(one.id), self._random.random()
+    def _load_then_random(self, target: ListedInstance) -> tuple[int, float]:
+        return self.load(target.id), self._random.random()
 
 
 def _sample(
@@ -347,9 +349,9 @@
     """Sample replicas to decide between, local and remote ones."""
     local: list[ServingHead] = []
     remote: list[ServingHead] = []
-    for one in heads:
-        is_local = one.head.failure_domain == failure_domain
-        (local if is_local else remote).append(one)
+    for target in heads:
+        is_local = target.head.failure_domain == failure_domain
+        (local if is_local else remote).append(target)
     return [
         head
         for side in (local, remote)
@@ -387,6 +389,8 @@
     targets: Sequence[TargetT], request: RoutingRequest
 ) -> list[TargetT]:
     """Leave out tried targets and, if others remain, avoided ones."""
-    untried = [one for one in targets if one.id not in request.tried]
-    preferred = [one for one in untried if one.id not in request.avoided]
+    untried = [target for target in targets if target.id not in request.tried]
+    preferred = [
+        target for target in untried if target.id not in request.avoided
+    ]
     return preferred or untried
--- a/src/cranecart/throttling/_limits.py
+++ b/src/cranecart/throttling/_limits.py
@@ -94,7 +94,9 @@
 
     def active_limits(self) -> list[LimitUpdate]:
         """Return the limits that are in force."""
-        return [one.update for one in self._known.values() if one.is_in_force]
+        return [
+            known.update for known in self._known.values() if known.is_in_force
+        ]
 
     def record_response(
         self,
