--- a/src/cranecart/grouping/_allocation.py
+++ b/src/cranecart/grouping/_allocation.py
@@ -78,7 +78,7 @@
     """
     return max(
         _allocations(pool, objective, replica_counts),
-        key=lambda one: (one.value, -len(one.preempted)),
+        key=lambda allocation: (allocation.value, -len(allocation.preempted)),
     )
 
 
@@ -124,7 +124,7 @@
 
 def _forms_other_model(counts: ReplicaCounts, model: str) -> bool:
     """Return whether a replica of another model is formed."""
-    return any(count for one, count in counts if one.name != model)
+    return any(count for other, count in counts if other.name != model)
 
 
 def _possible_preemptions(
@@ -161,7 +161,7 @@
 
 
 def _dual_model_members(replica: PreemptibleReplica) -> int:
-    return sum(len(set(models_of(one))) > 1 for one in replica.members)
+    return sum(len(set(models_of(member))) > 1 for member in replica.members)
 
 
 def _possible_counts(
@@ -185,6 +185,6 @@
     formed: Sequence[ProposedReplica],
 ) -> float:
     replicas = defaultdict(float, replica_counts)
-    for one in formed:
-        replicas[one.model] += discount(one.ready_seconds)
+    for proposed in formed:
+        replicas[proposed.model] += discount(proposed.ready_seconds)
     return objective.value(replicas)
--- a/src/cranecart/grouping/_failure_detector.py
+++ b/src/cranecart/grouping/_failure_detector.py
@@ -75,7 +75,11 @@
         for record in records:
             if record.key in affected:
                 self._suspected.setdefault(record.name, record)
-        due = [one for one in self._suspected.values() if self._is_due(one)]
+        due = [
+            record
+            for record in self._suspected.values()
+            if self._is_due(record)
+        ]
         self._suspected.clear()
         for suspected in due:
             self._checked_at[suspected.name] = self._clock()
@@ -108,13 +112,15 @@
         """
         lost = self.lost_instances().union(record.members)
         others = [
-            one for one in self._fleet.instances.values() if one.id not in lost
+            instance
+            for instance in self._fleet.instances.values()
+            if instance.id not in lost
         ]
         others.sort(
-            key=lambda one: (
-                one.fabric_domain == record.fabric_domain,
-                one.failure_domain != record.failure_domain,
-                one.id,
+            key=lambda instance: (
+                instance.fabric_domain == record.fabric_domain,
+                instance.failure_domain != record.failure_domain,
+                instance.id,
             ),
         )
         return others[:_REFERENCE_COUNT]
--- a/src/cranecart/grouping/_inventory.py
+++ b/src/cranecart/grouping/_inventory.py
@@ -35,7 +35,7 @@
     def plan_input(self, profile: ServiceProfile) -> PlanInput:
         """Return the input for planning a service."""
         fixed = self._fixed_replicas()
-        serving = [one for one in fixed if one.service == profile.name]
+        serving = [record for record in fixed if record.service == profile.name]
         replica_counts: dict[str, float] = defaultdict(float)
         for record in serving:
             replica_counts[record.model] += self._discounted(profile, record)
@@ -124,7 +124,7 @@
         """
         serving = tuple(self._serving())
         has_own_replicas = any(
-            one.failure_domain == self._failure_domain for one in serving
+            record.failure_domain == self._failure_domain for record in serving
         )
         return serving if has_own_replicas or self._has_traffic() else ()
 
@@ -162,7 +162,7 @@
         themselves, the large model got 9 replicas and the small one 6, where 8
         and 8 were best.
         """
-        used = {name for one in fixed for name in one.members}
+        used = {name for record in fixed for name in record.members}
         used.update(self._failure_detector.lost_instances())
         used.update(self._orphans.members())
         return (
--- a/src/cranecart/grouping/_liveness.py
+++ b/src/cranecart/grouping/_liveness.py
@@ -91,22 +91,26 @@
             all_answers = await self._probe_all(
                 (*members, *reference_instances)
             )
-            answers = {one: all_answers[one] for one in members}
+            answers = {instance: all_answers[instance] for instance in members}
             is_answered = _any_answered(all_answers)
             took = self._clock() - started
         outcome = LivenessResult(
             frozenset(
-                one.id for one, answer in answers.items() if answer is None
+                instance.id
+                for instance, answer in answers.items()
+                if answer is None
             ),
             frozenset(
-                one.id for one, answer in answers.items() if answer is False
+                instance.id
+                for instance, answer in answers.items()
+                if answer is False
             ),
             is_answered
             and took < _CONNECT_TIMEOUT_SECONDS + _MAX_SCHEDULING_DELAY_SECONDS,
         )
         decision(
             'members_checked',
-            instances=[one.id for one in members],
+            instances=[instance.id for instance in members],
             silent=sorted(outcome.unresponsive),
             closed=sorted(outcome.refused),
             sure=outcome.is_conclusive,
--- a/src/cranecart/grouping/_member_selection.py
+++ b/src/cranecart/grouping/_member_selection.py
@@ -84,17 +84,19 @@
         """Give each replica the instances that are ready for it first."""
         taken: set[str] = set()
         formed = []
-        for model, count in sorted(counts, key=lambda one: -one[0].size):
+        for model, count in sorted(
+            counts, key=lambda model_count: -model_count[0].size
+        ):
             if not count:
                 continue
             remaining = [
-                one
-                for one in self._ranked[model.name]
-                if one.instance.id not in taken
+                candidate
+                for candidate in self._ranked[model.name]
+                if candidate.instance.id not in taken
             ]
             for first in range(0, count * model.size, model.size):
                 members = remaining[first : first + model.size]
-                taken.update(one.instance.id for one in members)
+                taken.update(member.instance.id for member in members)
                 formed.append(_propose(members, model))
         return tuple(formed)
 
@@ -106,21 +108,21 @@
 ) -> Sequence[_RankedCandidate]:
     ordered = sorted(
         candidates,
-        key=lambda one: (
-            _seconds_until_ready(one, model, load_time_factor),
+        key=lambda candidate: (
+            _seconds_until_ready(candidate, model, load_time_factor),
             # Among instances that must load, prefer those that hold no model.
-            len(models_of(one.instance)),
-            one.instance.id,
+            len(models_of(candidate.instance)),
+            candidate.instance.id,
         ),
     )
     return [
         _RankedCandidate(
-            _seconds_until_ready(one, model, load_time_factor),
-            one.instance,
-            model.name not in models_of(one.instance),
-            _gives_up_model(one.instance, model.name),
+            _seconds_until_ready(candidate, model, load_time_factor),
+            candidate.instance,
+            model.name not in models_of(candidate.instance),
+            _gives_up_model(candidate.instance, model.name),
         )
-        for one in ordered
+        for candidate in ordered
     ]
 
 
@@ -129,10 +131,10 @@
 ) -> ProposedReplica:
     return ProposedReplica(
         model.name,
-        tuple(one.instance for one in members),
-        sum(one.is_cold for one in members),
-        _OPEN_SECONDS + max(one.seconds for one in members),
-        sum(one.is_switched for one in members),
+        tuple(member.instance for member in members),
+        sum(member.is_cold for member in members),
+        _OPEN_SECONDS + max(member.seconds for member in members),
+        sum(member.is_switched for member in members),
     )
 
 
@@ -159,8 +161,8 @@
     formed: Sequence[ProposedReplica], load_time_factor: float
 ) -> float:
     """Return what the formation costs later plans, in busy instances."""
-    cold_members = sum(one.cold_members for one in formed)
-    switched_members = sum(one.switched_members for one in formed)
+    cold_members = sum(replica.cold_members for replica in formed)
+    switched_members = sum(replica.switched_members for replica in formed)
     return (
         _LOAD_COST * load_time_factor * cold_members
         + _SWITCH_COST * switched_members
--- a/src/cranecart/grouping/_objective.py
+++ b/src/cranecart/grouping/_objective.py
@@ -46,8 +46,8 @@
         Counts may be fractional for replicas that will serve later.
         """
         served = sum(
-            self._weight(one) * self._served(one, replicas)
-            for one in self.models
+            self._weight(model) * self._served(model, replicas)
+            for model in self.models
         )
         return served / self.instances_needed
 
--- a/src/cranecart/grouping/_orphans.py
+++ b/src/cranecart/grouping/_orphans.py
@@ -64,7 +64,8 @@
         found = self._unrecorded_replicas()
         now = self._clock()
         self._first_seen = {
-            one: self._first_seen.get(one, now) for one in found
+            replica_epoch: self._first_seen.get(replica_epoch, now)
+            for replica_epoch in found
         }
         return list(self._records(found, config, now))
 
@@ -95,7 +96,7 @@
                 groups[replica_epoch].append((membership.rank, instance))
         sorted_groups = {
             replica_epoch: tuple(
-                one for _rank, one in sorted(ranked, key=_rank_of)
+                instance for _rank, instance in sorted(ranked, key=_rank_of)
             )
             for replica_epoch, ranked in groups.items()
         }
@@ -123,7 +124,7 @@
     config: RouteConfig,
 ) -> bool:
     """Return whether all members of a declared model are present."""
-    ranks = [one.membership.rank for one in members if one.membership]
+    ranks = [member.membership.rank for member in members if member.membership]
     profile = config.services.get(members[0].service)
     engine = None if profile is None else profile.engine
     size = _size(engine, members[0])
--- a/src/cranecart/grouping/_plan.py
+++ b/src/cranecart/grouping/_plan.py
@@ -52,9 +52,9 @@
         by_fabric[fabric] = _unused_instances(free, allocation.formed)
         startable = _startable(allocation, free, scope_here)
         preempted = preempted or startable.preempted
-        for one in startable.formed:
-            replicas.append(_new_replica(plan_input, fabric, one))
-            replica_counts[one.model] += discount(one.ready_seconds)
+        for proposed in startable.formed:
+            replicas.append(_new_replica(plan_input, fabric, proposed))
+            replica_counts[proposed.model] += discount(proposed.ready_seconds)
     return _complete_plan(
         plan_input, by_fabric, replica_counts, replicas, preempted
     )
@@ -73,19 +73,19 @@
     """
     if scope is not PreemptionScope.DEFERRED:
         return allocation
-    names = {one.id for one in free}
+    names = {instance.id for instance in free}
     formed = tuple(
-        one
-        for one in allocation.formed
-        if names.issuperset(member.id for member in one.instances)
+        proposed
+        for proposed in allocation.formed
+        if names.issuperset(member.id for member in proposed.instances)
     )
     return attrs.evolve(allocation, formed=formed, preempted=())
 
 
 def _by_fabric(plan_input: PlanInput) -> dict[str, list[ListedInstance]]:
     """Group the free instances by fabric domain, including empty groups."""
-    used = (one.instance for one in plan_input.members)
-    names = {one.fabric_domain for one in (*plan_input.free, *used)}
+    used = (member.instance for member in plan_input.members)
+    names = {instance.fabric_domain for instance in (*plan_input.free, *used)}
     by_fabric: dict[str, list[ListedInstance]] = {
         name: [] for name in sorted(names)
     }
@@ -103,8 +103,8 @@
 ) -> Allocation:
     pool = FabricPool(
         tuple(
-            Candidate(one, plan_input.release_delays.get(one.id, 0))
-            for one in free
+            Candidate(instance, plan_input.release_delays.get(instance.id, 0))
+            for instance in free
         ),
         preemptible_replicas(plan_input, fabric)
         if scope.allows(bool(free))
@@ -119,8 +119,8 @@
     free: Sequence[ListedInstance],
     formed: Sequence[ProposedReplica],
 ) -> list[ListedInstance]:
-    taken = {member.id for one in formed for member in one.instances}
-    return [one for one in free if one.id not in taken]
+    taken = {member.id for proposed in formed for member in proposed.instances}
+    return [instance for instance in free if instance.id not in taken]
 
 
 def _new_replica(
@@ -146,7 +146,7 @@
     """Add which models spares and members should stage or load."""
     fabric_replica_counts = Counter(plan_input.fabric_replica_counts)
     fabric_replica_counts.update(
-        (one.fabric_domain, one.model) for one in replicas
+        (replica.fabric_domain, replica.model) for replica in replicas
     )
     roles = [
         role
@@ -158,7 +158,7 @@
     return Plan(
         tuple(replicas),
         _order_stagings(roles, plan_input),
-        tuple(one for one in roles if isinstance(one, Warming)),
+        tuple(role for role in roles if isinstance(role, Warming)),
         preempted,
     )
 
@@ -168,7 +168,7 @@
     plan_input: PlanInput,
 ) -> tuple[Staging, ...]:
     """Put spares without any model first and members in use last."""
-    stagings = [one for one in roles if isinstance(one, Staging)]
-    stagings.sort(key=lambda one: one.use is StagingUse.SECOND_MODEL)
-    members = ((one.instance, one.model) for one in plan_input.members)
+    stagings = [role for role in roles if isinstance(role, Staging)]
+    stagings.sort(key=lambda staging: staging.use is StagingUse.SECOND_MODEL)
+    members = ((member.instance, member.model) for member in plan_input.members)
     return (*stagings, *stage_second_models(plan_input, members))
--- a/src/cranecart/grouping/_plan_executor.py
+++ b/src/cranecart/grouping/_plan_executor.py
@@ -118,8 +118,10 @@
             for record in self._record_store.records()
             if record.name in wanted.preempted
         ]
-        released = {name for one in closing for name in one.members}
-        for new in sorted(wanted.replicas, key=lambda one: one.cold_members):
+        released = {name for record in closing for name in record.members}
+        for new in sorted(
+            wanted.replicas, key=lambda replica: replica.cold_members
+        ):
             members = {member.id for member in new.members}
             preempted = closing if members & released else []
             if self._may_form(engine, new):
@@ -140,15 +142,17 @@
             replica=record.name,
             model=new.model,
             ready_seconds=round(new.ready_seconds, 3),
-            makes_room=[one.name for one in closing],
+            makes_room=[record.name for record in closing],
             present=_rounded(plan_input.replica_counts),
             demand=_rounded(plan_input.objective.demand),
         )
         await self._record_store.write([*closing, record])
         # Announced after the write: if it failed, the replica would be closed
         # without one that replaces it.
-        for one in closing:
-            self._environment.announce_stopped(one, one.reason, True)
+        for preempted in closing:
+            self._environment.announce_stopped(
+                preempted, preempted.reason, True
+            )
 
 
 def _rounded(demand: Mapping[str, float]) -> dict[str, float]:
--- a/src/cranecart/grouping/_plan_types.py
+++ b/src/cranecart/grouping/_plan_types.py
@@ -84,13 +84,19 @@
         return attrs.evolve(
             self,
             replicas=tuple(
-                one for one in self.replicas if all(map(is_wanted, one.members))
+                replica
+                for replica in self.replicas
+                if all(map(is_wanted, replica.members))
             ),
             stagings=tuple(
-                one for one in self.stagings if is_wanted(one.instance)
+                staging
+                for staging in self.stagings
+                if is_wanted(staging.instance)
             ),
             warmings=tuple(
-                one for one in self.warmings if is_wanted(one.instance)
+                warming
+                for warming in self.warmings
+                if is_wanted(warming.instance)
             ),
         )
 
--- a/src/cranecart/grouping/_preemption.py
+++ b/src/cranecart/grouping/_preemption.py
@@ -91,7 +91,9 @@
 
     def _track(self, records: Iterable[ReplicaRecord], now: float) -> None:
         preempted = frozenset(
-            one.name for one in records if one.reason == PREEMPTION_REASON
+            record.name
+            for record in records
+            if record.reason == PREEMPTION_REASON
         )
         if preempted - self._known_preempted:
             self._preempted_at = now
@@ -109,7 +111,7 @@
             by_replica[member.replica].append(member)
     return tuple(
         PreemptibleReplica(
-            name, members[0].model, tuple(one.instance for one in members)
+            name, members[0].model, tuple(member.instance for member in members)
         )
         for name, members in by_replica.items()
         if len(members) == sizes.get(members[0].model)
--- a/src/cranecart/grouping/_record_store.py
+++ b/src/cranecart/grouping/_record_store.py
@@ -61,7 +61,7 @@
             if record.key not in rows and not self._predates_restore(record):
                 self._fleet.apply_records({record.key: None}, False)
         self._fleet.apply_records(
-            {key: one for key, one in read.items() if one is not None},
+            {key: record for key, record in read.items() if record is not None},
             False,
         )
         await self._rewrite_missing()
@@ -70,7 +70,7 @@
 
     async def write(self, records: Sequence[ReplicaRecord]) -> None:
         """Write records; raise ``PlatformError`` or ``LeaseLostError``."""
-        puts = tuple(Put(one.key, one.encoded()) for one in records)
+        puts = tuple(Put(record.key, record.encoded()) for record in records)
         try:
             version = await self._table.commit(
                 Transaction((self.lease.check(),), puts),
@@ -82,7 +82,10 @@
             await self.read()
             raise
         self._fleet.apply_records(
-            {one.key: attrs.evolve(one, version=version) for one in records},
+            {
+                record.key: attrs.evolve(record, version=version)
+                for record in records
+            },
             False,
         )
         self._epoch = max(self._epoch, version)
@@ -118,7 +121,11 @@
 
     async def _rewrite_missing(self) -> None:
         """Write the records that a copy lacks or holds in an earlier state."""
-        missing = [one for one in self.records() if self._predates_restore(one)]
+        missing = [
+            record
+            for record in self.records()
+            if self._predates_restore(record)
+        ]
         for start in range(0, len(missing), _MAX_ROWS_PER_TRANSACTION):
             await self.write(missing[start : start + _MAX_ROWS_PER_TRANSACTION])
         if missing:
--- a/src/cranecart/grouping/_record_tasks.py
+++ b/src/cranecart/grouping/_record_tasks.py
@@ -31,7 +31,7 @@
                 continue
             task = await curio.spawn(self._make_task(record).run, daemon=True)
             self._running[record.name] = _Running(record.state, task)
-        for name in self._running.keys() - {one.name for one in records}:
+        for name in self._running.keys() - {record.name for record in records}:
             self._running.pop(name)
 
     async def _has_task(self, record: ReplicaRecord) -> bool:
--- a/src/cranecart/grouping/_spares.py
+++ b/src/cranecart/grouping/_spares.py
@@ -44,10 +44,10 @@
     )
     idle = []
     loaded_spares = []
-    for instance in sorted(free, key=lambda one: one.id):
+    for instance in sorted(free, key=lambda instance: instance.id):
         pending = plan_input.pending_stagings.get(instance.id, '')
         models = (*models_of(instance), pending)
-        kept = next((one for one in models if wanted[one]), None)
+        kept = next((model for model in models if wanted[model]), None)
         if kept is None:
             idle.append(instance)
             continue
@@ -76,7 +76,7 @@
         reverse=True,
     )
     for instance, model in loaded:
-        others = [one.name for one in scarcest_first if one.name != model]
+        others = [other.name for other in scarcest_first if other.name != model]
         if instance.id in plan_input.pending_stagings:
             continue
         if others and not set(others) & set(instance.staged):
--- a/src/cranecart/grouping/_stabilization.py
+++ b/src/cranecart/grouping/_stabilization.py
@@ -60,10 +60,10 @@
         """
         now = self._clock()
         return all(
-            now - self._listed_at.get(one.id, now) > _HEARTBEAT_QUIET_SECONDS
-            or self._seconds_unchanged(one.fabric_domain)
+            now - self._listed_at.get(member.id, now) > _HEARTBEAT_QUIET_SECONDS
+            or self._seconds_unchanged(member.fabric_domain)
             > _STARTUP_QUIET_SECONDS
-            for one in members
+            for member in members
         )
 
     def is_stable(self) -> bool:
--- a/src/cranecart/grouping/_teardown.py
+++ b/src/cranecart/grouping/_teardown.py
@@ -157,7 +157,7 @@
             None, map(self._fleet.find_instance, self.record.members[1:])
         )
         lost, reachable = _partition(
-            known, lambda one: self._context.is_lost(one.id)
+            known, lambda member: self._context.is_lost(member.id)
         )
         now = self._clock()
         if (
@@ -243,6 +243,6 @@
     """Split instances into those that match a predicate and the others."""
     matching: list[ListedInstance] = []
     others: list[ListedInstance] = []
-    for one in instances:
-        (matching if is_match(one) else others).append(one)
+    for instance in instances:
+        (matching if is_match(instance) else others).append(instance)
     return matching, others
--- a/src/cranecart/grouping/_transitions.py
+++ b/src/cranecart/grouping/_transitions.py
@@ -86,7 +86,9 @@
         RecordState.CLOSING if phase is MemberPhase.OPEN else RecordState.ENDING
     )
     members = (fleet.find_instance(name) for name in record.members)
-    leaving = [one.id for one in members if one is not None and one.leaving]
+    leaving = [
+        member.id for member in members if member is not None and member.leaving
+    ]
     if leaving:
         return Transition(graceful_state, f'{", ".join(leaving)} is leaving')
     profile = config.services.get(record.service)
--- a/tests/lib/placement_simulation.py
+++ b/tests/lib/placement_simulation.py
@@ -124,27 +124,29 @@
     def open_replicas(self) -> Counter[str]:
         """Return how many replicas of each model serve now."""
         return Counter(
-            one.model
-            for one in self.replicas.values()
-            if one.opens_at <= self.now
+            replica.model
+            for replica in self.replicas.values()
+            if replica.opens_at <= self.now
         )
 
     def crash(self, count: int, downtime_seconds: float) -> None:
         """Fail instances together; replacements appear after a downtime."""
-        alive = sorted(self._instances(), key=lambda one: one.id)
-        dead_ids = {one.id for one in self._source.sample(alive, count)}
-        for one in alive:
-            if one.id in dead_ids:
+        alive = sorted(self._instances(), key=lambda instance: instance.id)
+        dead_ids = {
+            instance.id for instance in self._source.sample(alive, count)
+        }
+        for instance in alive:
+            if instance.id in dead_ids:
                 # Models staged on the host survive.
                 back = attrs.evolve(
-                    self._new(one.fabric_domain),
-                    staged=one.staged,
+                    self._new(instance.fabric_domain),
+                    staged=instance.staged,
                 )
                 self._pending_returns.append(
                     (self.now + downtime_seconds, back)
                 )
         for name, replica in list(self.replicas.items()):
-            if any(one.id in dead_ids for one in replica.members):
+            if any(member.id in dead_ids for member in replica.members):
                 self.replicas.pop(name)
                 self._end(replica, dead_ids)
         for released in self._released:
@@ -181,7 +183,8 @@
         for replica in self.replicas.values():
             other = next(name for name in names if name != replica.model)
             replica.members = tuple(
-                attrs.evolve(one, staged=(other,)) for one in replica.members
+                attrs.evolve(member, staged=(other,))
+                for member in replica.members
             )
 
     def _instances(self) -> Iterator[ListedInstance]:
@@ -194,7 +197,11 @@
         yield from self._released
 
     def _records(self) -> list[ReplicaRecord]:
-        return [one.record for one in self._released if one.record is not None]
+        return [
+            released.record
+            for released in self._released
+            if released.record is not None
+        ]
 
     def _end(self, replica: _Replica, dead_ids: set[str]) -> None:
         head_died = replica.members[0].id in dead_ids
@@ -226,8 +233,10 @@
             self._free[name] = attrs.evolve(host, staged=(model,))
         for group in self._groups():
             group.members = tuple(
-                attrs.evolve(one, staged=(model,)) if one.id == name else one
-                for one in group.members
+                attrs.evolve(member, staged=(model,))
+                if member.id == name
+                else member
+                for member in group.members
             )
 
     def _own_fabrics(self, number: int) -> frozenset[str]:
@@ -248,9 +257,10 @@
             for member in replica.members
         }
         free = tuple(
-            one
-            for one in self._instances()
-            if one.id not in taken and one.fabric_domain in own_fabrics
+            instance
+            for instance in self._instances()
+            if instance.id not in taken
+            and instance.fabric_domain in own_fabrics
         )
         replica_counts: dict[str, float] = defaultdict(float)
         fabric_replica_counts: Counter[tuple[str, str]] = Counter()
@@ -262,7 +272,7 @@
             fabric_replica_counts[fabric, replica.model] += 1
         return PlanInput(
             self._layout.profile,
-            tuple({one.id: one for one in free}.values()),
+            tuple({instance.id: instance for instance in free}.values()),
             replica_counts,
             fabric_replica_counts,
             self.demand,
@@ -290,7 +300,7 @@
                 closed.model,
                 'east',
                 closed.members[0].fabric_domain,
-                tuple(one.id for one in closed.members),
+                tuple(member.id for member in closed.members),
                 reason=PREEMPTION_REASON,
             )
             self._released.append(
@@ -307,7 +317,7 @@
             if new.cold_members > self._loads:
                 return
             self._loads -= new.cold_members
-        names = {one.id for one in new.members}
+        names = {member.id for member in new.members}
         for name in names:
             self._free.pop(name, None)
             self._stagings.pop(name, None)
@@ -315,13 +325,15 @@
             released.members = _without(released.members, names)
         self.replicas[f'r{next(self._numbers)}'] = _Replica(
             new.model,
-            tuple(_joined(one, new.model) for one in new.members),
+            tuple(_joined(member, new.model) for member in new.members),
             self.now + new.ready_seconds,
             new.cold_members,
         )
 
     def _start_stagings(self, stagings: Sequence[Staging]) -> None:
-        seconds = {one.name: one.load_seconds for one in self._layout.models}
+        seconds = {
+            model.name: model.load_seconds for model in self._layout.models
+        }
         for staging in stagings:
             name = staging.instance.id
             if self._loads >= 1 and self.now and name not in self._stagings:
@@ -341,4 +353,4 @@
     members: Sequence[ListedInstance],
     names: set[str],
 ) -> tuple[ListedInstance, ...]:
-    return tuple(one for one in members if one.id not in names)
+    return tuple(member for member in members if member.id not in names)
--- a/tests/unit/test_allocation.py
+++ b/tests/unit/test_allocation.py
@@ -104,7 +104,7 @@
         )
         found = best_allocation(pool, _objective(), {'large': 4, 'small': 10})
         self.assertEqual(found.preempted, ('r',))
-        self.assertEqual([one.model for one in found.formed], ['large'])
+        self.assertEqual([replica.model for replica in found.formed], ['large'])
 
     def test_no_step_is_reverted(self) -> None:
         """A replica that was just formed is not preempted again."""
@@ -112,19 +112,19 @@
             members = tuple(
                 _warm_instance(f'l{number}', 'large') for number in range(4)
             )
-            pool = FabricPool(tuple(Candidate(one) for one in members))
+            pool = FabricPool(tuple(Candidate(member) for member in members))
             replica_counts = {'large': large, 'small': small}
             formed = best_allocation(pool, _objective(), replica_counts).formed
             now = Counter(replica_counts)
-            now.update(one.model for one in formed)
+            now.update(replica.model for replica in formed)
             again = best_allocation(
                 FabricPool(
                     (),
                     tuple(
                         PreemptibleReplica(
-                            f'r{number}', one.model, one.instances
+                            f'r{number}', replica.model, replica.instances
                         )
-                        for number, one in enumerate(formed)
+                        for number, replica in enumerate(formed)
                     ),
                     drain_seconds=0.5,
                 ),
@@ -147,7 +147,7 @@
             _PROFILE, free, {}, {}, {}, load_time_factor=0.1, instance_count=48
         )
         full_plan = plan(plan_input)
-        counts = Counter(one.model for one in full_plan.replicas)
+        counts = Counter(replica.model for replica in full_plan.replicas)
         self.assertEqual(counts, {'large': 8, 'small': 8})
         parts = sum(
             len(_part(full_plan, fabrics).replicas)
@@ -221,8 +221,8 @@
             for member in set(group) & set(new.members):
                 group.remove(member)
         joined = [
-            _warm_instance(one.id, new.model, one.fabric_domain)
-            for one in new.members
+            _warm_instance(member.id, new.model, member.fabric_domain)
+            for member in new.members
         ]
         self.replicas[f'r{next(self._numbers)}'] = (new.model, joined)
 
@@ -243,7 +243,9 @@
 
 
 def _part(full_plan: Plan, fabrics: set[str]) -> Plan:
-    return full_plan.restricted_to(lambda one: one.fabric_domain in fabrics)
+    return full_plan.restricted_to(
+        lambda instance: instance.fabric_domain in fabrics
+    )
 
 
 def _random_pool(source: random.Random) -> FabricPool:
--- a/tests/unit/test_grouping.py
+++ b/tests/unit/test_grouping.py
@@ -48,7 +48,7 @@
         self.placer = self.make_placer('one')
         names = [f'i{number}' for number in range(9)]
         self.fleet.apply_instances(
-            {one: listed_instance(one, self.address) for one in names},
+            {name: listed_instance(name, self.address) for name in names},
             True,
         )
 
@@ -104,18 +104,18 @@
         curio.run(self._form_and_stage)
         sizes = sorted(len(head.members) for head in self.testbed.heads())
         self.assertEqual(sizes, [3, 4])
-        used = {name for one in self.testbed.heads() for name in one.members}
+        used = {name for head in self.testbed.heads() for name in head.members}
         spares = [
-            one
-            for one in self.testbed.fleet.instances.values()
-            if one.id not in used
+            instance
+            for instance in self.testbed.fleet.instances.values()
+            if instance.id not in used
         ]
         first = [
             name
             for order, name in self.testbed.engines.orders
             if order == 'stage'
         ][: len(spares)]
-        self.assertEqual(sorted(first), sorted(one.id for one in spares))
+        self.assertEqual(sorted(first), sorted(spare.id for spare in spares))
         self.assertEqual(self.testbed.engines.violations, [])
 
     def test_spares_load_their_model(self) -> None:
@@ -156,7 +156,9 @@
         """A member that follows no orders keeps its replica from serving."""
         self.testbed.engines.unreachable.add('i2')
         curio.run(self._form_for_a_while)
-        members = {name for one in self.testbed.heads() for name in one.members}
+        members = {
+            name for head in self.testbed.heads() for name in head.members
+        }
         self.assertNotIn('i2', members)
         self.assertEqual(self.testbed.engines.violations, [])
 
@@ -181,7 +183,9 @@
     def test_a_successor_keeps_the_replicas(self) -> None:
         """The next placer takes over the rows and joins no member again."""
         curio.run(self._replace_placer)
-        members = {name for one in self.testbed.heads() for name in one.members}
+        members = {
+            name for head in self.testbed.heads() for name in head.members
+        }
         joins = [
             name
             for order, name in self.testbed.engines.orders
@@ -220,12 +224,12 @@
         await running.cancel()
 
     def _spares_models(self) -> list[str]:
-        used = {name for one in self.testbed.heads() for name in one.members}
+        used = {name for head in self.testbed.heads() for name in head.members}
         return sorted(
             itertools.chain.from_iterable(
-                one.staged
-                for one in self.testbed.fleet.instances.values()
-                if one.id not in used
+                instance.staged
+                for instance in self.testbed.fleet.instances.values()
+                if instance.id not in used
             ),
         )
 
@@ -233,10 +237,12 @@
         testbed = self.testbed
         running = await curio.spawn(testbed.placer.run)
         await until(lambda: len(testbed.heads()) == 2)
-        used = {name for one in testbed.heads() for name in one.members}
+        used = {name for head in testbed.heads() for name in head.members}
         spares = testbed.fleet.instances.keys() - used
         await until(
-            lambda: all(testbed.fleet.instances[one].loaded for one in spares),
+            lambda: all(
+                testbed.fleet.instances[spare].loaded for spare in spares
+            ),
         )
         await running.cancel()
 
@@ -267,7 +273,7 @@
         running = await curio.spawn(testbed.placer.run)
         await until(lambda: len(testbed.heads()) == 2)
         big = testbed.fleet.heads(SERVICE, BIG.name)[0]
-        used = {name for one in testbed.heads() for name in one.members}
+        used = {name for head in testbed.heads() for name in head.members}
         # The two survivors are too few for any replica.
         for name in (testbed.fleet.instances.keys() - used) | {big.members[1]}:
             testbed.lose(name)
@@ -379,8 +385,8 @@
     async def _fail_preemption_write(self) -> None:
         testbed = PlacerTestbed()
         staged = {
-            name: attrs.evolve(one, staged=(BIG.name, SMALL.name))
-            for name, one in testbed.fleet.instances.items()
+            name: attrs.evolve(instance, staged=(BIG.name, SMALL.name))
+            for name, instance in testbed.fleet.instances.items()
         }
         testbed.fleet.apply_instances(staged, True)
         running = await curio.spawn(testbed.placer.run)
--- a/tests/unit/test_grouping_faults.py
+++ b/tests/unit/test_grouping_faults.py
@@ -136,7 +136,9 @@
             for key, row in self.testbed.table.rows.items()
             if key.startswith(prefix)
         }
-        return {key: one for key, one in read.items() if one is not None}
+        return {
+            key: record for key, record in read.items() if record is not None
+        }
 
     async def _restart_with_empty_fleet(self) -> None:
         """Kill the placer; the next one knows only the list and the rows."""
--- a/tests/unit/test_initial_allocation.py
+++ b/tests/unit/test_initial_allocation.py
@@ -48,7 +48,7 @@
         )
         for domain, fabric, number in places
     )
-    fleet.apply_instances({one.id: one for one in entries}, True)
+    fleet.apply_instances({instance.id: instance for instance in entries}, True)
     return fleet
 
 
@@ -89,7 +89,7 @@
 
     def test_a_late_placer_plans_the_same(self) -> None:
         """Its part does not depend on how much the first has formed."""
-        expected = {one: _own_part(_fleet(), one) for one in _DOMAINS}
+        expected = {domain: _own_part(_fleet(), domain) for domain in _DOMAINS}
         for first, late in itertools.permutations(_DOMAINS, 2):
             fleet = _fleet()
             for new in expected[first]:
--- a/tests/unit/test_large_replicas.py
+++ b/tests/unit/test_large_replicas.py
@@ -66,7 +66,7 @@
 
 def _survivors(count: int) -> tuple[ListedInstance, ...]:
     """Return the survivors of a large replica that lost members."""
-    return tuple(one.instance for one in _serving(_LARGE, 1)[:count])
+    return tuple(member.instance for member in _serving(_LARGE, 1)[:count])
 
 
 def _plan_input(
@@ -93,7 +93,9 @@
         """With 3 large replicas for a demand of 3, and 36 small ones."""
         plan_input = _plan_input((), _serving(_SMALL, 9), 3, 36)
         found = plan(plan_input, PreemptionScope.ANYWHERE)
-        self.assertEqual([one.model for one in found.replicas], ['large'])
+        self.assertEqual(
+            [replica.model for replica in found.replicas], ['large']
+        )
         self.assertEqual(len(found.preempted), 4)
 
     def test_no_large_replica_is_preempted_for_four(self) -> None:
@@ -122,7 +124,9 @@
         now += 1
         found = plan(plan_input, cooldown.scope([record]))
         self.assertEqual(len(found.preempted), 1)
-        self.assertEqual([one.model for one in found.replicas], ['large'])
+        self.assertEqual(
+            [replica.model for replica in found.replicas], ['large']
+        )
 
     def test_cooldown_does_not_grow_with_drain_time(self) -> None:
         """Six fabric domains that lose members together take turns."""
--- a/tests/unit/test_liveness.py
+++ b/tests/unit/test_liveness.py
@@ -90,7 +90,7 @@
     fleet = Fleet()
     names = (*_MEMBERS, 'x', 'y', 'z')
     fleet.apply_instances(
-        {one: listed_instance(one, _ADDRESS, 'f') for one in names},
+        {name: listed_instance(name, _ADDRESS, 'f') for name in names},
         True,
     )
     if 'elsewhere' in network.answers:
--- a/tests/unit/test_placement_plan.py
+++ b/tests/unit/test_placement_plan.py
@@ -109,7 +109,7 @@
         """Its instances are released rather than stranded."""
         state = _follow_orders(_apply(_empty_state(4, 1)))
         actions = plan(_lose(state, {'e01'}))
-        self.assertEqual([type(one) for one in actions], [RetireReplica])
+        self.assertEqual([type(action) for action in actions], [RetireReplica])
 
     def test_leaving_member_waits_for_work_to_end(self) -> None:
         """Requests in flight are never cut off by a planned leave."""
@@ -123,7 +123,7 @@
         self.assertEqual(plan(state), [])
         reports['e00'] = attrs.evolve(reports['e00'], running=0)
         actions = plan(attrs.evolve(state, reports=reports))
-        self.assertEqual([type(one) for one in actions], [ReplaceMembers])
+        self.assertEqual([type(action) for action in actions], [ReplaceMembers])
 
     def test_a_broken_replica_restarts_as_a_whole(self) -> None:
         """Its members are kept in a new generation."""
@@ -134,7 +134,7 @@
             state=MemberState.BROKEN,
         )
         actions = plan(attrs.evolve(state, reports=reports))
-        self.assertEqual([one.row.generation for one in actions], [2])
+        self.assertEqual([action.row.generation for action in actions], [2])
 
     def test_a_busy_instance_is_not_free(self) -> None:
         """An instance must have left its replica before it joins another."""
@@ -168,16 +168,18 @@
         """There is always a replica that serves."""
         state = _follow_orders(_apply(_empty_state(8, 1)))
         new = attrs.evolve(state, models=(make_spec(1, version='v2'),))
-        self.assertEqual([type(one) for one in plan(new)], [CreateReplica])
+        self.assertEqual(
+            [type(action) for action in plan(new)], [CreateReplica]
+        )
         new = _apply(new)
         self.assertEqual(plan(new), [])
         new = _follow_orders(new)
-        self.assertEqual([type(one) for one in plan(new)], [DrainReplica])
+        self.assertEqual([type(action) for action in plan(new)], [DrainReplica])
 
     def test_without_room_one_drains_at_a_time(self) -> None:
         """Of two old replicas one continues to serve."""
         state = _follow_orders(_apply(_empty_state(8, 2)))
         new = attrs.evolve(state, models=(make_spec(2, version='v2'),))
-        self.assertEqual([type(one) for one in plan(new)], [DrainReplica])
+        self.assertEqual([type(action) for action in plan(new)], [DrainReplica])
         draining = _follow_orders(_apply(new))
         self.assertEqual(plan(draining), [])
--- a/tests/unit/test_replica_plan.py
+++ b/tests/unit/test_replica_plan.py
@@ -54,12 +54,15 @@
             _free_instance(f'b{number}', BIG.name) for number in range(3)
         ]
         survivors = [
-            attrs.evolve(one, loaded=(BIG.name,), staged=(SMALL.name,))
-            for one in free_instances
+            attrs.evolve(instance, loaded=(BIG.name,), staged=(SMALL.name,))
+            for instance in free_instances
         ]
         found = _plan(*survivors, _free_instance('new'), big=3, small=3)
         self.assertEqual(
-            [(one.model, one.cold_members) for one in found.replicas],
+            [
+                (replica.model, replica.cold_members)
+                for replica in found.replicas
+            ],
             [(SMALL.name, 0)],
         )
 
@@ -74,7 +77,9 @@
             for number in range(4)
         ]
         found = _plan(*free_instances, big=5, small=5)
-        self.assertEqual([one.model for one in found.replicas], [BIG.name])
+        self.assertEqual(
+            [replica.model for replica in found.replicas], [BIG.name]
+        )
 
     def test_every_instance_gets_a_second_model(self) -> None:
         """Members in use as well; a loaded model is not staged again."""
@@ -99,7 +104,8 @@
             ),
         )
         stagings = [
-            (one.instance.id, one.model) for one in plan(plan_input).stagings
+            (staging.instance.id, staging.model)
+            for staging in plan(plan_input).stagings
         ]
         self.assertEqual(stagings, [('a', 'small'), ('m', 'big')])
 
@@ -144,11 +150,11 @@
             for number, (fabric, staged) in enumerate(kinds)
         ]
         found = _plan(*free_instances)
-        roles = [one.id for new in found.replicas for one in new.members]
+        roles = [member.id for new in found.replicas for member in new.members]
         roles.extend(staging.instance.id for staging in found.stagings)
         self.assertEqual(len(roles), len(set(roles)))
         for new in found.replicas:
-            fabrics = {one.fabric_domain for one in new.members}
+            fabrics = {member.fabric_domain for member in new.members}
             self.assertEqual(fabrics, {new.fabric_domain})
 
 
@@ -159,13 +165,13 @@
         """Three members and a spare become a replica of four."""
         found = _plan_preemption('big', 'r', spares=1, big=2, small=8)
         self.assertEqual(found.preempted, ('r',))
-        self.assertEqual([one.model for one in found.replicas], ['big'])
+        self.assertEqual([replica.model for replica in found.replicas], ['big'])
 
     def test_preempts_two_for_one(self) -> None:
         """Six members without a spare become a replica of four, two spares."""
         found = _plan_preemption('big', 'ab', spares=0, big=1, small=9)
         self.assertEqual(found.preempted, ('a', 'b'))
-        self.assertEqual([one.model for one in found.replicas], ['big'])
+        self.assertEqual([replica.model for replica in found.replicas], ['big'])
 
     def test_small_differences_are_ignored(self) -> None:
         """They result from chance."""
--- a/tests/unit/test_restored_records.py
+++ b/tests/unit/test_restored_records.py
@@ -184,8 +184,8 @@
         testbed.has_traffic = True
         testbed.table.restore(self.empty_table)
         listed_instances = {
-            name: one
-            for name, one in testbed.fleet.instances.items()
+            name: instance
+            for name, instance in testbed.fleet.instances.items()
             if name not in excluded
         }
         testbed.fleet = Fleet()
@@ -214,7 +214,7 @@
     def _orders(self) -> int:
         """Return how many orders to members were sent."""
         member_ids = {
-            name for one in self.testbed.heads() for name in one.members
+            name for head in self.testbed.heads() for name in head.members
         }
         return sum(
             1
