--- a/src/cranecart/fleet/__init__.py
+++ b/src/cranecart/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""What a node knows of instances and replicas, and which of them serve."""
+"""A node's view of instances and replicas, kept up to date from the store."""
 
 from cranecart.fleet._fleet import Fleet, ServingHead
 from cranecart.fleet._leaving import mark_leaving
--- a/src/cranecart/fleet/_fleet.py
+++ b/src/cranecart/fleet/_fleet.py
@@ -1,4 +1,4 @@
-"""The instances, the replicas recorded, and which of them serve."""
+"""One node's view of instances and replicas, and which replicas serve."""
 
 from collections.abc import Iterable, Mapping
 
@@ -11,12 +11,15 @@
 from cranecart.logs import decision
 from cranecart.ports import Incarnation, ListedInstance, MemberPhase
 
-_PRESENT = frozenset((MemberPhase.READY, MemberPhase.OPEN))
+_PRESENT_PHASES = frozenset((MemberPhase.READY, MemberPhase.OPEN))
 
 
 @attrs.frozen
 class ServingHead:
-    """A whole replica that takes requests, and the head they go to."""
+    """A complete replica that accepts requests, and its head.
+
+    The head is the member instance that receives the replica's requests.
+    """
 
     replica: str
     epoch: int
@@ -26,17 +29,17 @@
 
     @property
     def id(self) -> str:
-        """Return the id of the instance that takes the requests."""
+        """Return the id of the head instance."""
         return self.head.id
 
     @property
     def incarnation(self) -> Incarnation:
-        """Return the life of the instance that takes the requests."""
+        """Return the incarnation of the head instance."""
         return self.head.incarnation
 
     @property
     def replica_epoch(self) -> ReplicaEpoch:
-        """Return what tells this forming of the replica from others."""
+        """Return the replica's name and epoch."""
         return (self.replica, self.epoch)
 
 
@@ -45,57 +48,55 @@
 
 @attrs.define
 class ServingHeads:
-    """The replicas that serve, by service and model.
-
-    Only those are looked at anew whose record or members have changed.
-    """
+    """Index of the serving replicas by service and model."""
 
     _by_key: dict[str, tuple[ModelKey, ServingHead]] = attrs.field(
         factory=dict,
         init=False,
     )
-    _of_model: dict[ModelKey, dict[str, ServingHead]] = attrs.field(
+    _by_model: dict[ModelKey, dict[str, ServingHead]] = attrs.field(
         factory=dict,
         init=False,
     )
-    _told: dict[ModelKey, tuple[ServingHead, ...]] = attrs.field(
+    _cache: dict[ModelKey, tuple[ServingHead, ...]] = attrs.field(
         factory=dict,
         init=False,
     )
 
     def put(self, key: str, model: ModelKey, head: ServingHead) -> None:
-        """Take over that the replica of a record serves."""
+        """Add or replace the head of a replica that serves."""
         self.drop(key)
         self._by_key[key] = (model, head)
-        self._of_model.setdefault(model, {})[key] = head
-        self._told.pop(model, None)
+        self._by_model.setdefault(model, {})[key] = head
+        self._cache.pop(model, None)
 
     def drop(self, key: str) -> None:
-        """Take over that the replica of a record does not serve."""
+        """Remove a replica that does not serve."""
         model, _head = self._by_key.pop(key, (None, None))
         if model is not None:
-            self._of_model[model].pop(key)
-            self._told.pop(model, None)
+            self._by_model[model].pop(key)
+            self._cache.pop(model, None)
 
     def of_model(self, model: ModelKey) -> tuple[ServingHead, ...]:
-        """Return the replicas of a model that serve."""
-        found = self._told.get(model)
+        """Return the heads of a model's serving replicas."""
+        found = self._cache.get(model)
         if found is None:
-            found = tuple(self._of_model.get(model, {}).values())
-            self._told[model] = found
+            found = tuple(self._by_model.get(model, {}).values())
+            self._cache[model] = found
         return found
 
-    def every(self) -> list[ServingHead]:
-        """Return all replicas that serve."""
+    def all_heads(self) -> list[ServingHead]:
+        """Return the heads of all serving replicas."""
         return [head for _model, head in self._by_key.values()]
 
 
 @attrs.define
 class Fleet:
-    """One node's knowledge of instances and replicas.
+    """One node's view of instances and replicas.
 
-    An instance whose entry went is kept apart for a while: it may be dead,
-    or only cut off from the platform, and its replica may still work.
+    An instance whose entry has lapsed is kept separately for a while. It may
+    be dead or only partitioned from the platform, in which case its replica
+    still works.
     """
 
     instance_list: InstanceList = attrs.field(factory=InstanceList)
@@ -105,8 +106,8 @@
     _stopped: dict[ReplicaEpoch, str] = attrs.field(factory=dict, init=False)
     _closing: dict[ReplicaEpoch, str] = attrs.field(factory=dict, init=False)
     _heads: ServingHeads = attrs.field(factory=ServingHeads, init=False)
-    # Keys of records that have to be looked at before heads are told.
-    _changed: set[str] = attrs.field(factory=set, init=False)
+    # Records whose replica has to be re-evaluated before heads are returned.
+    _stale_keys: set[str] = attrs.field(factory=set, init=False)
 
     @property
     def instances(self) -> Mapping[str, ListedInstance]:
@@ -115,52 +116,53 @@
 
     @property
     def lapsed(self) -> Mapping[str, ListedInstance]:
-        """Return members whose entries went lately, by id."""
+        """Return members whose entries lapsed recently, by id."""
         return self.instance_list.lapsed
 
     @property
     def records(self) -> Mapping[str, ReplicaRecord]:
-        """Return the recorded replicas by the keys of their rows."""
+        """Return the recorded replicas by row key."""
         return self.replica_records.records
 
     def apply_instances(
         self,
         items: Mapping[str, ListedInstance | None],
         is_complete: bool,
-        kept_until: float = 0,
+        grace_until: float = 0,
     ) -> None:
-        """Take over changed entries of the platform's list.
+        """Apply changed entries of the platform's instance list.
 
-        Many that are missing at once are kept until ``kept_until``.
+        If many entries go missing at once, their instances are kept until
+        ``grace_until``.
         """
-        touched = set(items)
+        affected = set(items)
         if is_complete:
-            touched.update(self.instances)
-        self._begin_lives(
-            self.instance_list.take(items, is_complete, kept_until)
+            affected.update(self.instances)
+        self._stop_restarted(
+            self.instance_list.apply(items, is_complete, grace_until)
         )
-        self._changed |= self.replica_records.keys_with_members(touched)
+        self._stale_keys |= self.replica_records.keys_with_members(affected)
 
     def apply_restored_instances(
         self, items: Mapping[str, ListedInstance]
     ) -> None:
-        """Take over a list of a store that has come back from a copy."""
-        anew = self.instance_list.restore(items, since_boot())
-        self._begin_lives(anew)
-        self._changed |= self.replica_records.keys_with_members(items)
+        """Apply the instance list of a store restored from a backup."""
+        restarted = self.instance_list.apply_restored(items, since_boot())
+        self._stop_restarted(restarted)
+        self._stale_keys |= self.replica_records.keys_with_members(items)
 
     def process_timeouts(self) -> None:
-        """Believe entries that have stood, or been missed, for long."""
+        """Apply changes that were held back until their timeout passed."""
         now = since_boot()
-        self._changed |= self.replica_records.keys_with_members(
+        self._stale_keys |= self.replica_records.keys_with_members(
             (
                 *self.instance_list.expire_missing(now),
                 *self.instance_list.accept_unconfirmed(now),
             ),
         )
-        anew = self.instance_list.confirm_restarts()
-        self._begin_lives(anew)
-        self._changed |= self.replica_records.keys_with_members(anew)
+        restarted = self.instance_list.confirm_restarts()
+        self._stop_restarted(restarted)
+        self._stale_keys |= self.replica_records.keys_with_members(restarted)
 
     def apply_records(
         self,
@@ -168,69 +170,74 @@
         is_complete: bool,
         era: int = 0,
     ) -> None:
-        """Take over changed rows of replicas, by the keys of their rows."""
-        self._changed.update(self.replica_records.take(items, is_complete, era))
-        self._forget()
+        """Apply changed replica records, by row key."""
+        self._stale_keys.update(
+            self.replica_records.take(items, is_complete, era)
+        )
+        self._forget_unrecorded()
 
     def mark_stopped(self, replica_epoch: ReplicaEpoch, reason: str) -> bool:
-        """Take over that a replica stands still; return whether it is news.
+        """Mark a replica as stopped; return whether this is a change.
 
-        Nothing more is sent to it, and what it has goes on elsewhere.
+        No more requests are sent to it, and its requests in flight continue
+        on other replicas.
         """
         if replica_epoch in self._stopped:
             return False
         self._stopped[replica_epoch] = reason
-        self._tell('replica_stopped', replica_epoch, reason)
+        self._log_transition('replica_stopped', replica_epoch, reason)
         return True
 
     def mark_closing(self, replica_epoch: ReplicaEpoch, reason: str) -> bool:
-        """Take over that a replica finishes; return whether it is news.
+        """Mark a replica as closing; return whether this is a change.
 
-        Nothing more is sent to it, and what it has ends there.
+        No more requests are sent to it, and its requests in flight finish
+        there.
         """
         if replica_epoch in self._closing:
             return False
         self._closing[replica_epoch] = reason
-        self._tell('replica_closing', replica_epoch, reason)
+        self._log_transition('replica_closing', replica_epoch, reason)
         return True
 
     def is_stopped(self, replica_epoch: ReplicaEpoch) -> bool:
-        """Tell whether a replica is known to have stopped."""
+        """Return whether a replica is known to have stopped."""
         return replica_epoch in self._stopped
 
     def find_instance(self, name: str) -> ListedInstance | None:
-        """Return an instance, also one whose entry has gone lately."""
+        """Return an instance, including one whose entry lapsed recently."""
         return self.instance_list.find_instance(name)
 
     def failure_domain_of(self, replica_epoch: ReplicaEpoch) -> str:
-        """Return the failure domain whose placer a replica has, if known."""
+        """Return the failure domain that places a replica, if known."""
         record = self.replica_records.of(replica_epoch)
         return '' if record is None else record.failure_domain
 
     def is_open(self, record: ReplicaRecord) -> bool:
-        """Tell whether the list shows a replica's head open."""
+        """Return whether the instance list shows a replica's head as open."""
         head = self.find_instance(record.head)
         phase = head and head.phase_in(record.name, record.epoch)
         return phase is MemberPhase.OPEN
 
     def heads(self, service: str, model: str) -> tuple[ServingHead, ...]:
-        """Return the whole replicas of a model that take requests."""
-        self._look()
+        """Return the heads of a model's serving replicas."""
+        self._refresh_heads()
         return self._heads.of_model((service, model))
 
     def available(self, service: str) -> tuple[ListedInstance, ...]:
-        """Return the instances of a plain service that take requests."""
+        """Return the instances of a plain service that accept requests."""
         return self.instance_list.available(service)
 
     def all_heads(self) -> Iterable[ServingHead]:
-        """Return all whole replicas that take requests."""
-        self._look()
-        return self._heads.every()
+        """Return the heads of all serving replicas."""
+        self._refresh_heads()
+        return self._heads.all_heads()
 
-    def _begin_lives(self, names: Iterable[str]) -> None:
-        """Stop the replicas of lives that have ended.
+    def _stop_restarted(self, names: Iterable[str]) -> None:
+        """Stop the replicas that had a member which has restarted.
 
-        Streams leave them at once, and not only once they have been silent.
+        Their streams move to other replicas at once instead of after a period
+        of silence.
         """
         for name in names:
             for record in list(self.replica_records.records_with_member(name)):
@@ -238,11 +245,11 @@
                     map(self.instance_list.is_superseded, record.incarnations)
                 ):
                     replica_epoch = (record.name, record.epoch)
-                    self.mark_stopped(replica_epoch, f'{name} lives anew')
+                    self.mark_stopped(replica_epoch, f'{name} has restarted')
 
-    def _look(self) -> None:
-        """Bring up to date which replicas serve."""
-        for key in self._changed:
+    def _refresh_heads(self) -> None:
+        """Re-evaluate the replicas whose record or members have changed."""
+        for key in self._stale_keys:
             record = self.records.get(key)
             if record is None or not self._is_serving(record):
                 self._heads.drop(key)
@@ -255,7 +262,7 @@
                 record.members,
             )
             self._heads.put(key, (record.service, record.model), head)
-        self._changed.clear()
+        self._stale_keys.clear()
 
     def _is_serving(self, record: ReplicaRecord) -> bool:
         replica_epoch = (record.name, record.epoch)
@@ -269,14 +276,14 @@
             for name in record.members
         )
 
-    def _forget(self) -> None:
-        for told in (self._stopped, self._closing):
-            for replica_epoch in list(told):
+    def _forget_unrecorded(self) -> None:
+        for marked in (self._stopped, self._closing):
+            for replica_epoch in list(marked):
                 if not self.replica_records.is_recorded(replica_epoch):
-                    told.pop(replica_epoch)
+                    marked.pop(replica_epoch)
         self.instance_list.forget_lapsed(self.replica_records.keys_by_member)
 
-    def _tell(
+    def _log_transition(
         self, event: str, replica_epoch: ReplicaEpoch, reason: str
     ) -> None:
         decision(
@@ -284,7 +291,7 @@
         )
         record = self.replica_records.of(replica_epoch)
         if record is not None:
-            self._changed.add(record.key)
+            self._stale_keys.add(record.key)
 
 
 def _is_present(
@@ -293,5 +300,5 @@
     return (
         member is not None
         and not member.leaving
-        and member.phase_in(*replica_epoch) in _PRESENT
+        and member.phase_in(*replica_epoch) in _PRESENT_PHASES
     )
--- a/src/cranecart/fleet/_incarnations.py
+++ b/src/cranecart/fleet/_incarnations.py
@@ -1,8 +1,9 @@
-"""Tell which life of an instance an entry of the list speaks of; no I/O.
+"""Decide which incarnation of an instance a list entry describes; no I/O.
 
-An instance may start again under its id. Its entry then tells another birth,
-but a late write of the old life may follow, and the clock that births are taken
-from may jump back, so that the larger birth is not always the newer life.
+An instance may restart under the same id. Its entry then has another start
+time (``born``), but a delayed write of the old incarnation may still follow,
+and the clock that start times are taken from may be set back, so the later
+start time does not always belong to the newer incarnation.
 """
 
 import enum
@@ -14,88 +15,91 @@
 from cranecart.logs import decision
 from cranecart.ports import Incarnation, ListedInstance
 
-# A life that lives writes its entry every heartbeat, 1.2 s on the users'
-# sheets. What an earlier birth has told for two of these and some is no late
-# write of a life that has ended.
-_SURE_SECONDS = 3.0
-# Ended lives that are remembered for each id, and for how many ids: a write is
-# late by seconds, in which an instance starts again a few times at most.
-_MOST_ENDED = 4
-_MOST_IDS = 512
+# A running instance writes its entry every heartbeat (1.2 s by the platform's
+# specification). An entry with an earlier start time that has stood for more
+# than two heartbeats is not a delayed write of an ended incarnation.
+_CONFIRM_SECONDS = 3.0
+# Writes are delayed by seconds, in which an instance restarts a few times at
+# most.
+_MAX_ENDED_PER_ID = 4
+_MAX_IDS = 512
 
 
 class IncarnationMatch(enum.Enum):
-    """What an entry says of an instance that is known."""
+    """How the incarnation in an entry relates to the known one."""
 
-    # The life that is known, or nothing that speaks against it.
+    # The known incarnation, or one that cannot be told from it.
     SAME = 'same'
-    # Another life has begun, so that the known one has ended.
+    # The instance has restarted, so the known incarnation has ended.
     NEWER = 'anew'
-    # A late word of a life that has ended.
+    # A delayed write of an incarnation that has ended.
     STALE = 'late'
-    # An earlier birth that was never heard of: either of the two.
+    # An earlier start time that was never seen before: either a delayed write
+    # or a restart after the clock was set back.
     UNCERTAIN = 'unsure'
 
 
 @attrs.define
 class IncarnationTracker:
-    """The lives that have ended, and the entries that nobody is sure of."""
+    """Ended incarnations, and entries whose incarnation is uncertain."""
 
     _clock: Callable[[], float] = since_boot
     _ended: dict[str, tuple[Incarnation, ...]] = attrs.field(
         factory=dict, init=False
     )
-    _unsure: dict[str, tuple[ListedInstance, float]] = attrs.field(
+    _uncertain: dict[str, tuple[ListedInstance, float]] = attrs.field(
         factory=dict,
         init=False,
     )
 
-    def told(
+    def classify(
         self, known: ListedInstance, entry: ListedInstance
     ) -> IncarnationMatch:
-        """Take over an entry of a known instance; return what it says."""
-        waiting = self._unsure.pop(entry.id, None)
+        """Compare an entry of a known instance with the known incarnation."""
+        pending = self._uncertain.pop(entry.id, None)
         if not entry.incarnation.is_another(known.incarnation):
             return IncarnationMatch.SAME
         if entry.incarnation in self._ended.get(entry.id, ()):
             return IncarnationMatch.STALE
         if entry.born > known.born:
-            self._end(known.incarnation)
+            self._add_ended(known.incarnation)
             return IncarnationMatch.NEWER
         since = self._clock()
-        if waiting is not None and waiting[0].incarnation == entry.incarnation:
-            since = waiting[1]
-        self._unsure[entry.id] = (entry, since)
+        if pending is not None and pending[0].incarnation == entry.incarnation:
+            since = pending[1]
+        self._uncertain[entry.id] = (entry, since)
         return IncarnationMatch.UNCERTAIN
 
     def forget(self, name: str) -> None:
-        """Take over that an instance's entry has gone."""
-        self._unsure.pop(name, None)
+        """Drop the uncertain entry of an instance that has lapsed."""
+        self._uncertain.pop(name, None)
 
-    def take_settled(self) -> list[ListedInstance]:
-        """Return the unsure entries that have stood for long enough."""
+    def take_confirmed(self) -> list[ListedInstance]:
+        """Remove and return uncertain entries that stood long enough."""
         now = self._clock()
-        settled = [
+        confirmed = [
             entry
-            for entry, since in self._unsure.values()
-            if now - since >= _SURE_SECONDS
+            for entry, since in self._uncertain.values()
+            if now - since >= _CONFIRM_SECONDS
         ]
-        for entry in settled:
-            self._unsure.pop(entry.id)
-        return settled
+        for entry in confirmed:
+            self._uncertain.pop(entry.id)
+        return confirmed
 
-    def end(self, known: ListedInstance, entry: ListedInstance) -> None:
-        """Take over that a settled entry's life follows the known one."""
+    def record_replaced(
+        self, known: ListedInstance, entry: ListedInstance
+    ) -> None:
+        """Record that the incarnation of a confirmed entry replaces another."""
         decision(
             'birth_went_back',
             instance=entry.id,
             born=entry.born,
             earlier=known.born,
         )
-        self._end(known.incarnation)
+        self._add_ended(known.incarnation)
 
-    def _end(self, incarnation: Incarnation) -> None:
+    def _add_ended(self, incarnation: Incarnation) -> None:
         ended = (*self._ended.pop(incarnation.id, ()), incarnation)
-        self._ended[incarnation.id] = ended[-_MOST_ENDED:]
-        for oldest in list(self._ended)[:-_MOST_IDS]:
+        self._ended[incarnation.id] = ended[-_MAX_ENDED_PER_ID:]
+        for oldest in list(self._ended)[:-_MAX_IDS]:
             self._ended.pop(oldest)
--- a/src/cranecart/fleet/_instance_list.py
+++ b/src/cranecart/fleet/_instance_list.py
@@ -1,4 +1,4 @@
-"""The instances of the platform's list, as one node knows them; no I/O."""
+"""One node's copy of the platform's instance list; no I/O."""
 
 from collections.abc import Collection, Iterator, Mapping
 
@@ -12,114 +12,118 @@
 from cranecart.logs import decision
 from cranecart.ports import Incarnation, ListedInstance
 
-# While the store is away instances cannot renew their entries, and many lapse
-# at once; those that live are back two seconds after the store at the latest.
-# Deaths and departures take two or three instances of a hundred at a time.
-_MANY_PART = 0.1
-_MANY = 3
+# During a store outage instances cannot renew their entries, so many lapse at
+# once; those that are alive are listed again at most two seconds after the
+# store recovers. Ordinary failures and shutdowns affect two or three instances
+# of a hundred at a time.
+_MASS_LAPSE_FRACTION = 0.1
+_MASS_LAPSE_MIN = 3
 
 
 @attrs.define
 class InstanceList:
-    """Listed instances, and those whose entries went lately.
+    """Listed instances, and those whose entries lapsed recently.
 
-    Instances are kept by service as well, as a plain service of five is asked
-    for with each of its requests beside a thousand others.
+    Instances are also indexed by service, because every request to a plain
+    service looks up its few instances among a thousand others.
     """
 
-    _lives: IncarnationTracker = attrs.field(factory=IncarnationTracker)
+    _incarnations: IncarnationTracker = attrs.field(factory=IncarnationTracker)
     instances: dict[str, ListedInstance] = attrs.field(
         factory=dict,
         init=False,
     )
     lapsed: dict[str, ListedInstance] = attrs.field(factory=dict, init=False)
-    # Instances that are kept for a while though their entries went.
+    # Instances whose entries are missing, and until when they are kept.
     _missing: dict[str, float] = attrs.field(factory=dict, init=False)
-    # Lives that leave, by their entry or their own word.
+    # Incarnations that are leaving, by their entry or their own announcement.
     _leaving: RecentIncarnations = attrs.field(
         factory=RecentIncarnations,
         init=False,
     )
-    # Lives whose entries have gone.
-    _gone: RecentIncarnations = attrs.field(
+    _lapsed_incarnations: RecentIncarnations = attrs.field(
         factory=RecentIncarnations, init=False
     )
-    _awaited: UnconfirmedEntries = attrs.field(
+    _unconfirmed: UnconfirmedEntries = attrs.field(
         factory=UnconfirmedEntries, init=False
     )
-    _of_service: dict[str, dict[str, ListedInstance]] = attrs.field(
+    _by_service: dict[str, dict[str, ListedInstance]] = attrs.field(
         factory=dict,
         init=False,
     )
-    _plain: dict[str, tuple[ListedInstance, ...]] = attrs.field(
+    _available: dict[str, tuple[ListedInstance, ...]] = attrs.field(
         factory=dict,
         init=False,
     )
 
-    def take(
+    def apply(
         self,
         items: Mapping[str, ListedInstance | None],
         is_complete: bool,
-        kept_until: float = 0,
+        grace_until: float = 0,
     ) -> list[str]:
-        """Take over changed entries; return the ids that live anew.
+        """Apply changed entries; return the ids of restarted instances.
 
-        The store is back only now where ``kept_until`` is given: if many
-        entries are gone, their instances are kept until then.
+        ``grace_until`` is given when the store has just recovered: if many
+        entries are missing, their instances are kept until then.
         """
         gone = {name for name, item in items.items() if item is None}
         if is_complete:
             gone.update(self.instances.keys() - items.keys())
         gone &= self.instances.keys() - self._missing.keys()
-        if kept_until and self._are_many(gone):
-            gone -= self._keep(gone, kept_until)
+        if grace_until and self._is_mass_lapse(gone):
+            gone -= self._retain_missing(gone, grace_until)
         for name in gone:
             self._lapse(name)
         if is_complete:
-            self._awaited.keep_only(items)
+            self._unconfirmed.keep_only(items)
         else:
-            self._awaited.drop(items)
+            self._unconfirmed.drop(items)
         entries = [
             item
             for item in items.values()
-            if item is not None and not self._awaited.holds(item)
+            if item is not None and not self._unconfirmed.contains(item)
         ]
-        return [entry.id for entry in entries if self._take_entry(entry)]
+        return [entry.id for entry in entries if self._apply_entry(entry)]
 
-    def restore(
+    def apply_restored(
         self,
         items: Mapping[str, ListedInstance],
         now: float,
     ) -> list[str]:
-        """Take over a list from a copy; return the ids that live anew.
+        """Apply the list of a restored store; return ids of restarted instances.
 
-        What it lacks stays. An entry that had gone counts again once it is
-        written, or has not been dropped for as long as silent ones stand.
+        Entries that it lacks stay. An entry that had lapsed before the restore
+        is accepted once it is written again, or once it has outlived the time
+        after which the store drops entries without a heartbeat.
         """
-        awaited = {
+        unconfirmed = {
             name: item
             for name, item in items.items()
-            if name not in self.instances and item.incarnation in self._gone
+            if name not in self.instances
+            and item.incarnation in self._lapsed_incarnations
         }
         known = {
-            name: item for name, item in items.items() if name not in awaited
+            name: item
+            for name, item in items.items()
+            if name not in unconfirmed
         }
-        anew = self.take(known, False)
-        self._awaited.hold(awaited, now)
-        return anew
+        restarted = self.apply(known, False)
+        self._unconfirmed.replace(unconfirmed, now)
+        return restarted
 
     def accept_unconfirmed(self, now: float) -> list[str]:
-        """Take over awaited entries that have stood; return their ids."""
-        due = self._awaited.take_due(now)
-        for item in due:
-            self._take_entry(item)
-        return [item.id for item in due]
+        """Accept unconfirmed entries whose wait is over; return their ids."""
+        expired = self._unconfirmed.take_expired(now)
+        for item in expired:
+            self._apply_entry(item)
+        return [item.id for item in expired]
 
     def mark_leaving(self, incarnation: Incarnation) -> bool:
-        """Remember that a life says that it leaves; tell if it is news.
+        """Mark an incarnation as leaving; return whether this is a change.
 
-        Its entry may tell it later, or never; it counts from when the entry is
-        taken next.
+        Its entry may show this later or never. The mark takes effect when the
+        entry is applied next.
         """
         if incarnation in self._leaving:
             return False
@@ -127,52 +131,55 @@
         return True
 
     def is_leaving(self, incarnation: Incarnation) -> bool:
-        """Tell whether a life leaves, by its own word or its entry."""
+        """Return whether an incarnation is leaving, by itself or its entry."""
         known = self.find_instance(incarnation.id)
-        is_listed = (
+        is_leaving_entry = (
             known is not None
             and known.leaving
             and known.incarnation == incarnation
         )
-        return is_listed or incarnation in self._leaving
+        return is_leaving_entry or incarnation in self._leaving
 
     def confirm_restarts(self) -> list[str]:
-        """Believe entries that have stood; return the ids that live anew."""
-        settled = self._lives.take_settled()
-        for entry in settled:
+        """Accept confirmed restarts; return the ids of their instances."""
+        confirmed = self._incarnations.take_confirmed()
+        for entry in confirmed:
             known = self.find_instance(entry.id)
             if known is not None:
-                self._lives.end(known, entry)
-                self._begin_life(known, entry)
-        return [entry.id for entry in settled]
+                self._incarnations.record_replaced(known, entry)
+                self._replace_incarnation(known, entry)
+        return [entry.id for entry in confirmed]
 
     def expire_missing(self, now: float) -> list[str]:
-        """Let go instances that were missed for long; return their ids."""
-        due = [name for name, until in self._missing.items() if until <= now]
-        for name in due:
+        """Lapse instances missing beyond the grace period; return their ids."""
+        expired = [
+            name for name, until in self._missing.items() if until <= now
+        ]
+        for name in expired:
             self._lapse(name)
-        return due
+        return expired
 
     def find_instance(self, name: str) -> ListedInstance | None:
-        """Return an instance, also one whose entry has gone lately."""
+        """Return an instance, including one whose entry lapsed recently."""
         return self.instances.get(name) or self.lapsed.get(name)
 
     def incarnations(self) -> frozenset[Incarnation]:
-        """Return the lives of all listed instances."""
+        """Return the incarnations of all listed instances."""
         return frozenset(one.incarnation for one in self.instances.values())
 
     def is_superseded(self, incarnation: Incarnation) -> bool:
-        """Tell whether another life of an instance is known than this."""
+        """Return whether a different incarnation of the instance is known."""
         known = self.find_instance(incarnation.id)
         if known is None or not incarnation.born:
             return False
         return known.incarnation.is_another(incarnation)
 
     def has_ended(self, incarnation: Incarnation) -> bool:
-        """Tell whether a later life of an instance shows that one is over.
+        """Return whether a later incarnation proves that one has ended.
 
-        Whether a birth that went back is later is only likely: members that
-        wait for this life's end go on waiting.
+        An incarnation with an earlier start time is only likely to be the
+        later one, so it proves nothing: members that wait for this
+        incarnation to end keep waiting.
         """
         known = self.find_instance(incarnation.id)
         is_later = known is not None and known.born > incarnation.born
@@ -180,67 +187,74 @@
 
     def all_of_service(self, service: str) -> Iterator[ListedInstance]:
         """Yield the listed instances of a service."""
-        yield from self._of_service.get(service, {}).values()
+        yield from self._by_service.get(service, {}).values()
 
     def available(self, service: str) -> tuple[ListedInstance, ...]:
         """Return the instances of a service that are not leaving."""
-        found = self._plain.get(service)
+        found = self._available.get(service)
         if found is None:
-            every = self.all_of_service(service)
-            found = tuple(one for one in every if not one.leaving)
-            self._plain[service] = found
+            instances = self.all_of_service(service)
+            found = tuple(one for one in instances if not one.leaving)
+            self._available[service] = found
         return found
 
     def forget_lapsed(self, needed: Mapping[str, object]) -> None:
-        """Forget instances whose entries went, but for needed ones."""
+        """Forget lapsed instances except those that are needed."""
         self.lapsed = {
             name: one for name, one in self.lapsed.items() if name in needed
         }
 
-    def _are_many(self, gone: Collection[str]) -> bool:
-        return len(gone) >= max(_MANY, _MANY_PART * len(self.instances))
+    def _is_mass_lapse(self, gone: Collection[str]) -> bool:
+        return len(gone) >= max(
+            _MASS_LAPSE_MIN, _MASS_LAPSE_FRACTION * len(self.instances)
+        )
 
-    def _keep(self, gone: Collection[str], until: float) -> set[str]:
-        """Keep missing instances for a while; return which."""
-        kept = {name for name in gone if not self.instances[name].leaving}
-        self._missing.update(dict.fromkeys(kept, until))
-        decision('instances_missing', instances=len(kept))
-        return kept
+    def _retain_missing(self, gone: Collection[str], until: float) -> set[str]:
+        """Keep missing instances for the grace period; return their ids."""
+        retained = {name for name in gone if not self.instances[name].leaving}
+        self._missing.update(dict.fromkeys(retained, until))
+        decision('instances_missing', instances=len(retained))
+        return retained
 
     def _lapse(self, name: str) -> None:
         self._missing.pop(name, None)
         instance = self.instances.pop(name)
         self.lapsed[name] = instance
-        self._gone.add(instance.incarnation)
-        self._of_service[instance.service].pop(name)
-        self._plain.pop(instance.service, None)
-        self._lives.forget(name)
+        self._lapsed_incarnations.add(instance.incarnation)
+        self._by_service[instance.service].pop(name)
+        self._available.pop(instance.service, None)
+        self._incarnations.forget(name)
         decision('instance_lapsed', instance=name)
 
-    def _take_entry(self, entry: ListedInstance) -> bool:
-        """Take over an entry; return whether its instance lives anew."""
+    def _apply_entry(self, entry: ListedInstance) -> bool:
+        """Apply an entry; return whether its instance has restarted."""
         known = self.find_instance(entry.id)
         if known is None:
             self._put(entry)
             return False
-        match self._lives.told(known, entry):
+        match self._incarnations.classify(known, entry):
             case IncarnationMatch.SAME:
-                self._put(_with_memory(known, entry))
+                self._put(_with_remembered_fields(known, entry))
             case IncarnationMatch.NEWER:
-                self._begin_life(known, entry)
+                self._replace_incarnation(known, entry)
                 return True
-            case IncarnationMatch.STALE | IncarnationMatch.UNCERTAIN as told:
+            case (
+                IncarnationMatch.STALE
+                | IncarnationMatch.UNCERTAIN as match_kind
+            ):
                 decision(
                     'entry_put_off',
                     instance=entry.id,
                     born=entry.born,
                     known=known.born,
-                    why=told.value,
+                    why=match_kind.value,
                 )
         return False
 
-    def _begin_life(self, known: ListedInstance, entry: ListedInstance) -> None:
-        """Take over another life: nothing of the known one goes with it."""
+    def _replace_incarnation(
+        self, known: ListedInstance, entry: ListedInstance
+    ) -> None:
+        """Replace an incarnation; nothing known of the old one is kept."""
         decision(
             'instance_lives_anew',
             instance=entry.id,
@@ -249,35 +263,35 @@
         )
         self._put(entry)
 
-    def _as_it_said(self, entry: ListedInstance) -> ListedInstance:
+    def _with_leaving_flag(self, entry: ListedInstance) -> ListedInstance:
         if entry.leaving:
-            # A copy of the store may show it as it was before.
+            # A restored store may still show it as not leaving.
             self._leaving.add(entry.incarnation)
         if entry.leaving or entry.incarnation not in self._leaving:
             return entry
         return attrs.evolve(entry, leaving=True)
 
-    def _put(self, told: ListedInstance) -> None:
-        entry = self._as_it_said(told)
+    def _put(self, reported: ListedInstance) -> None:
+        entry = self._with_leaving_flag(reported)
         earlier = self.instances.get(entry.id)
         if earlier is not None and earlier.service != entry.service:
-            self._of_service[earlier.service].pop(entry.id)
-            self._plain.pop(earlier.service, None)
+            self._by_service[earlier.service].pop(entry.id)
+            self._available.pop(earlier.service, None)
         self.instances[entry.id] = entry
         self.lapsed.pop(entry.id, None)
         self._missing.pop(entry.id, None)
-        self._gone.forget(entry.incarnation)
-        self._of_service.setdefault(entry.service, {})[entry.id] = entry
-        self._plain.pop(entry.service, None)
+        self._lapsed_incarnations.forget(entry.incarnation)
+        self._by_service.setdefault(entry.service, {})[entry.id] = entry
+        self._available.pop(entry.service, None)
 
 
-def _with_memory(
+def _with_remembered_fields(
     known: ListedInstance, entry: ListedInstance
 ) -> ListedInstance:
-    """Keep in mind what an entry of the same life may leave out.
+    """Fill in fields that an entry of the same incarnation may omit.
 
-    One that has left its replica lists no model, but joins another of the
-    same model as quickly as before.
+    An instance that has left its replica lists no loaded model, but can join
+    another replica of that model without loading it again.
     """
     return attrs.evolve(
         entry,
--- a/src/cranecart/fleet/_item_cache.py
+++ b/src/cranecart/fleet/_item_cache.py
@@ -1,4 +1,4 @@
-"""What a source held as of its last change; no I/O."""
+"""The contents of a source as of its last change; no I/O."""
 
 from collections.abc import Mapping
 from typing import Generic, TypeVar
@@ -10,32 +10,32 @@
 
 @attrs.define
 class ItemCache(Generic[Item]):
-    """Items by key, and what makes others of them.
+    """Items by key, and the differences between them and other items.
 
-    In changes ``None`` stands for an item that is gone.
+    In changes, ``None`` stands for a removed item.
     """
 
     _items: dict[str, Item] = attrs.field(factory=dict, init=False)
 
     def replace(self, items: Mapping[str, Item]) -> None:
-        """Hold these items and no others."""
+        """Replace all items."""
         self._items = dict(items)
 
-    def change(self, items: Mapping[str, Item | None]) -> None:
-        """Hold what has changed."""
+    def apply_changes(self, items: Mapping[str, Item | None]) -> None:
+        """Apply changes to the items."""
         for key, item in items.items():
             if item is None:
                 self._items.pop(key, None)
             else:
                 self._items[key] = item
 
-    def changed_by(self, items: Mapping[str, Item | None]) -> dict[str, Item]:
-        """Return what would be held after some changes."""
+    def merged_with(self, items: Mapping[str, Item | None]) -> dict[str, Item]:
+        """Return the items as they would be after the given changes."""
         merged: dict[str, Item | None] = {**self._items, **items}
         return {key: item for key, item in merged.items() if item is not None}
 
     def differences(self, items: Mapping[str, Item]) -> dict[str, Item | None]:
-        """Return the changes that make these items of what is held."""
+        """Return the changes that lead from the cached to the given items."""
         gone = dict.fromkeys(self._items.keys() - items.keys())
         changed = {
             key: item
--- a/src/cranecart/fleet/_leaving.py
+++ b/src/cranecart/fleet/_leaving.py
@@ -1,19 +1,22 @@
-"""Take over that an instance says itself that it leaves."""
+"""Mark instances as leaving that announce it themselves."""
 
 from cranecart.fleet._fleet import Fleet
 from cranecart.logs import decision
 from cranecart.ports import Incarnation
 
 
-def mark_leaving(fleet: Fleet, incarnation: Incarnation, by: str) -> bool:
-    """Take over that a life says that it leaves; tell if it is news.
+def mark_leaving(fleet: Fleet, incarnation: Incarnation, source: str) -> bool:
+    """Mark an incarnation as leaving; return whether this is a change.
 
-    What it belongs to is ended and replaced as if its entry had said so.
+    Its replica is shut down and replaced as if its list entry had shown this.
     """
     if not fleet.instance_list.mark_leaving(incarnation):
         return False
     decision(
-        'target_leaving', instance=incarnation.id, born=incarnation.born, by=by
+        'target_leaving',
+        instance=incarnation.id,
+        born=incarnation.born,
+        by=source,
     )
     known = fleet.instances.get(incarnation.id)
     if known is not None:
--- a/src/cranecart/fleet/_recent_entries.py
+++ b/src/cranecart/fleet/_recent_entries.py
@@ -1,4 +1,4 @@
-"""Lives that have ended or soon will, and entries that a copy brought back."""
+"""Recently seen incarnations, and entries reinstated by a store restore."""
 
 from collections.abc import Container, Iterable, Mapping
 
@@ -7,39 +7,41 @@
 from cranecart.logs import decision
 from cranecart.ports import Incarnation, ListedInstance
 
-# Such lives end within a minute.
-_MOST_LIVES = 1024
-# The store drops entries that are silent for three heartbeats of 1.2 s.
-_SILENT_SECONDS = 4.0
+# The remembered incarnations end within a minute.
+_MAX_INCARNATIONS = 1024
+# The store drops entries after three missed heartbeats of 1.2 s each.
+_ENTRY_TTL_SECONDS = 4.0
 
 
 @attrs.define
 class RecentIncarnations:
-    """The last lives of which something was heard, so many at most."""
+    """A bounded set of incarnations that evicts the oldest."""
 
-    _lives: dict[Incarnation, None] = attrs.field(factory=dict, init=False)
+    _incarnations: dict[Incarnation, None] = attrs.field(
+        factory=dict, init=False
+    )
 
     def __contains__(self, incarnation: Incarnation) -> bool:
-        """Tell whether a life is remembered."""
-        return incarnation in self._lives
+        """Return whether an incarnation is remembered."""
+        return incarnation in self._incarnations
 
     def add(self, incarnation: Incarnation) -> None:
-        """Remember a life, and forget the oldest of too many."""
-        self._lives[incarnation] = None
-        if len(self._lives) > _MOST_LIVES:
-            self._lives.pop(next(iter(self._lives)))
+        """Remember an incarnation, and evict the oldest beyond the limit."""
+        self._incarnations[incarnation] = None
+        if len(self._incarnations) > _MAX_INCARNATIONS:
+            self._incarnations.pop(next(iter(self._incarnations)))
 
     def forget(self, incarnation: Incarnation) -> None:
-        """Forget a life."""
-        self._lives.pop(incarnation, None)
+        """Forget an incarnation."""
+        self._incarnations.pop(incarnation, None)
 
 
 @attrs.define
 class UnconfirmedEntries:
-    """Entries that had gone, and that a copy of the store brought back.
+    """Entries that had lapsed and reappeared when the store was restored.
 
-    They count again once they are written, or have not been dropped for as long
-    as the entries of silent instances stand.
+    They are accepted once they are written again, or once they have outlived
+    the time after which the store drops entries without a heartbeat.
     """
 
     _entries: dict[str, tuple[ListedInstance, float]] = attrs.field(
@@ -47,32 +49,34 @@
         init=False,
     )
 
-    def hold(self, entries: Mapping[str, ListedInstance], now: float) -> None:
-        """Await entries from now on, and no others."""
+    def replace(
+        self, entries: Mapping[str, ListedInstance], now: float
+    ) -> None:
+        """Hold back these entries from now on, and no others."""
         for name in entries:
             decision('entry_awaited', instance=name)
         self._entries = {name: (item, now) for name, item in entries.items()}
 
-    def holds(self, entry: ListedInstance) -> bool:
-        """Tell whether just this entry is awaited."""
-        held, _since = self._entries.get(entry.id, (None, 0))
-        return held == entry
+    def contains(self, entry: ListedInstance) -> bool:
+        """Return whether exactly this entry is held back."""
+        pending, _since = self._entries.get(entry.id, (None, 0))
+        return pending == entry
 
     def drop(self, names: Iterable[str]) -> None:
-        """Await the entries of some instances no more."""
+        """Stop holding back the entries of some instances."""
         for name in names:
             self._entries.pop(name, None)
 
     def keep_only(self, names: Container[str]) -> None:
-        """Await the entries of no other instances than these."""
+        """Stop holding back the entries of all other instances."""
         self.drop([name for name in self._entries if name not in names])
 
-    def take_due(self, now: float) -> list[ListedInstance]:
-        """Return the entries that have stood for long, and drop them."""
-        due = [
+    def take_expired(self, now: float) -> list[ListedInstance]:
+        """Remove and return the entries that have outlived the timeout."""
+        expired = [
             item
             for item, since in self._entries.values()
-            if now - since >= _SILENT_SECONDS
+            if now - since >= _ENTRY_TTL_SECONDS
         ]
-        self.drop(item.id for item in due)
-        return due
+        self.drop(item.id for item in expired)
+        return expired
--- a/src/cranecart/fleet/_record_rows.py
+++ b/src/cranecart/fleet/_record_rows.py
@@ -1,4 +1,4 @@
-"""Replicas as their placer recorded them before ordering anything."""
+"""Table rows in which placers record replicas before sending any orders."""
 
 import enum
 import functools
@@ -11,33 +11,34 @@
 from cranecart.ports import Incarnation, Row
 
 RECORDS_TABLE = 'placement'
-# One part for all: each node reads them at its start, and a part is a call. Of
-# the 300 writes a second that a part takes, replicas that all form at once
-# need some hundred.
+# One partition for all records: each node reads them at startup with one call
+# per partition. A partition accepts 300 writes per second, of which replicas
+# that all start at once need about a hundred.
 RECORDS_PART = 'all'
 _NODE = 'node/'
 _REPLICA = 'replica/'
-_UNREADABLE = UnreadableRows('record_unreadable')
+_UNREADABLE_ROWS = UnreadableRows('record_unreadable')
 
 
 class RecordState(enum.Enum):
-    """What the placer wants of a replica."""
+    """The state in which the placer wants a replica."""
 
     SERVING = 'serving'
-    # It finishes what it has, as one of its members leaves.
+    # It finishes its requests, because one of its members is leaving.
     CLOSING = 'closing'
-    # Its members are freed; none may join another replica before that.
+    # Its members are being released; none may join another replica before.
     ENDING = 'ending'
 
 
 @attrs.frozen
 class ReplicaRecord:
-    """One forming of a replica; the first member is its head.
+    """One epoch of a replica; the first member is its head.
 
-    ``epoch`` rises with every forming in a failure domain and orders late
-    orders of earlier formings out. ``loads`` is how many members must load
-    from the weight store. ``version`` is that of the record's row, ``births``
-    tell which lives of its members were chosen; old rows hold none.
+    ``epoch`` increases with every replica created in a failure domain, so that
+    delayed orders of earlier ones are rejected. ``loads`` is the number of
+    members that have to load the model from the weight store. ``version`` is
+    that of the record's row. ``births`` are the start times of the members'
+    incarnations; old rows have none.
     """
 
     name: str
@@ -55,12 +56,12 @@
 
     @property
     def head(self) -> str:
-        """Return the id of the instance that takes the requests."""
+        """Return the id of the instance that receives the requests."""
         return self.members[0]
 
     @functools.cached_property
     def incarnations(self) -> tuple[Incarnation, ...]:
-        """Return the lives of the members, as far as they are known."""
+        """Return the incarnations of the members, as far as known."""
         births = itertools.chain(self.births, itertools.repeat(0))
         return tuple(map(Incarnation, self.members, births))
 
@@ -80,12 +81,15 @@
 
 
 def records_prefix(failure_domain: str) -> str:
-    """Return what the keys of a failure domain's replicas start with."""
+    """Return the key prefix of a failure domain's replicas."""
     return f'{RECORDS_TABLE}/{RECORDS_PART}/{_REPLICA}{failure_domain}/'
 
 
 def placement_duty(failure_domain: str) -> str:
-    """Return the duty of placing there; its row is in the records' part."""
+    """Return the lease name of a failure domain's placer.
+
+    The row of the lease is in the same partition as the records.
+    """
     return f'{RECORDS_PART}/{failure_domain}'
 
 
@@ -95,19 +99,21 @@
 
 
 def record_from_row(row: Row) -> ReplicaRecord | None:
-    """Decode a replica's row; return ``None`` for another kind of row.
+    """Decode a replica's row; return ``None`` for rows of another kind.
 
-    One that cannot be read, or that is not what its key says, is such a row:
-    an earlier reading of it holds, and it is told in the log.
+    Rows that cannot be decoded, or that do not match their key, also count as
+    such: they are logged, and the last valid record stays in effect.
     """
     if not row.key.split('/', 2)[2].startswith(_REPLICA):
         return None
     try:
         record = msgspec.json.decode(row.value, type=ReplicaRecord)
     except (msgspec.MsgspecError, RecursionError) as error:
-        _UNREADABLE.note(row.key, str(error))
+        _UNREADABLE_ROWS.note(row.key, str(error))
         return None
     if record.key != row.key or not record.members:
-        _UNREADABLE.note(row.key, 'it is not what its key says')
+        _UNREADABLE_ROWS.note(
+            row.key, 'the record does not match the key, or has no members'
+        )
         return None
     return attrs.evolve(record, version=row.version)
--- a/src/cranecart/fleet/_replica_records.py
+++ b/src/cranecart/fleet/_replica_records.py
@@ -1,4 +1,4 @@
-"""The replicas that placers have recorded, as one node knows them; no I/O."""
+"""One node's copy of the replica records that placers write; no I/O."""
 
 from collections.abc import Iterable, Iterator, Mapping
 from types import MappingProxyType
@@ -8,12 +8,12 @@
 from cranecart.fleet._record_rows import RecordState, ReplicaRecord
 from cranecart.ports import era_of
 
-# Keys of dropped rows that are remembered; a feed is never further behind.
-_MOST_DROPPED = 256
+# Keys of deleted rows that are remembered. No feed lags by more rows.
+_MAX_DROPPED_KEYS = 256
 
 ReplicaEpoch = tuple[str, int]
-# No replica that closes or ends serves again under the same name.
-_PROGRESS = MappingProxyType(
+# A replica that is closing or ending never serves again under the same name.
+_STATE_ORDER = MappingProxyType(
     {
         RecordState.SERVING: 0,
         RecordState.CLOSING: 1,
@@ -24,7 +24,7 @@
 
 @attrs.define
 class ReplicaRecords:
-    """Records by the keys of their rows, by member, and by forming."""
+    """Replica records by row key, with indexes by member and replica epoch."""
 
     records: dict[str, ReplicaRecord] = attrs.field(factory=dict, init=False)
     keys_by_member: dict[str, set[str]] = attrs.field(factory=dict, init=False)
@@ -37,11 +37,12 @@
         is_complete: bool,
         era: int = 0,
     ) -> list[str]:
-        """Take over changed rows; return the keys of what has changed.
+        """Apply changed rows; return the keys of the records that changed.
 
-        What this node wrote itself may be newer than what it reads. Whole
-        readings of a later ``era`` than a record's may come from a copy that
-        lacks it: what becomes of it is for its placer to decide.
+        Records that this node wrote itself may be newer than what it reads. A
+        snapshot of a later ``era`` than that of a record may come from a
+        restored store that has lost the record. Such a record is kept, as its
+        placer decides what to do with it.
         """
         gone = [key for key, record in items.items() if record is None]
         if is_complete:
@@ -52,47 +53,47 @@
             )
         for key in gone:
             self.drop(key)
-        news = [
+        changed = [
             record
             for key, record in items.items()
-            if record is not None and self._is_news(key, record)
+            if record is not None and self._is_newer(key, record)
         ]
-        for record in news:
+        for record in changed:
             self._put(record)
-        return [*gone, *(record.key for record in news)]
+        return [*gone, *(record.key for record in changed)]
 
     def drop(self, key: str) -> None:
-        """Take over that a row is gone."""
-        self._unname(key)
-        # A name is never used again, so what comes late of it is old.
+        """Remove the record of a deleted row."""
+        self._remove(key)
+        # Names are never reused, so later updates of this key are outdated.
         self._dropped[key] = None
-        for oldest in list(self._dropped)[:-_MOST_DROPPED]:
+        for oldest in list(self._dropped)[:-_MAX_DROPPED_KEYS]:
             self._dropped.pop(oldest)
 
     def of(self, replica_epoch: ReplicaEpoch) -> ReplicaRecord | None:
-        """Return the record of one forming of a replica."""
+        """Return the record of a replica epoch."""
         return self.records.get(self._keys.get(replica_epoch, ''))
 
     def keys_with_members(self, names: Iterable[str]) -> set[str]:
-        """Return the keys of records that have one of these as a member."""
+        """Return the keys of records with any of these instances as a member."""
         return set().union(
             *(self.keys_by_member.get(name, ()) for name in names)
         )
 
     def records_with_member(self, name: str) -> Iterator[ReplicaRecord]:
-        """Yield the records that have an instance as a member."""
+        """Return the records that have an instance as a member."""
         return (self.records[key] for key in self.keys_by_member.get(name, ()))
 
     def has_seen(self, key: str) -> bool:
-        """Tell whether there is or was a record under a key."""
+        """Return whether there is or recently was a record under a key."""
         return key in self.records or key in self._dropped
 
     def is_recorded(self, replica_epoch: ReplicaEpoch) -> bool:
-        """Tell whether there is a record of one forming of a replica."""
+        """Return whether there is a record of a replica epoch."""
         return replica_epoch in self._keys
 
     def is_starting(self, service: str, model: str) -> bool:
-        """Tell whether a replica of a model is recorded that is not open."""
+        """Return whether a replica of a model is recorded as due to serve."""
         return any(
             record.service == service
             and record.model == model
@@ -101,13 +102,13 @@
         )
 
     def _put(self, record: ReplicaRecord) -> None:
-        self._unname(record.key)
+        self._remove(record.key)
         self.records[record.key] = record
         self._keys[record.name, record.epoch] = record.key
         for name in record.members:
             self.keys_by_member.setdefault(name, set()).add(record.key)
 
-    def _unname(self, key: str) -> None:
+    def _remove(self, key: str) -> None:
         record = self.records.pop(key, None)
         if record is None:
             return
@@ -117,12 +118,12 @@
             if not self.keys_by_member[name]:
                 self.keys_by_member.pop(name)
 
-    def _is_news(self, key: str, record: ReplicaRecord) -> bool:
+    def _is_newer(self, key: str, record: ReplicaRecord) -> bool:
         known = self.records.get(key)
         if key in self._dropped:
             return False
         if known is None:
             return True
-        # A copy of the store shows a replica as it was before it closed.
-        goes_back = _PROGRESS[record.state] < _PROGRESS[known.state]
-        return record.version >= known.version and not goes_back
+        # A restored store may show a replica as it was before it closed.
+        is_regression = _STATE_ORDER[record.state] < _STATE_ORDER[known.state]
+        return record.version >= known.version and not is_regression
--- a/src/cranecart/fleet/_source_follower.py
+++ b/src/cranecart/fleet/_source_follower.py
@@ -1,7 +1,7 @@
-"""Follow a source: read it whole once, then by its changes.
+"""Follow a source: read a snapshot once, then its changes by long polling.
 
-One node reads the changes from the store and passes them on to the others,
-who read for themselves only while nobody does that for them.
+One node, the shared reader, reads the changes from the store and shares them
+with the others, which read for themselves only while there is none.
 """
 
 import random
@@ -32,94 +32,102 @@
 
 Item = TypeVar('Item')
 
-# How long one read waits for changes, nearly the longest that stores allow, as
-# each costs; a read that hangs is made up for by other nodes.
+# Each read has a cost, so a long poll takes nearly the maximum that stores
+# allow. If one hangs, other nodes take over.
 LONG_POLL_SECONDS = 28.0
-# A reader whose path to the store has not shown to be good for two waits, less
-# what two reads overlap, is not relied on.
-_PROVEN_WAITS = 1.8
-_FIRST_PAUSE_SECONDS = 0.1
-# How long a read waits that shows whether the store is back.
-_PROBE_SECONDS = 0.25
+# Other nodes rely on a reader only if it had an answer within two polls, less
+# the overlap of two reads.
+_RECENT_READ_POLLS = 1.8
+_MIN_RETRY_SECONDS = 0.1
+# Length of the poll that shows whether the store is reachable again.
+_PROBE_POLL_SECONDS = 0.25
 _JITTER = 0.25
-# Beats come more seldom, and each look wakes an idle node.
-_FED_LOOK_SECONDS = 0.1
-# While a deployment starts, all nodes read and the list fills entry by entry.
-# It stays below the rest by which placers tell that the list is whole.
-_START_GAP_SECONDS = 0.15
-_START_SECONDS = 2.0
-# News that was announced but has not come for this long is read.
-_BEHIND_SECONDS = 0.3
-# How long each turn of nodes waits for those before it when a reader is gone,
-# so that not all of them begin to read: until a beat has told of the next.
-_TURN_SECONDS = 0.25
-# After its first reading a node waits for so long for another that goes on
-# reading: two beats, as a relay may have to speak first.
-_MEET_SECONDS = 0.5
-
-# A source that nobody has read for so long was away, for this node at least.
-_AWAY_SECONDS = 2.0
-# How long after a source's return it may lack what lives.
-_FILLING_SECONDS = 2.0
+# Heartbeats are less frequent, and each check wakes up an idle node.
+_CHECK_INTERVAL_SECONDS = 0.1
+# While a deployment starts, all nodes read and the list grows entry by entry.
+# The interval has to be shorter than the quiet period after which placers take
+# the list for complete.
+_STARTUP_MIN_INTERVAL_SECONDS = 0.15
+_STARTUP_SECONDS = 2.0
+# An announced update that has not arrived after this time is read instead.
+_MAX_LAG_SECONDS = 0.3
+# When the reader is gone, each node waits this long per rank, until a heartbeat
+# has announced the next reader, so that not all nodes start to read.
+_TAKEOVER_STEP_SECONDS = 0.25
+# After its first read a node waits two heartbeats for the announcement of a
+# shared reader, as it may be passed on by a relay.
+_DISCOVERY_SECONDS = 0.5
+
+# If nobody has read a source for this long, it counts as an outage, at least
+# for this node.
+_OUTAGE_SECONDS = 2.0
+# After an outage, entries of running instances may be missing for this long.
+_REPOPULATION_SECONDS = 2.0
 
 
 @attrs.define
 class SourceFollower(Generic[Item]):
-    """Keeps a taker up to date with one source.
+    """Keeps a consumer up to date with one source.
 
-    ``gap_seconds`` is the least time between two reads, so that changes in
-    quick succession come together. ``take_restored`` takes what a store holds
-    that has come back from a copy. What that lacks counts as there until it had
-    time to be written again; then all is read once more.
+    ``min_interval_seconds`` is the minimum time between two reads, which
+    combines changes in quick succession. ``apply_restored`` is called with the
+    contents of a store that was restored from a backup. Items that are missing
+    there are assumed to exist until they had time to be written again; then
+    the source is read completely once more.
     """
 
     name: str
     _source: Source[Item]
-    _take: ItemsConsumer[Item]
+    _apply: ItemsConsumer[Item]
     _random: random.Random
-    _gap_seconds: float = 0
+    _min_interval_seconds: float = 0
     _sharing: UpdateSharing[Item] | None = None
     _clock: Callable[[], float] = since_boot
-    _path: StoreReachability = attrs.field(factory=StoreReachability)
+    _reachability: StoreReachability = attrs.field(factory=StoreReachability)
     _apply_restored: RestoredItemsConsumer[Item] | None = None
     _version: int = attrs.field(default=-1, init=False)
-    _changed_version: int = attrs.field(default=-1, init=False)
-    _is_whole: bool = attrs.field(default=False, init=False)
+    _last_change_version: int = attrs.field(default=-1, init=False)
+    _has_snapshot: bool = attrs.field(default=False, init=False)
     _read_at: float = attrs.field(default=float('-inf'), init=False)
-    _pause: float = attrs.field(default=_FIRST_PAUSE_SECONDS, init=False)
-    _is_lost: bool = attrs.field(default=False, init=False)
-    _is_silent: bool = attrs.field(default=False, init=False)
-    _fresh_at: float | None = attrs.field(default=None, init=False)
-    _filled_at: float = attrs.field(default=0, init=False)
+    _retry_seconds: float = attrs.field(default=_MIN_RETRY_SECONDS, init=False)
+    _is_unreachable: bool = attrs.field(default=False, init=False)
+    _is_stalled: bool = attrs.field(default=False, init=False)
+    _last_contact_at: float | None = attrs.field(default=None, init=False)
+    _repopulated_at: float = attrs.field(default=0, init=False)
     _started_at: float | None = attrs.field(default=None, init=False)
-    _held: ItemCache[Item] = attrs.field(factory=ItemCache, init=False)
-    _check_at: float = attrs.field(default=float('inf'), init=False)
+    _cache: ItemCache[Item] = attrs.field(factory=ItemCache, init=False)
+    _resync_at: float = attrs.field(default=float('inf'), init=False)
 
     @property
     def is_informed(self) -> bool:
-        """Tell whether the source was read at least once."""
+        """Return whether the source was read at least once."""
         return self._version >= 0
 
     @property
     def has_recent_read(self) -> bool:
-        """Tell whether this node has read so lately that others may rely."""
-        window = _PROVEN_WAITS * self._wait_seconds
+        """Return whether the last read is recent enough to rely on."""
+        window = _RECENT_READ_POLLS * self._poll_seconds
         return self._clock() - self._read_at < window
 
     @property
     def last_change_version(self) -> int:
-        """Return the version of the last change that was taken over."""
-        return self._changed_version
+        """Return the version of the last change that was applied."""
+        return self._last_change_version
 
     @property
     def is_unreachable(self) -> bool:
-        """Tell whether the last reading failed."""
-        return self._is_lost
+        """Return whether the last read failed."""
+        return self._is_unreachable
 
     @property
     def repopulated_at(self) -> float:
-        """Return when the source holds all again; zero if it does now."""
-        return self._filled_at if self._clock() < self._filled_at else 0
+        """Return when the source is complete again after an outage.
+
+        Zero if it is complete now.
+        """
+        return (
+            self._repopulated_at if self._clock() < self._repopulated_at else 0
+        )
 
     async def run(self) -> None:
         """Follow until cancelled."""
@@ -128,55 +136,58 @@
             try:
                 await self._read()
             except HistoryLostError as error:
-                self._is_whole = False
+                self._has_snapshot = False
                 decision('history_lost', source=self.name, why=str(error))
             except PlatformUnavailableError as error:
-                await self._wait_after(error)
+                await self._wait_after_failure(error)
             except ReadRenewedError:
                 decision('feed_renewed', source=self.name)
             else:
-                await self._rest(started)
+                await self._wait_before_next_read(started)
 
-    def apply_update(self, news: SourceUpdate[Item]) -> None:
-        """Take over what another node has read, if nothing is between."""
-        self._note_fresh()
-        if not self._is_whole or news.version < self._version:
+    def apply_update(self, update: SourceUpdate[Item]) -> None:
+        """Apply what another node has read, unless a change is missing."""
+        self._note_contact()
+        if not self._has_snapshot or update.version < self._version:
             return
-        if news.extent is not Extent.CHANGES:
-            # First readings are of various versions, with no change between.
-            first = max(news.since, self._changed_version)
-            if first <= min(news.until, self._version):
-                items = self._held.changed_by(news.items)
-                self._take_all(news.version, items, news.extent)
-        elif news.since <= self._version < news.version:
-            self._version = news.version
-            self._take_changes(news.version, news.items)
+        if update.extent is not Extent.CHANGES:
+            # The first reads of the nodes may have different versions with no
+            # change between them.
+            first = max(update.since, self._last_change_version)
+            if first <= min(update.until, self._version):
+                items = self._cache.merged_with(update.items)
+                self._apply_snapshot(update.version, items, update.extent)
+        elif update.since <= self._version < update.version:
+            self._version = update.version
+            self._apply_changes(update.version, update.items)
 
     @property
-    def _wait_seconds(self) -> float:
-        if self._is_lost:
-            return _PROBE_SECONDS
+    def _poll_seconds(self) -> float:
+        if self._is_unreachable:
+            return _PROBE_POLL_SECONDS
         if self._sharing is None:
             return LONG_POLL_SECONDS
-        return self._sharing.wait_seconds
+        return self._sharing.poll_seconds
 
     async def _read(self) -> None:
-        if self._is_whole and self._clock() < self._check_at:
+        if self._has_snapshot and self._clock() < self._resync_at:
             await self._read_changes()
             return
         snapshot = await self._source.snapshot()
         if snapshot.version < self._version:
-            if self._is_whole:
-                # Another node's news has come meanwhile.
+            if self._has_snapshot:
+                # Another node's update has arrived meanwhile.
                 return
-            raise PlatformUnavailableError('the store answers with the past')
-        self._note_fresh()
-        earlier = self._changed_version
+            raise PlatformUnavailableError(
+                'the store returned an older version than it had before',
+            )
+        self._note_contact()
+        earlier = self._last_change_version
         until = self._version
         extent = self._extent(snapshot.version)
-        differences = self._held.differences(snapshot.items)
-        self._take_all(snapshot.version, snapshot.items, extent)
-        # At a start each node reads for itself.
+        differences = self._cache.differences(snapshot.items)
+        self._apply_snapshot(snapshot.version, snapshot.items, extent)
+        # At startup each node reads for itself.
         if earlier >= 0 and self._sharing is not None:
             self._sharing.publish(
                 SourceUpdate(
@@ -189,15 +200,15 @@
             )
 
     def _extent(self, version: int) -> Extent:
-        """Return what a whole reading holds."""
+        """Return how much of the source a snapshot covers."""
         if not self.is_informed:
             return Extent.COMPLETE
-        is_filling = self._clock() < self._check_at < float('inf')
+        is_filling = self._clock() < self._resync_at < float('inf')
         if is_filling or era_of(version) > era_of(self._version):
             return Extent.RESTORED
         return Extent.COMPLETE
 
-    def _take_all(
+    def _apply_snapshot(
         self,
         version: int,
         items: Mapping[str, Item],
@@ -205,12 +216,12 @@
     ) -> None:
         earlier = self._version
         self._version = version
-        self._changed_version = version
-        self._is_whole = True
-        self._held.replace(items)
+        self._last_change_version = version
+        self._has_snapshot = True
+        self._cache.replace(items)
         if 0 <= earlier and era_of(earlier) < era_of(version):
             if self._apply_restored is not None:
-                self._check_at = self._clock() + _FILLING_SECONDS
+                self._resync_at = self._clock() + _REPOPULATION_SECONDS
             decision(
                 'source_restored',
                 source=self.name,
@@ -219,38 +230,38 @@
                 items=len(items),
             )
         elif extent is Extent.COMPLETE or earlier < 0:
-            self._check_at = float('inf')
-            self._take(items, True)
+            self._resync_at = float('inf')
+            self._apply(items, True)
             return
         if self._apply_restored is None:
-            self._take(items, False)
+            self._apply(items, False)
         else:
             self._apply_restored(items)
 
     async def _read_changes(self) -> None:
         since = self._version
-        until_check = max(0, self._check_at - self._clock())
-        seconds = min(self._wait_seconds, until_check)
+        until_check = max(0, self._resync_at - self._clock())
+        seconds = min(self._poll_seconds, until_check)
         try:
-            changes = await self._path.ask(
+            changes = await self._reachability.read(
                 self._source.changes,
                 since,
                 seconds,
             )
         except HistoryLostError:
-            # Another node may have read everything and passed it on meanwhile.
+            # Another node may have read and shared a snapshot meanwhile.
             if self._version == since:
                 raise
             return
-        self._note_fresh()
-        # Another node's news may have come meanwhile.
+        self._note_contact()
+        # Another node's update may have arrived meanwhile.
         if changes.version <= self._version:
             return
-        earlier = self._changed_version
+        earlier = self._last_change_version
         self._version = changes.version
         if not changes.items:
             return
-        self._take_changes(changes.version, changes.items)
+        self._apply_changes(changes.version, changes.items)
         if self._sharing is not None:
             self._sharing.publish(
                 SourceUpdate(
@@ -258,105 +269,123 @@
                 ),
             )
 
-    def _take_changes(
+    def _apply_changes(
         self,
         version: int,
         items: Mapping[str, Item | None],
     ) -> None:
-        self._changed_version = version
-        self._held.change(items)
-        self._take(items, False)
-
-    async def _rest(self, started: float) -> None:
-        """Wait after a reading, until this node should read again."""
-        if self._is_silent:
-            self._is_silent = False
-            await self._path.renew()
-        if self._is_lost:
+        self._last_change_version = version
+        self._cache.apply_changes(items)
+        self._apply(items, False)
+
+    async def _wait_before_next_read(self, started: float) -> None:
+        """Wait after a read until this node should read again."""
+        if self._is_stalled:
+            self._is_stalled = False
+            await self._reachability.restart_reads()
+        if self._is_unreachable:
             decision('source_back', source=self.name, version=self._version)
-        self._is_lost = False
-        self._path.find()
+        self._is_unreachable = False
+        self._reachability.mark_reachable()
         self._read_at = self._clock()
-        self._pause = _FIRST_PAUSE_SECONDS
-        rest = self._gap(started) - (self._clock() - started)
-        if rest > 0:
-            await curio.sleep(rest)
+        self._retry_seconds = _MIN_RETRY_SECONDS
+        remaining = self._min_interval(started) - (self._clock() - started)
+        if remaining > 0:
+            await curio.sleep(remaining)
         if self._sharing is not None:
-            await self._leave_to_others(self._sharing, started)
+            await self._defer_to_shared_reader(self._sharing, started)
 
-    def _gap(self, now: float) -> float:
+    def _min_interval(self, now: float) -> float:
         if self._started_at is None:
             self._started_at = now
         if self._sharing is None:
-            return self._gap_seconds
-        gap = max(self._gap_seconds, self._sharing.gap_seconds())
-        is_starting = now - self._started_at < _START_SECONDS
-        return max(gap, _START_GAP_SECONDS) if is_starting else gap
+            return self._min_interval_seconds
+        min_interval = max(
+            self._min_interval_seconds, self._sharing.min_interval_seconds()
+        )
+        is_starting = now - self._started_at < _STARTUP_SECONDS
+        return (
+            max(min_interval, _STARTUP_MIN_INTERVAL_SECONDS)
+            if is_starting
+            else min_interval
+        )
 
-    async def _leave_to_others(
+    async def _defer_to_shared_reader(
         self,
         sharing: UpdateSharing[Item],
         started: float,
     ) -> None:
-        """Wait while another node reads, or may be about to."""
+        """Wait while another node reads, or may be about to start."""
         if self._started_at == started:
-            await self._meet_feeder(_MEET_SECONDS)
-        was_fed = False
-        while await self._be_fed():
-            was_fed = True
-            await self._meet_feeder(_TURN_SECONDS * sharing.turn())
-        if was_fed:
-            # Others rely on this node from now on.
-            await self._path.renew()
-
-    async def _meet_feeder(self, seconds: float) -> None:
-        """Wait for a while for the word of another node that reads."""
+            await self._await_shared_reader(_DISCOVERY_SECONDS)
+        had_shared_reader = False
+        while await self._follow_shared_reader():
+            had_shared_reader = True
+            await self._await_shared_reader(
+                _TAKEOVER_STEP_SECONDS * sharing.takeover_rank()
+            )
+        if had_shared_reader:
+            # Other nodes rely on this one from now on.
+            await self._reachability.restart_reads()
+
+    async def _await_shared_reader(self, seconds: float) -> None:
+        """Wait up to ``seconds`` for another node to announce that it reads."""
         until = self._clock() + seconds
-        while self._announced() is None and self._clock() < until:
-            await curio.sleep(_FED_LOOK_SECONDS)
+        while self._announced_version() is None and self._clock() < until:
+            await curio.sleep(_CHECK_INTERVAL_SECONDS)
 
-    async def _be_fed(self) -> bool:
-        """Wait while another node passes on what it reads.
+    async def _follow_shared_reader(self) -> bool:
+        """Wait while another node shares what it reads.
 
-        Return whether there was one that has gone; otherwise this node reads.
+        Return whether there was a shared reader that is gone now. Otherwise
+        this node has to read for itself at once.
         """
-        was_fed = False
+        had_shared_reader = False
         behind_since: float | None = None
-        announced_version = self._announced()
+        announced_version = self._announced_version()
         while announced_version is not None:
-            was_fed = True
-            self._note_fresh()
-            if self._clock() > self._check_at + _BEHIND_SECONDS:
+            had_shared_reader = True
+            self._note_contact()
+            if self._clock() > self._resync_at + _MAX_LAG_SECONDS:
                 return False
             if announced_version <= self._version:
                 behind_since = None
             elif behind_since is None:
                 behind_since = self._clock()
-            elif self._clock() - behind_since > _BEHIND_SECONDS:
+            elif self._clock() - behind_since > _MAX_LAG_SECONDS:
                 return False
-            await curio.sleep(_FED_LOOK_SECONDS)
-            announced_version = self._announced()
-        return was_fed
+            await curio.sleep(_CHECK_INTERVAL_SECONDS)
+            announced_version = self._announced_version()
+        return had_shared_reader
 
-    def _announced(self) -> int | None:
+    def _announced_version(self) -> int | None:
         return (
             None if self._sharing is None else self._sharing.announced_version()
         )
 
-    def _note_fresh(self) -> None:
-        """Take over that somebody's path to the source is good now."""
+    def _note_contact(self) -> None:
+        """Record that this or another node reaches the source."""
         now = self._clock()
-        if self._fresh_at is not None and now - self._fresh_at > _AWAY_SECONDS:
-            self._filled_at = now + _FILLING_SECONDS
-        self._fresh_at = now
-
-    async def _wait_after(self, error: PlatformUnavailableError) -> None:
-        if not self._is_lost:
-            self._is_lost = True
+        if (
+            self._last_contact_at is not None
+            and now - self._last_contact_at > _OUTAGE_SECONDS
+        ):
+            self._repopulated_at = now + _REPOPULATION_SECONDS
+        self._last_contact_at = now
+
+    async def _wait_after_failure(
+        self, error: PlatformUnavailableError
+    ) -> None:
+        if not self._is_unreachable:
+            self._is_unreachable = True
             decision('source_lost', source=self.name, why=str(error))
-        if isinstance(error, PlatformSilentError) and not self._is_silent:
-            self._is_silent = True
-            await self._path.renew()
+        if isinstance(error, PlatformSilentError) and not self._is_stalled:
+            self._is_stalled = True
+            await self._reachability.restart_reads()
         spread = 1 + self._random.uniform(-_JITTER, _JITTER)
-        await self._path.wait(self.name, self._pause * spread)
-        self._pause = min(self._path.max_retry_seconds, self._pause * 2)
+        await self._reachability.wait_to_retry(
+            self.name, self._retry_seconds * spread
+        )
+        self._retry_seconds = min(
+            self._reachability.max_retry_seconds, self._retry_seconds * 2
+        )
--- a/src/cranecart/fleet/_store_reachability.py
+++ b/src/cranecart/fleet/_store_reachability.py
@@ -1,7 +1,7 @@
-"""Whether a node reaches the store; one of its readers finds out for all.
+"""Track whether a node can reach the store, for all of its readers.
 
-While the store is away, or turns this node away, one reader asks and the others
-wait for it, as calls that are refused cost as much as others.
+While the store is down or refuses this node, a single reader probes it and the
+others wait, because rejected calls cost the store as much as others.
 """
 
 from collections.abc import Awaitable, Callable
@@ -15,93 +15,113 @@
 
 Answer = TypeVar('Answer')
 
-# Readers that wait for the one that asks look so often, and ask for themselves
-# if it has found nothing out for so long.
-_LOOK_SECONDS = 0.1
-_STANDBY_SECONDS = 5.0
-# With the spread of pauses, the store's return is found within a second.
-_LONGEST_PAUSE_SECONDS = 0.7
-# Where others reach the store, they tell this node what they read.
-_FED_PAUSE_SECONDS = 3.0
+# Waiting readers check this often whether the store is back, and try for
+# themselves if the probing reader has had no result for the maximum time.
+_CHECK_INTERVAL_SECONDS = 0.1
+_MAX_STANDBY_SECONDS = 5.0
+# With jitter, the recovery of the store is detected within a second.
+_MAX_RETRY_SECONDS = 0.7
+# Other nodes that reach the store share with this node what they read.
+_MAX_RETRY_SECONDS_WITH_SHARED_READER = 3.0
 
 
 @attrs.define
 class StoreReachability:
-    """A node's way to the store; ``is_fed`` tells whether others read it."""
+    """Reachability of the store from one node.
 
-    _is_fed: Callable[[], bool] = attrs.field(default=bool)
-    _asking: str = attrs.field(default='', init=False)
-    _renewed: curio.Event = attrs.field(factory=curio.Event, init=False)
+    ``has_shared_reader`` returns whether another node reads the store and
+    shares its updates with this node.
+    """
+
+    _has_shared_reader: Callable[[], bool] = attrs.field(default=bool)
+    _probing_reader: str = attrs.field(default='', init=False)
+    _restart_requested: curio.Event = attrs.field(
+        factory=curio.Event, init=False
+    )
 
     @property
     def is_unreachable(self) -> bool:
-        """Tell whether the last that was heard of the store is a failure."""
-        return bool(self._asking)
+        """Return whether the last call to the store failed."""
+        return bool(self._probing_reader)
 
     @property
     def max_retry_seconds(self) -> float:
-        """Return the most seconds between two tries of the one that asks."""
-        return _FED_PAUSE_SECONDS if self._is_fed() else _LONGEST_PAUSE_SECONDS
-
-    def find(self) -> None:
-        """Take over that the store has answered."""
-        self._asking = ''
-
-    async def renew(self) -> None:
-        """Have all readers ask anew that wait for an answer.
-
-        A connection that falls silent does not end, so that one which waits for
-        long would hear nothing for as long.
+        """Return the maximum delay between two tries of the probing reader."""
+        return (
+            _MAX_RETRY_SECONDS_WITH_SHARED_READER
+            if self._has_shared_reader()
+            else _MAX_RETRY_SECONDS
+        )
+
+    def mark_reachable(self) -> None:
+        """Record that the store has answered."""
+        self._probing_reader = ''
+
+    async def restart_reads(self) -> None:
+        """Make all readers that wait for an answer repeat their call.
+
+        A stalled connection is not closed, so a long poll on it would hang
+        until its timeout.
         """
-        renewed = self._renewed
-        self._renewed = curio.Event()
-        await renewed.set()
+        restart_requested = self._restart_requested
+        self._restart_requested = curio.Event()
+        await restart_requested.set()
 
-    async def ask(
+    async def read(
         self,
         call: Callable[[int, float], Awaitable[Answer]],
         since: int,
         seconds: float,
     ) -> Answer:
-        """Wait for a source's changes; raise ``ReadRenewedError``."""
+        """Wait for changes of a source.
+
+        Raise ``ReadRenewedError`` if ``restart_reads`` was called meanwhile.
+        """
         async with curio.TaskGroup(wait=any) as tasks:
-            asked = await tasks.spawn(_ask, call, since, seconds)
-            await tasks.spawn(self._renewed.wait)
-        if tasks.completed is not asked:
-            raise ReadRenewedError('this node has to ask anew')
-        answer: Answer | PlatformError = asked.result
+            reading = await tasks.spawn(_read_or_error, call, since, seconds)
+            await tasks.spawn(self._restart_requested.wait)
+        if tasks.completed is not reading:
+            raise ReadRenewedError(
+                'the read was restarted to use a new connection'
+            )
+        answer: Answer | PlatformError = reading.result
         if isinstance(answer, PlatformError):
             raise answer
         return answer
 
-    async def wait(self, reader: str, pause: float) -> None:
-        """Wait after a failure, until a reader should ask again."""
-        if not self._asking:
-            self._asking = reader
-        if self._asking == reader:
+    async def wait_to_retry(self, reader: str, pause: float) -> None:
+        """Wait after a failed call, until a reader should try again."""
+        if not self._probing_reader:
+            self._probing_reader = reader
+        if self._probing_reader == reader:
             await self._pause(pause)
             return
         waited = 0
-        while self._asking and waited * _LOOK_SECONDS < _STANDBY_SECONDS:
-            await curio.sleep(_LOOK_SECONDS)
+        while (
+            self._probing_reader
+            and waited * _CHECK_INTERVAL_SECONDS < _MAX_STANDBY_SECONDS
+        ):
+            await curio.sleep(_CHECK_INTERVAL_SECONDS)
             waited += 1
 
     async def _pause(self, seconds: float) -> None:
-        """Wait, but no longer once another node is found to reach the store."""
-        was_fed = self._is_fed()
+        """Wait, but stop early once another node turns out to be reading."""
+        had_shared_reader = self._has_shared_reader()
         until = since_boot() + seconds
-        left = seconds
-        while left > 0 and (was_fed or not self._is_fed()):
-            await curio.sleep(min(left, _LOOK_SECONDS))
-            left = until - since_boot()
+        remaining = seconds
+        while remaining > 0 and (
+            had_shared_reader or not self._has_shared_reader()
+        ):
+            await curio.sleep(min(remaining, _CHECK_INTERVAL_SECONDS))
+            remaining = until - since_boot()
 
 
-async def _ask(
+async def _read_or_error(
     call: Callable[[int, float], Awaitable[Answer]],
     since: int,
     seconds: float,
 ) -> Answer | PlatformError:
-    """Return an error instead of raising it, as a task that raises is logged."""
+    """Return errors instead of raising them, as curio logs tasks that raise."""
     try:
         return await call(since, seconds)
     except PlatformError as error:
--- a/src/cranecart/fleet/_updates.py
+++ b/src/cranecart/fleet/_updates.py
@@ -1,4 +1,4 @@
-"""What followers of the same source tell each other."""
+"""What followers of the same source share with each other."""
 
 import enum
 from collections.abc import Callable, Mapping
@@ -8,36 +8,37 @@
 
 Item = TypeVar('Item')
 
-# Where others depend on what a node reads, each answer shows that its path to
-# the store is good.
+# Length of a long poll of a node that other nodes rely on: every answer shows
+# that it still reaches the store.
 SHARED_POLL_SECONDS = 0.5
 
-# Takes items by key, ``None`` for one that is gone, and whether the items
-# are everything that there is.
+# Called with items by key, ``None`` for a removed item, and whether the items
+# are the complete contents of the source.
 ItemsConsumer = Callable[[Mapping[str, Item | None], bool], None]
-# Takes all items of a store that has come back from a copy.
+# Called with all items of a store that was restored from a backup.
 RestoredItemsConsumer = Callable[[Mapping[str, Item]], None]
 
 
 class Extent(enum.Enum):
-    """What a reading holds."""
+    """How much of a source an update covers."""
 
-    # What has changed.
+    # Only what has changed.
     CHANGES = 'changes'
-    # All that a store holds that has just come back from a copy; what it lacks
-    # may be there all the same.
+    # The contents of a store that was just restored from a backup; items that
+    # it lacks may still exist.
     RESTORED = 'restored'
-    # Everything that there is.
+    # The complete contents.
     COMPLETE = 'whole'
 
 
 @attrs.frozen
 class SourceUpdate(Generic[Item]):
-    """What a node has read, as of one version.
+    """What a node has read from a source, as of ``version``.
 
-    It holds what differs from the last change before it, that of the version
-    ``since``; with what was known then it gives all that ``extent`` says. Where
-    it does not follow a feed, nothing else had changed up to ``until``.
+    ``items`` are the differences from the contents at the version ``since``,
+    that of the last change before. Applied to those contents, they yield what
+    ``extent`` states. If the update was read as a snapshot and not as changes,
+    the contents had not changed between ``since`` and ``until``.
     """
 
     since: int
@@ -49,18 +50,18 @@
 
 @attrs.frozen
 class UpdateSharing(Generic[Item]):
-    """How a follower is spared from reading, and spares others.
-
-    ``announced`` returns the version of the last change that a node with a
-    good path to the store tells of, or nothing if this node must read for
-    itself; ``pass_on`` takes what this node has read. One read waits for
-    changes for ``wait_seconds``; ``gap_seconds`` returns the least time between
-    two reads as things stand, ``turn`` which in the row of nodes this one is
-    that go on reading once the reader is gone.
+    """How nodes share the updates of one reader instead of all reading.
+
+    ``announced_version`` returns the version of the last change announced by
+    a node that reaches the store, or ``None`` if this node has to read for
+    itself. ``publish`` sends to other nodes what this node has read. A read
+    waits up to ``poll_seconds`` for changes. ``min_interval_seconds`` returns
+    the current minimum time between two reads, ``takeover_rank`` the position
+    of this node in the order in which nodes replace a reader that is gone.
     """
 
     announced_version: Callable[[], int | None]
     publish: Callable[[SourceUpdate[Item]], None]
-    wait_seconds: float = SHARED_POLL_SECONDS
-    gap_seconds: Callable[[], float] = float
-    turn: Callable[[], int] = int
+    poll_seconds: float = SHARED_POLL_SECONDS
+    min_interval_seconds: Callable[[], float] = float
+    takeover_rank: Callable[[], int] = int
--- a/src/cranecart/serving/_knowledge.py
+++ b/src/cranecart/serving/_knowledge.py
@@ -59,7 +59,7 @@
     _declarations: SourceFollower[RouteConfig]
     _instances: SourceFollower[ListedInstance]
     _records: SourceFollower[Row]
-    path: StoreReachability
+    reachability: StoreReachability
 
     @classmethod
     def from_surroundings(
@@ -78,7 +78,7 @@
         small nodes for seconds.
         """
         mesh = taker.mesh
-        path = StoreReachability(
+        reachability = StoreReachability(
             lambda: mesh.announced_version(_LIST) is not None
         )
         return cls(
@@ -89,13 +89,13 @@
                 config.take_from_store,
                 source,
                 _DECLARATIONS_GAP_SECONDS,
-                path=path,
+                reachability=reachability,
             ),
             _list_follower(
                 taker,
                 surroundings.instances,
                 source,
-                path,
+                reachability,
                 leaving_seconds,
             ),
             SourceFollower(
@@ -105,10 +105,10 @@
                 source,
                 _RECORDS_GAP_SECONDS,
                 _sharing(mesh, _RECORDS, RecordNews),
-                path=path,
+                reachability=reachability,
                 apply_restored=taker.restore,
             ),
-            path,
+            reachability,
         )
 
     @property
@@ -180,7 +180,7 @@
     taker: RowTaker,
     instances: Source[ListedInstance],
     source: random.Random,
-    path: StoreReachability,
+    reachability: StoreReachability,
     leaving_seconds: float,
 ) -> SourceFollower[ListedInstance]:
     mesh = taker.mesh
@@ -199,10 +199,12 @@
         _LIST_GAP_SECONDS,
         attrs.evolve(
             _sharing(mesh, _LIST, ListNews),
-            wait_seconds=leaving_seconds * _LEAVING_PART,
-            gap_seconds=lambda: 0 if mesh.has_traffic() else _EARLY_GAP_SECONDS,
+            poll_seconds=leaving_seconds * _LEAVING_PART,
+            min_interval_seconds=lambda: (
+                0 if mesh.has_traffic() else _EARLY_GAP_SECONDS
+            ),
         ),
-        path=path,
+        reachability=reachability,
         apply_restored=taker.fleet.apply_restored_instances,
     )
     return follower
@@ -217,7 +219,7 @@
         lambda: mesh.announced_version(source),
         lambda news: mesh.publish_update(message(mesh.local.node_id, news)),
         LONG_POLL_SECONDS,
-        turn=mesh.state.roster.takeover_rank,
+        takeover_rank=mesh.state.roster.takeover_rank,
     )
 
 
--- a/src/cranecart/serving/_placement.py
+++ b/src/cranecart/serving/_placement.py
@@ -31,7 +31,7 @@
         mesh.demand,
         parts.tell_stopped,
         mesh.state.roster.is_isolated,
-        lambda: parts.knowledge.path.is_unreachable,
+        lambda: parts.knowledge.reachability.is_unreachable,
     )
     table = parts.surroundings.table
     return GroupPlacer(
--- a/tests/unit/test_follower.py
+++ b/tests/unit/test_follower.py
@@ -85,7 +85,7 @@
         self.second = Held()
         self.feeds = True
         self.loses_news = False
-        self.turn = 0
+        self.takeover_rank = 0
         self.reader = self._follower(
             self.source,
             self.first,
@@ -97,7 +97,7 @@
             UpdateSharing(
                 self._announced,
                 lambda _news: None,
-                turn=lambda: self.turn,
+                takeover_rank=lambda: self.takeover_rank,
             ),
         )
 
@@ -176,7 +176,7 @@
             random.Random(1),
             apply_restored=lambda items: restored.append(dict(items)),
         )
-        follower._take_all(9, {'a': '1'}, Extent.COMPLETE)
+        follower._apply_snapshot(9, {'a': '1'}, Extent.COMPLETE)
         later = version_in(1, 5)
         differences = {'a': None, 'b': '2'}
         follower.apply_update(
@@ -198,7 +198,7 @@
             held.take,  # type: ignore[arg-type]
             random.Random(1),
         )
-        follower._take_all(9, {'a': '1'}, Extent.COMPLETE)
+        follower._apply_snapshot(9, {'a': '1'}, Extent.COMPLETE)
         follower.apply_update(
             SourceUpdate(7, 12, {'b': '2'}, Extent.COMPLETE, 10)
         )
@@ -213,7 +213,7 @@
             held.take,  # type: ignore[arg-type]
             random.Random(1),
         )
-        follower._take_all(9, {'a': '1'}, Extent.COMPLETE)
+        follower._apply_snapshot(9, {'a': '1'}, Extent.COMPLETE)
         follower.apply_update(
             SourceUpdate(10, 12, {'b': '2'}, Extent.COMPLETE, 11)
         )
@@ -301,7 +301,7 @@
 
     async def _take_turns(self) -> None:
         pair, tasks = await self._both()
-        pair.turn = 2
+        pair.takeover_rank = 2
         await tasks[0].cancel()
         before = pair.source.reads
         pair.feeds = False
--- a/tests/unit/test_restored_list.py
+++ b/tests/unit/test_restored_list.py
@@ -28,61 +28,61 @@
         """List three instances."""
         self.instance_list = InstanceList(IncarnationTracker(float))
         self.copy = {name: _entry(name) for name in ('a', 'b', 'c')}
-        self.instance_list.take(self.copy, True)
+        self.instance_list.apply(self.copy, True)
 
     def test_a_leaving_instance_is_ready_in_a_copy(self) -> None:
         """It leaves all the same, as lives do not turn back."""
-        self.instance_list.take({'a': _entry('a', leaving=True)}, False)
-        self.instance_list.restore(self.copy, 0)
+        self.instance_list.apply({'a': _entry('a', leaving=True)}, False)
+        self.instance_list.apply_restored(self.copy, 0)
         self.assertEqual(self._taking(), {'b', 'c'})
-        self.instance_list.take(self.copy, True)
+        self.instance_list.apply(self.copy, True)
         self.assertEqual(self._taking(), {'b', 'c'})
 
     def test_an_instance_that_had_gone_is_in_a_copy(self) -> None:
         """It may serve on without a word, but takes nothing new."""
-        self.instance_list.take({'a': None}, False)
-        self.instance_list.restore(self.copy, 0)
+        self.instance_list.apply({'a': None}, False)
+        self.instance_list.apply_restored(self.copy, 0)
         self.assertEqual(self._taking(), {'b', 'c'})
-        self.instance_list.take(self.copy, True)
+        self.instance_list.apply(self.copy, True)
         self.assertEqual(self._taking(), {'b', 'c'})
         self.instance_list.accept_unconfirmed(_SILENT_SECONDS)
         self.assertEqual(self._taking(), {'b', 'c'})
 
     def test_an_instance_that_had_gone_is_written_again(self) -> None:
         """Its entry had lapsed, and it lives."""
-        self.instance_list.take({'a': None}, False)
-        self.instance_list.restore(self.copy, 0)
-        self.instance_list.take({'a': self.copy['a']}, False)
+        self.instance_list.apply({'a': None}, False)
+        self.instance_list.apply_restored(self.copy, 0)
+        self.instance_list.apply({'a': self.copy['a']}, False)
         self.assertEqual(self._taking(), {'a', 'b', 'c'})
 
     def test_an_entry_that_stands_is_of_a_living_instance(self) -> None:
         """The store drops what is silent for three heartbeats."""
-        self.instance_list.take({'a': None}, False)
-        self.instance_list.restore(self.copy, 0)
+        self.instance_list.apply({'a': None}, False)
+        self.instance_list.apply_restored(self.copy, 0)
         self.assertEqual(self.instance_list.accept_unconfirmed(4.1), ['a'])
         self.assertEqual(self._taking(), {'a', 'b', 'c'})
 
     def test_an_awaited_entry_goes(self) -> None:
         """The store has dropped it, so that nothing is waited for."""
-        self.instance_list.take({'a': None}, False)
-        self.instance_list.restore(self.copy, 0)
-        self.instance_list.take({'a': None}, False)
+        self.instance_list.apply({'a': None}, False)
+        self.instance_list.apply_restored(self.copy, 0)
+        self.instance_list.apply({'a': None}, False)
         self.assertEqual(self.instance_list.accept_unconfirmed(9), [])
         self.assertEqual(self._taking(), {'b', 'c'})
 
     def test_an_awaited_entry_is_missing_in_a_whole_list(self) -> None:
         """The store has dropped it meanwhile."""
-        self.instance_list.take({'a': None}, False)
-        self.instance_list.restore(self.copy, 0)
+        self.instance_list.apply({'a': None}, False)
+        self.instance_list.apply_restored(self.copy, 0)
         whole = {name: self.copy[name] for name in ('b', 'c')}
-        self.instance_list.take(whole, True)
+        self.instance_list.apply(whole, True)
         self.assertEqual(self.instance_list.accept_unconfirmed(9), [])
 
     def test_what_a_copy_lacks_is_there(self) -> None:
         """It is written again, and taken for gone only after that."""
-        self.instance_list.restore({'b': self.copy['b']}, 0)
+        self.instance_list.apply_restored({'b': self.copy['b']}, 0)
         self.assertEqual(self._taking(), {'a', 'b', 'c'})
-        self.instance_list.take({'b': self.copy['b']}, True)
+        self.instance_list.apply({'b': self.copy['b']}, True)
         self.assertEqual(self._taking(), {'b'})
 
     def _taking(self) -> set[str]:
--- a/tests/unit/test_returning_list.py
+++ b/tests/unit/test_returning_list.py
@@ -34,13 +34,13 @@
     def setUp(self) -> None:
         """List them all."""
         self.instance_list = InstanceList(IncarnationTracker(float))
-        self.instance_list.take({name: _entry(name) for name in _NAMES}, True)
+        self.instance_list.apply({name: _entry(name) for name in _NAMES}, True)
 
     def test_many_are_kept_after_the_stores_return(self) -> None:
         """They count as there until they had time to come back."""
-        self.instance_list.take(dict.fromkeys(_NAMES[:12]), False, _UNTIL)
+        self.instance_list.apply(dict.fromkeys(_NAMES[:12]), False, _UNTIL)
         self.assertEqual(len(self.instance_list.instances), len(_NAMES))
-        self.instance_list.take({_NAMES[0]: _entry(_NAMES[0])}, False, _UNTIL)
+        self.instance_list.apply({_NAMES[0]: _entry(_NAMES[0])}, False, _UNTIL)
         self.assertEqual(self.instance_list.expire_missing(_UNTIL - 0.1), [])
         gone = self.instance_list.expire_missing(_UNTIL)
         self.assertEqual(set(gone), set(_NAMES[1:12]))
@@ -50,34 +50,34 @@
     def test_a_whole_list_lacks_them_too(self) -> None:
         """Nor does reading them again make it longer."""
         kept = {name: _entry(name) for name in _NAMES[12:]}
-        self.instance_list.take(kept, True, _UNTIL)
-        self.instance_list.take(kept, True, _UNTIL + 1)
+        self.instance_list.apply(kept, True, _UNTIL)
+        self.instance_list.apply(kept, True, _UNTIL + 1)
         self.assertEqual(len(self.instance_list.instances), len(_NAMES))
         self.assertEqual(len(self.instance_list.expire_missing(_UNTIL)), 12)
 
     def test_ordinary_deaths_count_at_once(self) -> None:
         """Also the few that died while the store was away."""
-        self.instance_list.take(dict.fromkeys(_NAMES[:12]), False)
+        self.instance_list.apply(dict.fromkeys(_NAMES[:12]), False)
         self.assertEqual(len(self.instance_list.instances), len(_NAMES) - 12)
-        self.instance_list.take(dict.fromkeys(_NAMES[12:14]), False, _UNTIL)
+        self.instance_list.apply(dict.fromkeys(_NAMES[12:14]), False, _UNTIL)
         self.assertEqual(len(self.instance_list.instances), len(_NAMES) - 14)
 
     def test_those_that_leave_are_let_go(self) -> None:
         """They had said so before the store was away."""
         leaving = attrs.evolve(_entry(_NAMES[0]), leaving=True)
-        self.instance_list.take({_NAMES[0]: leaving}, False)
-        self.instance_list.take(dict.fromkeys(_NAMES[:12]), False, _UNTIL)
+        self.instance_list.apply({_NAMES[0]: leaving}, False)
+        self.instance_list.apply(dict.fromkeys(_NAMES[:12]), False, _UNTIL)
         self.assertNotIn(_NAMES[0], self.instance_list.instances)
         self.assertIn(_NAMES[1], self.instance_list.instances)
 
     def test_lives_are_told_as_ever(self) -> None:
         """One that came back as another life is that life."""
         old = attrs.evolve(_entry('x'), born=1)
-        self.instance_list.take({'x': old}, False)
-        self.instance_list.take(dict.fromkeys(['x', *_NAMES]), False, _UNTIL)
+        self.instance_list.apply({'x': old}, False)
+        self.instance_list.apply(dict.fromkeys(['x', *_NAMES]), False, _UNTIL)
         new = attrs.evolve(_entry('x'), born=2)
         self.assertEqual(
-            self.instance_list.take({'x': new}, False, _UNTIL), ['x']
+            self.instance_list.apply({'x': new}, False, _UNTIL), ['x']
         )
         self.instance_list.expire_missing(_UNTIL)
         self.assertEqual(self.instance_list.instances['x'].born, 2)
--- a/tests/unit/test_store_reachability.py
+++ b/tests/unit/test_store_reachability.py
@@ -26,7 +26,7 @@
 
     def __init__(self) -> None:
         self.source = FakeSource(items={'a': '1'}, down=True)
-        self.path = StoreReachability()
+        self.reachability = StoreReachability()
         self.held = {name: Held() for name in _READERS}
         self.followers = [
             SourceFollower(
@@ -34,7 +34,7 @@
                 self.source,
                 held.take,  # type: ignore[arg-type]
                 random.Random(name),
-                path=self.path,
+                reachability=self.reachability,
             )
             for name, held in self.held.items()
         ]
@@ -147,7 +147,7 @@
         await curio.sleep(0.3)
         reads = node.source.reads
         refused.down = True
-        await until(lambda: node.path.is_unreachable)
+        await until(lambda: node.reachability.is_unreachable)
         await curio.sleep(0.3)
         self.assertEqual(node.source.reads, reads)
         await tasks.cancel_remaining()
@@ -158,19 +158,19 @@
         tasks = await node.run()
         await until(node.all_synced)
         node.source.down = True
-        await until(lambda: node.path.is_unreachable)
+        await until(lambda: node.reachability.is_unreachable)
         await tasks.cancel_remaining()
 
     async def _lose_store(self) -> None:
         node = _NodeReaders()
         tasks = await node.run()
         await curio.sleep(2.5)
-        self.assertTrue(node.path.is_unreachable)
+        self.assertTrue(node.reachability.is_unreachable)
         # Pauses of 0.1, 0.2, 0.4, 0.8 and 1 s, each at least half as long.
         self.assertLessEqual(node.source.reads, len(_READERS) + 6)
         node.source.down = False
         await until(node.all_synced, 2)
-        self.assertFalse(node.path.is_unreachable)
+        self.assertFalse(node.reachability.is_unreachable)
         await tasks.cancel_remaining()
 
     async def _fail_one_source(self) -> None:
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -258,7 +258,7 @@
     Mutation(
         'entries-that-lapsed-in-an-outage-are-gone',
         'fleet/_instance_list.py',
-        'if kept_until and self._are_many(gone):',
+        'if grace_until and self._is_mass_lapse(gone):',
         'if False:',
         'tests.unit.test_returning_list.MissingEntriesTest'
         '.test_many_are_kept_after_the_stores_return',
@@ -266,7 +266,7 @@
     Mutation(
         'each-reader-asks-a-store-that-is-away',
         'fleet/_store_reachability.py',
-        'if self._asking == reader:',
+        'if self._probing_reader == reader:',
         'if True:',
         'tests.unit.test_store_reachability.StoreReachabilityTest'
         '.test_one_reader_polls_an_unreachable_store',
@@ -361,7 +361,8 @@
     Mutation(
         'what-had-gone-is-not-awaited',
         'fleet/_instance_list.py',
-        'if name not in self.instances and item.incarnation in self._gone',
+        'if name not in self.instances\n'
+        '            and item.incarnation in self._lapsed_incarnations',
         'if not name',
         f'{_RESTORED}.test_gone_target_taken_again_from_a_copy',
     ),
