--- a/tests/lib/calls.py
+++ b/tests/lib/calls.py
@@ -1,19 +1,19 @@
-"""Calls for the tests of decisions."""
+"""Calls for unit tests."""
 
 import time
 
 from cranecart.targets import ServiceCall
 
-_SECONDS = 600
+_DEADLINE_SECONDS = 600
 
 
 def non_repeatable_call(body: bytes = b'{}') -> ServiceCall:
-    """Make a confirmation under one idempotency key."""
+    """Return a non-repeatable call with a fixed idempotency key."""
     return ServiceCall(
         request_id='r',
         organisation='o',
         body=body,
-        deadline=time.monotonic() + _SECONDS,
+        deadline=time.monotonic() + _DEADLINE_SECONDS,
         repeatable=False,
         idempotency_key='k',
         service='s',
--- a/tests/lib/fake_targets.py
+++ b/tests/lib/fake_targets.py
@@ -1,4 +1,4 @@
-"""Targets that a test scripts, behind a gateway in the same process."""
+"""Scripted targets and a gateway in the same process."""
 
 import random
 import socket
@@ -71,7 +71,7 @@
         signature: str = 'sig',
         extra: str = '',
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         answered_id = request_id or self.headers['request-id']
         signed = f'replica-signature: {signature}\r\n' if signature else ''
         head = (
@@ -93,7 +93,7 @@
         )
 
     async def events(self, first: int, last: int) -> None:
-        """Send some events, a chunk each."""
+        """Send some events, each in a chunk of its own."""
         for number in range(first, last + 1):
             await self.chunk(f'id: {number}\ndata: {number}\n\n'.encode())
 
@@ -102,13 +102,17 @@
         await self.sock.sendall(b'%x\r\n%b\r\n' % (len(data), data))
 
     async def end_stream(self) -> None:
-        """End the chunks."""
+        """Send the final chunk."""
         await self.sock.sendall(b'0\r\n\r\n')
 
 
 @attrs.define
 class FakeTarget:
-    """A listener whose answers a script gives, request by request."""
+    """A server that runs a script for each request.
+
+    ``received`` holds all requests, ``closed`` counts the connections that the
+    gateway closed.
+    """
 
     name: str
     script: Script
@@ -120,7 +124,7 @@
 
     @property
     def address(self) -> Address:
-        """Return where it listens."""
+        """Return the address that it listens on."""
         return Address(*self._listener.getsockname()[:2])
 
     async def run(self) -> None:
@@ -171,7 +175,7 @@
     sock: curio.io.Socket,
     parser: h11.Connection,
 ) -> list[h11.Event]:
-    """Return the events of one request; none where the client closed."""
+    """Return the events of one request, none if the client closed."""
     events: list[h11.Event] = []
     while not events or not isinstance(events[-1], h11.EndOfMessage):
         event = parser.next_event()
@@ -186,11 +190,11 @@
 
 
 class RunnableTarget(Protocol):
-    """Anything that serves at an address."""
+    """A target other than a scripted one."""
 
     @property
     def address(self) -> Address:
-        """Return where it listens."""
+        """Return the address that it listens on."""
 
     async def run(self) -> None:
         """Serve until cancelled."""
@@ -198,12 +202,15 @@
 
 @attrs.frozen
 class ClientAnswer:
-    """What a client got; ``is_whole`` tells whether it ended properly."""
+    """The response that a client received.
+
+    ``is_complete`` tells whether it was received to its end.
+    """
 
     status: int
     headers: Headers
     body: bytes
-    is_whole: bool
+    is_complete: bool
 
 
 def route(name: str, **changes: Any) -> Route:
@@ -255,7 +262,7 @@
 
 
 class GatewayTestbed:
-    """A gateway before scripted targets, all in one event loop."""
+    """A gateway with scripted targets, all in one event loop."""
 
     def __init__(
         self,
@@ -265,9 +272,9 @@
         other_targets: Mapping[str, RunnableTarget] | None = None,
         seed: int = 1,
     ) -> None:
-        """Build a target a script; nothing runs until ``run``.
+        """Create a target for each script; ``run`` starts them.
 
-        ``others`` are targets that do not follow scripts, by instance.
+        ``other_targets`` are targets that do not follow scripts, by instance.
         """
         self.targets: list[FakeTarget] = [
             FakeTarget(f'i{number}', script)
@@ -300,9 +307,9 @@
         )
         self.fleet.apply_records({one.key: one for one in records}, True)
         source = random.Random(seed)
-        # Instances that all nodes were told to pass over.
+        # Instances that were reported as broken to all nodes.
         self.reported_broken: list[str] = []
-        # How a test has this node share targets with others, and tell them.
+        # How the node shares targets with other nodes and informs them.
         self.sharing_node_count: CountSharingNodes = _share_with_nobody
         self.publish_limits: Callable[[Sequence[LimitUpdate]], None] = (
             _publish_to_nobody
@@ -320,7 +327,7 @@
             throttle=self._gate(),
         )
         self.connections = TargetConnectionPool()
-        # Told of requests that end targets.
+        # Called with updates on requests that crash targets.
         self.publish_cases: Callable[[Sequence[CaseUpdate]], None] = (
             _publish_to_nobody
         )
@@ -352,16 +359,16 @@
 
     async def run(
         self,
-        play: Callable[['GatewayTestbed'], Awaitable[None]],
+        scenario: Callable[['GatewayTestbed'], Awaitable[None]],
     ) -> None:
-        """Run everything while a play lasts."""
+        """Run the targets and the gateway while a scenario runs."""
         self.server.open()
         tasks = [
             await curio.spawn(one.run) for one in self._all_targets.values()
         ]
         tasks.append(await curio.spawn(self.server.run))
         try:
-            await play(self)
+            await scenario(self)
         finally:
             for task in tasks:
                 await task.cancel()
@@ -375,7 +382,7 @@
         deadline_ms: int = 3000,
         request_id: str = 'r1',
     ) -> ClientAnswer:
-        """Ask the gateway as a client does."""
+        """Send a request to the gateway as a client does."""
         connection = await HttpConnection.open(self.server.address)
         request = client_request(path, key, body, deadline_ms, request_id)
         try:
@@ -384,7 +391,7 @@
             await connection.close()
 
     def make_unreachable(self, name: str) -> None:
-        """List a target at an address where nothing listens."""
+        """Change a target's listed address to one where nothing listens."""
         listed = self.fleet.instances[name]
         gone = attrs.evolve(listed, address=Address(listed.address.host, 1))
         self.fleet.apply_instances({name: gone}, False)
@@ -423,7 +430,7 @@
     deadline_ms: int = 3000,
     request_id: str = 'r1',
 ) -> Request:
-    """Return a client's request."""
+    """Return a request as a client sends it."""
     headers = {
         'host': HOST,
         'request-id': request_id,
@@ -449,7 +456,7 @@
 
 
 def instance(name: str, address: Address, service: str) -> ListedInstance:
-    """Return a listed instance that is the head of a replica of its own."""
+    """Return a listed instance that is a replica of its own."""
     membership = Membership(name, 1, 0, MemberPhase.OPEN)
     return ListedInstance(
         name,
@@ -462,9 +469,9 @@
 
 
 def _publish_to_nobody(_news: object) -> None:
-    """Be a node without others."""
+    """Do nothing, as there are no other nodes."""
 
 
 def _share_with_nobody(_domain: str, _name: str, _most: int) -> int:
-    """Share targets with no other node."""
+    """Return one node, as there are no others."""
     return 1
--- a/tests/unit/test_connection_reuse.py
+++ b/tests/unit/test_connection_reuse.py
@@ -1,11 +1,10 @@
-"""Connections that owe something, or hold something back, are not used on.
-
-A cold review of the mend for answers that were another request's found the
-same class where no caller had met it yet: the end of an answer that was read
-ahead stayed on a kept connection ('sent no response' to the next request), a
-native refusal was believed before its name was compared, and answers too many
-that never ended held a call beyond its deadline and the node with it (19.2 s
-for a call of 0.5 s).
+"""Connections with unread or surplus data are not reused.
+
+A review after clients had received responses of other requests found three more
+faults of this kind. The end of a response, parsed ahead, stayed on an idle
+connection, so that the next request got no response. A native 'not run' was
+accepted before the request id was compared. Endless surplus responses held a
+call beyond its deadline, and the node with it: 19.2 s for a deadline of 0.5 s.
 """
 
 import itertools
@@ -39,8 +38,8 @@
 )
 
 _STYLE = AnswerStyle('request-id', more=(('replica-signature', 'sig'),))
-_HERE = Address('127.0.0.1', 0)
-_EXTRA = Turn((ExtraAnswer(),))
+_ANY_PORT = Address('127.0.0.1', 0)
+_SURPLUS_RESPONSE = Turn((ExtraAnswer(),))
 
 
 @attrs.define
@@ -52,15 +51,17 @@
 
 
 @attrs.define
-class _Asking:
-    """Asks a target on connections of a pool, one request after another."""
+class _PoolClient:
+    """Sends requests to a target one after the other, over a pool."""
 
     pool: TargetConnectionPool
     target: StutteringService
     _numbers: 'itertools.count[int]' = attrs.field(factory=itertools.count)
 
-    async def ask(self, *, require_recent: bool, is_read: bool = True) -> None:
-        """Ask once; leave before the end unless it is to be read."""
+    async def ask(
+        self, *, require_recent: bool, read_fully: bool = True
+    ) -> None:
+        """Send a request and read all or only the start of the response."""
         instance = ListedInstance('i', PLAIN, self.target.address, 'east', 13)
         connection = await self.pool.acquire(
             instance, require_recent=require_recent
@@ -68,179 +69,198 @@
         number = next(self._numbers)
         request = client_request('/safe/x', request_id=f'r{number}')
         await connection.send_and_read_head(request)
-        await (connection.read_body() if is_read else connection.read_chunk())
+        await (
+            connection.read_body() if read_fully else connection.read_chunk()
+        )
         await self.pool.release(instance, connection)
 
 
-def _with_target(
+def _connections_opened(
     turns: 'itertools.repeat[Turn] | tuple[Turn, ...]',
-    play: Callable[[StutteringService], object],
+    scenario: Callable[[StutteringService], object],
 ) -> int:
-    """Play against a target; return how many connections it accepted."""
-    target = StutteringService(_HERE, _STYLE, turns)
-    curio.run(_served, target, play)
+    """Run a scenario; return how many connections the target accepted."""
+    target = StutteringService(_ANY_PORT, _STYLE, turns)
+    curio.run(_run_with_target, target, scenario)
     return target.connections
 
 
-async def _served(
+async def _run_with_target(
     target: StutteringService,
-    play: Callable[[StutteringService], object],
+    scenario: Callable[[StutteringService], object],
 ) -> None:
     serving = await curio.spawn(target.run)
     try:
-        await play(target)  # type: ignore[misc]
+        await scenario(target)  # type: ignore[misc]
     finally:
         await serving.cancel()
 
 
-class KeptConnectionTest(unittest.TestCase):
-    """What is given back, and what is lent again."""
+class TargetConnectionPoolTest(unittest.TestCase):
+    """Which released connections are reused."""
 
-    def test_one_that_was_left_before_the_end(self) -> None:
-        """Its end, read ahead already, is not the next answer's."""
-        self.assertEqual(_with_target((), _leave_early), 2)
+    def test_partly_read_connection_is_not_reused(self) -> None:
+        """Its end, parsed already, would be taken for the next response."""
+        self.assertEqual(_connections_opened((), _stop_reading_early), 2)
 
-    def test_one_that_dropped_an_answer(self) -> None:
-        """It may owe another."""
+    def test_connection_with_discarded_response_is_not_reused(self) -> None:
+        """The target may send further surplus responses on it."""
         late = Turn((ExtraAnswer(moment=Moment.NEXT),))
-        target = StutteringService(_HERE, _STYLE, (late,))
+        target = StutteringService(_ANY_PORT, _STYLE, (late,))
         curio.run(
             GatewayTestbed(service=PLAIN, other_targets={'s': target}).run,
-            _three_calls,
+            _make_three_calls,
         )
         self.assertEqual(target.connections, 2)
 
-    def test_run_once_calls_of_a_doubted_target(self) -> None:
-        """Each goes on a connection of its own, and few are kept."""
-        self.assertEqual(_with_target((_EXTRA,), _doubted), 6)
+    def test_non_repeatable_calls_to_an_unreliable_target(self) -> None:
+        """Each uses a new connection, and few of these stay open."""
+        self.assertEqual(
+            _connections_opened((_SURPLUS_RESPONSE,), _call_unreliable_target),
+            6,
+        )
 
-    def test_doubt_ends(self) -> None:
-        """Later calls share connections again."""
-        self.assertEqual(_with_target((_EXTRA,), _doubted_then_not), 2)
+    def test_target_becomes_reliable_again(self) -> None:
+        """Later calls reuse connections again."""
+        self.assertEqual(
+            _connections_opened(
+                (_SURPLUS_RESPONSE,), _call_until_reliable_again
+            ),
+            2,
+        )
 
-    def test_a_clients_short_deadline_is_no_doubt(self) -> None:
-        """The target did nothing wrong."""
+    def test_client_deadline_does_not_make_a_target_unreliable(self) -> None:
+        """The target is not at fault."""
         opened: list[int] = []
-        play = _ShortDeadline(opened)
-        curio.run(GatewayTestbed(_slow_when_asked, service=PLAIN).run, play.run)
+        scenario = _ShortDeadlineClient(opened)
+        curio.run(
+            GatewayTestbed(_delay_slow_request, service=PLAIN).run, scenario.run
+        )
         self.assertLessEqual(opened[0], 3)
 
-    def test_behind_a_thousand_descriptors(self) -> None:
-        """A node may hold thousands of clients."""
-        held = [os.open('/dev/null', os.O_RDONLY) for _number in range(1100)]
-        for one in held:
+    def test_more_than_a_thousand_descriptors(self) -> None:
+        """A node may hold thousands, and select supports only 1,024."""
+        descriptors = [
+            os.open('/dev/null', os.O_RDONLY) for _number in range(1100)
+        ]
+        for one in descriptors:
             self.addCleanup(os.close, one)
-        self.assertEqual(_with_target((), _twice_on_one), 1)
+        self.assertEqual(_connections_opened((), _make_two_calls), 1)
 
 
-class PoolTest(unittest.TestCase):
-    """The pool to the store, to engines and for orders."""
+class HttpConnectionPoolTest(unittest.TestCase):
+    """The pool for the store, for engines and for orders."""
 
-    def test_uneven_ones_are_closed(self) -> None:
-        """Bytes came behind the answer."""
-        self.assertEqual(_with_target((_EXTRA,), _pooled), 2)
+    def test_desynchronized_connections_are_closed(self) -> None:
+        """Data arrived after the response."""
+        self.assertEqual(
+            _connections_opened((_SURPLUS_RESPONSE,), _make_pooled_calls), 2
+        )
 
-    def test_ones_that_spoke_meanwhile_are_closed(self) -> None:
-        """What came while it was idle is no answer."""
+    def test_connections_with_unrequested_data_are_closed(self) -> None:
+        """Data that arrives on an idle connection is no response."""
         late = Turn((ExtraAnswer(moment=Moment.LATER),))
-        self.assertEqual(_with_target((late,), _pooled), 2)
+        self.assertEqual(_connections_opened((late,), _make_pooled_calls), 2)
 
 
-class BoundsTest(unittest.TestCase):
-    """Answers too many cost no more than the call that they come to."""
+class SurplusResponseLimitTest(unittest.TestCase):
+    """Surplus responses affect only the call that receives them."""
 
-    def test_a_target_that_answers_only_others(self) -> None:
-        """The call goes to the other target, in time."""
+    def test_target_that_answers_only_other_requests(self) -> None:
+        """The call succeeds at the other target in time."""
         answers: list[ClientAnswer] = []
-        testbed = GatewayTestbed(_answers_others, _fine, service=PLAIN)
-        curio.run(testbed.run, _Safe(answers).run)
+        testbed = GatewayTestbed(
+            _answer_other_requests, _succeed, service=PLAIN
+        )
+        curio.run(testbed.run, _RepeatableClient(answers).run)
         self.assertEqual({one.status for one in answers}, {200})
 
-    def test_answers_without_end(self) -> None:
-        """Neither the call nor the node is held by them."""
+    def test_endless_responses(self) -> None:
+        """Neither the call nor the node is blocked by them."""
         started = time.monotonic()
-        testbed = GatewayTestbed(_pours, service=PLAIN)
+        testbed = GatewayTestbed(_send_endless_responses, service=PLAIN)
         answers: list[ClientAnswer] = []
-        curio.run(testbed.run, _Unsafe(answers).run)
+        curio.run(testbed.run, _NonRepeatableClient(answers).run)
         self.assertEqual({one.status for one in answers}, {502})
         self.assertLess(time.monotonic() - started, 1.5)
 
 
-class NativeTest(unittest.TestCase):
-    """The native protocol's answers."""
+class NativeCompletionTest(unittest.TestCase):
+    """Responses in the native protocol."""
 
-    def test_a_late_refusal(self) -> None:
-        """'Not run' is believed only of the call that it names."""
+    def test_late_refusal_of_another_call(self) -> None:
+        """'Not run' applies only to the call that the response names."""
         with self.assertRaises(TargetBrokenError):
             curio.run(
-                GatewayTestbed(_LateRefusal().script).run, _two_completions
+                GatewayTestbed(_LateRefusal().script).run,
+                _request_two_completions,
             )
 
 
-class MovedStreamTest(unittest.TestCase):
-    """Events behind a move."""
+class ResumedStreamTest(unittest.TestCase):
+    """Events of a stream after it was resumed."""
 
-    def test_events_that_fall_back(self) -> None:
-        """Each must be behind the one before, not the first only."""
-        for behind in (
+    def test_event_ids_must_ascend(self) -> None:
+        """Each event is checked, not only the first one."""
+        for later_events in (
             b'id: 5\ndata: e\n\nid: 1\ndata: a\n\n',
             b'id: 4\ndata: d\n\n',
         ):
-            with self.subTest(behind):
+            with self.subTest(later_events):
                 splitter = EventSplitter()
                 splitter.feed(b'id: 4\ndata: d\n\n')
                 splitter.restart()
                 with self.assertRaises(TargetBrokenError):
-                    splitter.feed(behind)
+                    splitter.feed(later_events)
 
 
-class UnnamedRequestTest(unittest.TestCase):
-    """A request without an id, which no answer can name."""
+class RequestWithoutIdTest(unittest.TestCase):
+    """A request without an id, to which no response can be matched."""
 
-    def test_it_shares_no_connection(self) -> None:
-        """What comes on a connection of its own is its own."""
+    def test_uses_a_new_connection(self) -> None:
+        """Only then its response cannot be that of another request."""
         bodies: list[bytes] = []
-        testbed = GatewayTestbed(_marked_twice, service=PLAIN)
-        curio.run(testbed.run, _Unnamed(bodies).run)
+        testbed = GatewayTestbed(_respond_twice, service=PLAIN)
+        curio.run(testbed.run, _ClientWithoutId(bodies).run)
         self.assertEqual(bodies, [b'a', b'b', b'c'])
 
 
-async def _leave_early(target: StutteringService) -> None:
-    asking = _Asking(TargetConnectionPool(), target)
-    await asking.ask(require_recent=False, is_read=False)
-    await asking.ask(require_recent=False)
+async def _stop_reading_early(target: StutteringService) -> None:
+    client = _PoolClient(TargetConnectionPool(), target)
+    await client.ask(require_recent=False, read_fully=False)
+    await client.ask(require_recent=False)
 
 
-async def _three_calls(testbed: GatewayTestbed) -> None:
+async def _make_three_calls(testbed: GatewayTestbed) -> None:
     for number in range(3):
         answer = await testbed.ask('/safe/x', request_id=f'r{number}')
         assert answer.body == own_body(f'r{number}')
 
 
-async def _doubted(target: StutteringService) -> None:
-    asking = _Asking(TargetConnectionPool(), target)
-    await asking.ask(require_recent=False)
+async def _call_unreliable_target(target: StutteringService) -> None:
+    client = _PoolClient(TargetConnectionPool(), target)
+    await client.ask(require_recent=False)
     for _number in range(5):
-        await asking.ask(require_recent=True)
-    assert asking.pool.idle_count('i') <= 2
+        await client.ask(require_recent=True)
+    assert client.pool.idle_count('i') <= 2
 
 
-async def _doubted_then_not(target: StutteringService) -> None:
+async def _call_until_reliable_again(target: StutteringService) -> None:
     clock = _Clock()
-    asking = _Asking(TargetConnectionPool(clock), target)
-    await asking.ask(require_recent=False)
+    client = _PoolClient(TargetConnectionPool(clock), target)
+    await client.ask(require_recent=False)
     clock.now += 11
-    await asking.ask(require_recent=True)
-    await asking.ask(require_recent=True)
+    await client.ask(require_recent=True)
+    await client.ask(require_recent=True)
 
 
-async def _twice_on_one(target: StutteringService) -> None:
-    asking = _Asking(TargetConnectionPool(), target)
-    await asking.ask(require_recent=True)
-    await asking.ask(require_recent=True)
+async def _make_two_calls(target: StutteringService) -> None:
+    client = _PoolClient(TargetConnectionPool(), target)
+    await client.ask(require_recent=True)
+    await client.ask(require_recent=True)
 
 
-async def _pooled(target: StutteringService) -> None:
+async def _make_pooled_calls(target: StutteringService) -> None:
     pool = HttpConnectionPool()
     for number in range(2):
         connection = await pool.acquire(target.address)
@@ -251,14 +271,14 @@
         await curio.sleep(0.03)
 
 
-async def _slow_when_asked(exchange: Exchange) -> None:
+async def _delay_slow_request(exchange: Exchange) -> None:
     if exchange.headers['request-id'] == 'slow':
         await curio.sleep(0.3)
     await exchange.answer(b'fine')
 
 
 @attrs.frozen
-class _ShortDeadline:
+class _ShortDeadlineClient:
     opened: list[int]
 
     async def run(self, testbed: GatewayTestbed) -> None:
@@ -269,25 +289,25 @@
         self.opened.append(testbed.connections.opened)
 
 
-async def _answers_others(exchange: Exchange) -> None:
+async def _answer_other_requests(exchange: Exchange) -> None:
     for number in itertools.count():
         await exchange.answer(b'another', request_id=f'other{number}')
         await curio.sleep(0.03)
 
 
-async def _fine(exchange: Exchange) -> None:
+async def _succeed(exchange: Exchange) -> None:
     await exchange.answer(b'fine')
 
 
-async def _pours(exchange: Exchange) -> None:
+async def _send_endless_responses(exchange: Exchange) -> None:
     one = b'HTTP/1.1 200 X\r\nrequest-id: o\r\ncontent-length: 4\r\n\r\nbody'
-    until = time.monotonic() + 3
-    while time.monotonic() < until:
+    end_at = time.monotonic() + 3
+    while time.monotonic() < end_at:
         await exchange.sock.sendall(one * 200)
 
 
 @attrs.frozen
-class _Safe:
+class _RepeatableClient:
     answers: list[ClientAnswer]
 
     async def run(self, testbed: GatewayTestbed) -> None:
@@ -302,7 +322,7 @@
 
 
 @attrs.frozen
-class _Unsafe:
+class _NonRepeatableClient:
     answers: list[ClientAnswer]
 
     async def run(self, testbed: GatewayTestbed) -> None:
@@ -310,7 +330,7 @@
 
 
 @attrs.frozen
-class _Unnamed:
+class _ClientWithoutId:
     bodies: list[bytes]
 
     async def run(self, testbed: GatewayTestbed) -> None:
@@ -326,7 +346,7 @@
             await connection.close()
 
 
-async def _marked_twice(exchange: Exchange) -> None:
+async def _respond_twice(exchange: Exchange) -> None:
     own = (
         'HTTP/1.1 200 X\r\nreplica-signature: s\r\ncontent-length: 1\r\n\r\n'
         f'{exchange.headers["x-mark"]}'
@@ -338,27 +358,29 @@
 
 @attrs.frozen
 class _LateRefusal:
-    """Sends a refusal of the call before ahead of each answer."""
+    """Sends a late refusal of the previous call before each response."""
 
     ran: list[str] = attrs.field(factory=list)
 
     async def script(self, exchange: Exchange) -> None:
-        named = exchange.headers['x-request-id']
+        request_id = exchange.headers['x-request-id']
         if self.ran:
-            refusal = _native(self.ran[-1], 409, 'x-execution: not run\r\n')
+            refusal = _native_response(
+                self.ran[-1], 409, 'x-execution: not run\r\n'
+            )
             await exchange.sock.sendall(refusal)
-        self.ran.append(named)
-        await exchange.sock.sendall(_native(named, 200))
+        self.ran.append(request_id)
+        await exchange.sock.sendall(_native_response(request_id, 200))
 
 
-def _native(named: str, status: int, more: str = '') -> bytes:
+def _native_response(request_id: str, status: int, more: str = '') -> bytes:
     return (
-        f'HTTP/1.1 {status} X\r\nx-request-id: {named}\r\nx-replica: r\r\n'
+        f'HTTP/1.1 {status} X\r\nx-request-id: {request_id}\r\nx-replica: r\r\n'
         f'x-generation: 1\r\n{more}content-length: 2\r\n\r\nok'
     ).encode()
 
 
-async def _two_completions(testbed: GatewayTestbed) -> None:
+async def _request_two_completions(testbed: GatewayTestbed) -> None:
     address = testbed.targets[0].address
     replica = ServingReplica(
         'r', 1, 'm', '', (), ('i0',), address, 'east', 0, 0, 1
--- a/tests/unit/test_crashes_behind_open_ports.py
+++ b/tests/unit/test_crashes_behind_open_ports.py
@@ -1,12 +1,12 @@
-"""A request that ends targets is held also where their ports still answer.
+"""A request that crashes targets is held even if their ports stay open.
 
-Something before a target (a proxy, a supervisor's listener) goes on taking
-connections after it has ended, so that a refused connection never told of the end:
-80 targets ended under one request that came seven times a second for twelve seconds
-to four nodes, 124 sends of it later than three seconds after the third end, and 281
-of 426 requests beside it were served. A port that answers said nothing, and what
-said nothing was forgotten. A break is kept with its life for some seconds now, and
-counts from when it broke once the list shows another life, or none.
+A proxy or a supervisor's listener may accept connections after the target
+behind it has crashed, so a refused connection never showed the crash, and broken
+connections alone were forgotten. One request, sent seven times a second for
+twelve seconds to four nodes, crashed 80 targets; it was sent 124 times later than
+three seconds after the third crash, and only 281 of 426 other requests were
+served. Now a broken connection is remembered for some seconds with its
+incarnation, and counts as a crash once the list shows another one, or none.
 """
 
 import unittest
@@ -16,57 +16,66 @@
 from tests.lib.crashing_targets import CRASH_MARK, Deployment, ask_in_turn
 from tests.lib.fake_targets import PLAIN, ClientAnswer
 
-# The rule: all know within so long of the third end, but for so many sends.
-_KNOWN_SECONDS = 3.0
-_MOST_LATER = 3
-_PLAY_SECONDS = 6.0
-_LEAST_SERVED = 0.8
+# All nodes hold the request within this time after the third crash, but for a
+# few sends.
+_DETECTION_SECONDS = 3.0
+_MAX_LATER_SENDS = 3
+_RUN_SECONDS = 6.0
+_MIN_SERVED_FRACTION = 0.8
 _OK = 200
 
 
-class KeptPortTest(unittest.TestCase):
-    """Four nodes before ten targets."""
+class CrashBehindOpenPortTest(unittest.TestCase):
+    """Four nodes with ten targets."""
 
-    others: list[ClientAnswer]
+    other_answers: list[ClientAnswer]
 
     def test_streams(self) -> None:
-        """The list tells of the end later, as of another instance."""
-        self._check(Deployment(4, 10, keeps_port=True))
+        """The list shows the crash later, by an instance with another id."""
+        self._assert_held(Deployment(4, 10, keeps_port=True))
 
-    def test_plain_calls(self) -> None:
-        """Or as of another life under the same id."""
-        self._check(
+    def test_plain_services(self) -> None:
+        """The list shows another incarnation with the same id."""
+        self._assert_held(
             Deployment(4, 10, keeps_port=True, service=PLAIN, renamed=False),
         )
 
-    def _check(self, deployment: Deployment) -> None:
-        curio.run(deployment.run, self._play)
-        later = deployment.marked_after(3, _KNOWN_SECONDS)
-        self.assertLessEqual(later, _MOST_LATER)
-        served = sum(one.is_whole and one.status == _OK for one in self.others)
-        self.assertGreater(served, _LEAST_SERVED * len(self.others))
-        self.assertFalse(any(b'"held"' in one.body for one in self.others))
+    def _assert_held(self, deployment: Deployment) -> None:
+        curio.run(deployment.run, self._run)
+        later = deployment.marked_after(3, _DETECTION_SECONDS)
+        self.assertLessEqual(later, _MAX_LATER_SENDS)
+        served_count = sum(
+            one.is_complete and one.status == _OK for one in self.other_answers
+        )
+        self.assertGreater(
+            served_count, _MIN_SERVED_FRACTION * len(self.other_answers)
+        )
+        self.assertFalse(
+            any(b'"held"' in one.body for one in self.other_answers)
+        )
 
-    async def _play(self, deployment: Deployment) -> None:
+    async def _run(self, deployment: Deployment) -> None:
         path = '/safe/x' if deployment.is_plain else '/stream/x'
-        beside = await curio.spawn(self._ask_others, deployment, path)
+        other_requests = await curio.spawn(
+            self._send_other_requests, deployment, path
+        )
         await ask_in_turn(
             deployment.nodes,
             path,
             CRASH_MARK,
-            seconds=_PLAY_SECONDS,
+            seconds=_RUN_SECONDS,
             per_second=7,
         )
-        self.others = await beside.join()
+        self.other_answers = await other_requests.join()
 
-    async def _ask_others(
+    async def _send_other_requests(
         self,
         deployment: Deployment,
         path: str,
     ) -> list[ClientAnswer]:
-        """Ask for other things, so that no two tries are the same request."""
+        """Send other requests, of which no two have the same identity."""
         answers: list[ClientAnswer] = []
-        for turn in range(int(_PLAY_SECONDS)):
+        for turn in range(int(_RUN_SECONDS)):
             asked = await ask_in_turn(
                 deployment.nodes,
                 path,
--- a/tests/unit/test_crashing_requests.py
+++ b/tests/unit/test_crashing_requests.py
@@ -168,7 +168,7 @@
             deployment.marked_after(threshold, 0), _MAX_LATE_SENDS
         )
         served = sum(
-            response.is_whole and response.status == _OK
+            response.is_complete and response.status == _OK
             for response in self.responses
         )
         self.assertGreater(served, _MIN_SERVED_FRACTION * len(self.responses))
--- a/tests/unit/test_forwarding.py
+++ b/tests/unit/test_forwarding.py
@@ -1,4 +1,4 @@
-"""What clients get of targets that behave, fail, stop and mix things up."""
+"""What clients receive if targets work, fail, stop or mix up responses."""
 
 import time
 import unittest
@@ -24,7 +24,7 @@
 _NOT_RUN = 'not-executed: 1\r\n'
 
 
-async def _whole_stream(exchange: Exchange) -> None:
+async def _complete_stream(exchange: Exchange) -> None:
     first = int(exchange.headers.get('last-event-id', '0')) + 1
     await exchange.start_stream()
     await exchange.events(first, 5)
@@ -35,28 +35,28 @@
     await curio.sleep(30)
 
 
-async def _stops_in_an_event(exchange: Exchange) -> None:
+async def _disconnects_within_an_event(exchange: Exchange) -> None:
     await exchange.start_stream()
     await exchange.events(1, 2)
     await exchange.chunk(b'id: 3\nda')
     await exchange.sock.shutdown(2)
 
 
-async def _stalls_after_two(exchange: Exchange) -> None:
+async def _stalls_after_two_events(exchange: Exchange) -> None:
     await exchange.start_stream()
     await exchange.events(1, 2)
     await curio.sleep(30)
 
 
-async def _fine(exchange: Exchange) -> None:
+async def _succeeds(exchange: Exchange) -> None:
     await exchange.answer(b'fine')
 
 
-async def _refuses(exchange: Exchange) -> None:
+async def _refuses_as_not_run(exchange: Exchange) -> None:
     await exchange.answer(b'', 503, extra=_NOT_RUN)
 
 
-async def _refuses_without_saying(exchange: Exchange) -> None:
+async def _answers_unavailable(exchange: Exchange) -> None:
     await exchange.answer(b'', 503)
 
 
@@ -64,20 +64,20 @@
     await exchange.answer(b'sorry', 500)
 
 
-async def _cuts(exchange: Exchange) -> None:
+async def _disconnects(exchange: Exchange) -> None:
     await exchange.sock.shutdown(2)
 
 
-async def _crossed(exchange: Exchange) -> None:
+async def _sends_another_response_first(exchange: Exchange) -> None:
     await exchange.answer(b'of another', request_id='r0')
     await exchange.answer(b'own')
 
 
-async def _unsigned(exchange: Exchange) -> None:
+async def _sends_no_signature(exchange: Exchange) -> None:
     await exchange.answer(b'forged', signature='')
 
 
-async def _without_length(exchange: Exchange) -> None:
+async def _sends_no_content_length(exchange: Exchange) -> None:
     await exchange.sock.sendall(
         b'HTTP/1.1 200 OK\r\nrequest-id: r1\r\nreplica-signature: s\r\n\r\nabc',
     )
@@ -85,67 +85,79 @@
 
 
 class StreamTest(unittest.TestCase):
-    """Streams over one replica or two."""
+    """Streams from one or two replicas."""
 
-    took: float
+    elapsed: float
 
-    def test_whole(self) -> None:
-        """Everything comes, in order, with the target's head."""
-        answer = _ask('/stream/x', _whole_stream)
+    def test_complete_stream(self) -> None:
+        """All events arrive in order, with the status of the target."""
+        answer = _ask('/stream/x', _complete_stream)
         self.assertEqual((answer.status, answer.body), (200, _EVENTS))
-        self.assertTrue(answer.is_whole)
+        self.assertTrue(answer.is_complete)
 
-    def test_moves_between_events(self) -> None:
-        """Half an event is never passed on, and none twice."""
-        for script in (_stops_in_an_event, _stalls_after_two):
+    def test_resumes_between_complete_events(self) -> None:
+        """Incomplete events are not relayed, and no event is sent twice."""
+        for script in (_disconnects_within_an_event, _stalls_after_two_events):
             with self.subTest(script.__name__):
-                answer = _ask('/stream/x', script, _whole_stream, first=script)
+                answer = _ask(
+                    '/stream/x', script, _complete_stream, first=script
+                )
                 self.assertEqual(answer.body, _EVENTS)
-                self.assertTrue(answer.is_whole)
-
-    def test_two_attempts_at_the_most(self) -> None:
-        """A cut stream does not look complete."""
-        scripts = (_stops_in_an_event, _stops_in_an_event, _whole_stream)
+                self.assertTrue(answer.is_complete)
+
+    def test_gives_up_after_two_attempts(self) -> None:
+        """An aborted stream does not look complete to the client."""
+        scripts = (
+            _disconnects_within_an_event,
+            _disconnects_within_an_event,
+            _complete_stream,
+        )
         testbed = GatewayTestbed(*scripts[:2])
         answer = _ask_world(testbed, '/stream/x')
-        self.assertFalse(answer.is_whole)
+        self.assertFalse(answer.is_complete)
         self.assertEqual(sum(len(one.received) for one in testbed.targets), 2)
 
-    def test_silence_of_the_last_attempt_is_waited_for(self) -> None:
-        """Nothing is cut that may still come: there is no other attempt."""
+    def test_last_attempt_is_not_given_up_for_silence(self) -> None:
+        """There is no other target to try, so silence is waited out."""
         answer = _ask(
             '/stream/x',
-            _stalls_after_two,
-            _slow_third,
-            first=_stalls_after_two,
+            _stalls_after_two_events,
+            _sends_third_event_late,
+            first=_stalls_after_two_events,
             deadline_ms=5000,
         )
-        self.assertTrue(answer.is_whole)
+        self.assertTrue(answer.is_complete)
 
-    def test_a_stream_that_must_not_run_twice(self) -> None:
-        """It is not sent to a second replica."""
-        testbed = GatewayTestbed(_stops_in_an_event, _stops_in_an_event)
+    def test_non_repeatable_stream_is_not_retried(self) -> None:
+        """It is sent to one replica only and aborted if that fails."""
+        testbed = GatewayTestbed(
+            _disconnects_within_an_event, _disconnects_within_an_event
+        )
         answer = _ask_world(testbed, '/once/x')
-        self.assertFalse(answer.is_whole)
+        self.assertFalse(answer.is_complete)
         self.assertEqual(sum(len(one.received) for one in testbed.targets), 1)
 
-    def test_a_stopped_replica_is_left_at_once(self) -> None:
-        """A finding moves the stream long before silence would."""
-        testbed = GatewayTestbed(_stalls_after_two, _stalls_after_two)
-        curio.run(testbed.run, self._stop_in_the_middle)
-        self.assertLess(self.took, 0.3)
+    def test_stream_moves_once_its_replica_has_stopped(self) -> None:
+        """The stream moves long before the silence limit."""
+        testbed = GatewayTestbed(
+            _stalls_after_two_events, _stalls_after_two_events
+        )
+        curio.run(testbed.run, self._report_stopped_during_stream)
+        self.assertLess(self.elapsed, 0.3)
 
-    def test_client_leaves(self) -> None:
+    def test_client_disconnect_cancels_the_request(self) -> None:
         """The target's connection is closed at once."""
-        curio.run(GatewayTestbed(_silent_but_reading).run, self._leave)
+        curio.run(
+            GatewayTestbed(_never_answers).run, self._disconnect_while_waiting
+        )
 
-    def test_client_leaves_before_it_was_read(self) -> None:
-        """It sent its request and closed; the target is not kept at work."""
-        testbed = GatewayTestbed(_silent_but_reading)
-        curio.run(testbed.run, self._send_and_close)
+    def test_client_disconnects_right_after_its_request(self) -> None:
+        """The target is not kept busy after the client has closed."""
+        testbed = GatewayTestbed(_never_answers)
+        curio.run(testbed.run, self._disconnect_after_sending)
         self.assertEqual(testbed.gateway.in_flight, 0)
 
-    async def _send_and_close(self, testbed: GatewayTestbed) -> None:
+    async def _disconnect_after_sending(self, testbed: GatewayTestbed) -> None:
         connection = await HttpConnection.open(testbed.server.address)
         await connection.send(client_request('/stream/x'))
         await connection.close()
@@ -153,20 +165,22 @@
         seen, closed = testbed.targets[0].received, testbed.targets[0].closed
         self.assertEqual(bool(seen), bool(closed))
 
-    async def _stop_in_the_middle(self, testbed: GatewayTestbed) -> None:
-        asking = await curio.spawn(testbed.ask, '/stream/x')
+    async def _report_stopped_during_stream(
+        self, testbed: GatewayTestbed
+    ) -> None:
+        client = await curio.spawn(testbed.ask, '/stream/x')
         await until(lambda: any(one.received for one in testbed.targets))
-        used = _used(testbed)
+        used = _target_with_request(testbed)
         other = next(one for one in testbed.targets if one is not used)
-        other.script = _whole_stream
+        other.script = _complete_stream
         await curio.sleep(0.1)
         started = time.monotonic()
         testbed.fleet.mark_stopped((used.name, 1), 'a test says so')
-        answer = await asking.join()
-        self.took = time.monotonic() - started
+        answer = await client.join()
+        self.elapsed = time.monotonic() - started
         self.assertEqual(answer.body, _EVENTS)
 
-    async def _leave(self, testbed: GatewayTestbed) -> None:
+    async def _disconnect_while_waiting(self, testbed: GatewayTestbed) -> None:
         connection = await HttpConnection.open(testbed.server.address)
         await connection.send(client_request('/stream/x'))
         await until(lambda: testbed.targets[0].received)
@@ -174,64 +188,68 @@
         await until(lambda: testbed.targets[0].closed, 0.4)
 
 
-async def _slow_third(exchange: Exchange) -> None:
+async def _sends_third_event_late(exchange: Exchange) -> None:
     await exchange.start_stream()
     await curio.sleep(1.5)
     await exchange.events(3, 5)
     await exchange.end_stream()
 
 
-async def _silent_but_reading(exchange: Exchange) -> None:
+async def _never_answers(exchange: Exchange) -> None:
     if not await exchange.sock.recv(1):
         raise ConnectionResetError
 
 
-class WholeAnswerTest(unittest.TestCase):
-    """Plain services."""
+class BufferedResponseTest(unittest.TestCase):
+    """Responses of plain services."""
 
-    def test_client_leaves(self) -> None:
-        """The work on its unanswered request ends at once."""
-        testbed = GatewayTestbed(_silent_but_reading, service=PLAIN)
-        curio.run(testbed.run, self._leave)
+    def test_client_disconnect_cancels_the_request(self) -> None:
+        """The connection to the target is closed at once."""
+        testbed = GatewayTestbed(_never_answers, service=PLAIN)
+        curio.run(testbed.run, self._disconnect_while_waiting)
 
-    def test_out_of_reach_costs_no_retry(self) -> None:
-        """Nothing came to a target, so that the first one is still to come."""
+    def test_unreachable_targets_use_no_retry_budget(self) -> None:
+        """No target has received anything, so a retry needs no budget."""
         for seed in range(6):
-            testbed = GatewayTestbed(_fine, _fine, service=PLAIN, retries=0)
+            testbed = GatewayTestbed(
+                _succeeds, _succeeds, service=PLAIN, retries=0
+            )
             testbed.make_unreachable(f'i{seed % 2}')
             self.assertEqual(_ask_world(testbed, '/unsafe/x').status, 200)
 
-    def test_a_mute_target_is_left(self) -> None:
-        """Half of the objective is kept for another target."""
+    def test_silent_target_leaves_time_for_another(self) -> None:
+        """Half of the objective is left for another target."""
         started = time.monotonic()
-        answer = _ask('/safe/x', _silent, _fine, first=_silent, service=PLAIN)
+        answer = _ask(
+            '/safe/x', _silent, _succeeds, first=_silent, service=PLAIN
+        )
         self.assertEqual(answer.body, b'fine')
         self.assertLess(time.monotonic() - started, 1)
 
-    def test_answers(self) -> None:
-        """Status, body and signature are the target's."""
-        answer = _ask('/safe/x', _fine, service=PLAIN)
+    def test_response_of_the_target_is_forwarded(self) -> None:
+        """Status, body and signature are those of the target."""
+        answer = _ask('/safe/x', _succeeds, service=PLAIN)
         self.assertEqual((answer.status, answer.body), (200, b'fine'))
         self.assertEqual(answer.headers['replica-signature'], 'sig')
 
-    def test_a_foreign_answer_is_dropped(self) -> None:
-        """The one behind it is the client's."""
-        answer = _ask('/unsafe/x', _crossed, service=PLAIN)
+    def test_response_of_another_request_is_discarded(self) -> None:
+        """The client gets the response after it."""
+        answer = _ask('/unsafe/x', _sends_another_response_first, service=PLAIN)
         self.assertEqual(answer.body, b'own')
 
-    def test_an_unsigned_answer_is_none(self) -> None:
-        """Nobody gets bytes that no target stands for."""
-        answer = _ask('/unsafe/x', _unsigned, service=PLAIN)
+    def test_unsigned_response_is_rejected(self) -> None:
+        """The client gets no data that a target did not sign."""
+        answer = _ask('/unsafe/x', _sends_no_signature, service=PLAIN)
         self.assertEqual(answer.status, 502)
 
-    def test_an_answer_without_length(self) -> None:
-        """It ends with its connection."""
-        answer = _ask('/unsafe/x', _without_length, service=PLAIN)
+    def test_response_without_content_length(self) -> None:
+        """The body ends when the connection is closed."""
+        answer = _ask('/unsafe/x', _sends_no_content_length, service=PLAIN)
         self.assertEqual((answer.status, answer.body), (200, b'abc'))
 
     def test_unknown_outcome_is_not_repeated(self) -> None:
-        """And never called 'not run'."""
-        for script in (_cuts, _refuses_without_saying):
+        """It is not reported as 'not run' either."""
+        for script in (_disconnects, _answers_unavailable):
             testbed = GatewayTestbed(script, script, service=PLAIN)
             answer = _ask_world(testbed, '/unsafe/x')
             self.assertEqual(answer.status, 502)
@@ -239,53 +257,59 @@
                 sum(len(one.received) for one in testbed.targets), 1
             )
 
-    def test_refused_is_sent_elsewhere(self) -> None:
-        """What has not run may go to another target."""
+    def test_refused_request_is_retried_elsewhere(self) -> None:
+        """A request that was not run may be sent to another target."""
         answer = _ask(
-            '/unsafe/x', _refuses, _fine, first=_refuses, service=PLAIN
+            '/unsafe/x',
+            _refuses_as_not_run,
+            _succeeds,
+            first=_refuses_as_not_run,
+            service=PLAIN,
         )
         self.assertEqual(answer.body, b'fine')
 
-    def test_refused_by_all(self) -> None:
-        """The client hears that it has not run, and when to come back."""
-        answer = _ask('/unsafe/x', _refuses, _refuses, service=PLAIN)
+    def test_request_refused_by_all_targets(self) -> None:
+        """The client learns that it was not run, and when to retry."""
+        answer = _ask(
+            '/unsafe/x', _refuses_as_not_run, _refuses_as_not_run, service=PLAIN
+        )
         self.assertEqual(answer.status, 503)
         self.assertIn('retry-after', answer.headers)
 
-    def test_a_failure_is_tried_again(self) -> None:
-        """Only where that is safe; the last failure is passed on."""
-        answer = _ask('/safe/x', _fails, _fine, first=_fails, service=PLAIN)
+    def test_server_error_is_retried_if_repeatable(self) -> None:
+        """If all targets fail, the last response is forwarded."""
+        answer = _ask('/safe/x', _fails, _succeeds, first=_fails, service=PLAIN)
         self.assertEqual(answer.body, b'fine')
         answer = _ask('/safe/x', _fails, _fails, service=PLAIN)
         self.assertEqual((answer.status, answer.body), (500, b'sorry'))
 
-    def test_the_routes_time(self) -> None:
-        """The final answer comes when it is over, not later."""
+    def test_route_timeout(self) -> None:
+        """The client gets an error when the route's timeout expires."""
         started = time.monotonic()
         answer = _ask('/brief/x', _silent, service=PLAIN)
         self.assertEqual(answer.status, 504)
         self.assertLess(time.monotonic() - started, 0.8)
 
-    def test_keys_and_routes(self) -> None:
-        """Unknown ones reach no target, and the key is not passed on."""
-        testbed = GatewayTestbed(_fine, service=PLAIN)
+    def test_unknown_keys_and_routes(self) -> None:
+        """They reach no target, and a valid key is not forwarded."""
+        testbed = GatewayTestbed(_succeeds, service=PLAIN)
         self.assertEqual(_ask_world(testbed, '/safe/x', key='no').status, 401)
-        testbed = GatewayTestbed(_fine, service=PLAIN)
+        testbed = GatewayTestbed(_succeeds, service=PLAIN)
         self.assertEqual(_ask_world(testbed, '/none/x').status, 404)
-        testbed = GatewayTestbed(_fine, service=PLAIN)
+        testbed = GatewayTestbed(_succeeds, service=PLAIN)
         self.assertEqual(_ask_world(testbed, '/open/x', key='no').status, 200)
-        testbed = GatewayTestbed(_fine, service=PLAIN)
+        testbed = GatewayTestbed(_succeeds, service=PLAIN)
         _ask_world(testbed, '/safe/x')
         sent = testbed.targets[0].received[0].headers
         self.assertEqual(sent['tenant'], 'org')
         self.assertNotIn('authorization', sent)
 
-    def test_a_large_body_refused_early(self) -> None:
-        """An answer that comes before the body is read is the answer."""
-        answer = _ask('/unsafe/x', _fine, service=PLAIN, body=b'x' * 300000)
+    def test_response_before_the_end_of_a_large_body(self) -> None:
+        """A response sent before the body was read is forwarded."""
+        answer = _ask('/unsafe/x', _succeeds, service=PLAIN, body=b'x' * 300000)
         self.assertEqual(answer.status, 200)
 
-    async def _leave(self, testbed: GatewayTestbed) -> None:
+    async def _disconnect_while_waiting(self, testbed: GatewayTestbed) -> None:
         connection = await HttpConnection.open(testbed.server.address)
         await connection.send(client_request('/safe/x'))
         await until(lambda: testbed.targets[0].received)
@@ -293,7 +317,7 @@
         await until(lambda: testbed.targets[0].closed, 0.4)
 
 
-def _used(testbed: GatewayTestbed) -> FakeTarget:
+def _target_with_request(testbed: GatewayTestbed) -> FakeTarget:
     return next(one for one in testbed.targets if one.received)
 
 
@@ -302,32 +326,32 @@
     *scripts: Script,
     first: Script | None = None,
     service: str = 'drafts',
-    **how: Any,
+    **options: Any,
 ) -> ClientAnswer:
-    """Ask a world, in which ``first`` is the least loaded, if it is given."""
+    """Send a request; the target with the script ``first`` is chosen first."""
     testbed = GatewayTestbed(*scripts, service=service)
     for target in testbed.targets:
-        # One more in flight, so that the other is chosen.
+        # With one more request in flight the other target is chosen.
         is_later = first is not None and target.script is not first
         testbed.router.in_flight_counts()[target.name] += is_later
-    return _ask_world(testbed, path, **how)
+    return _ask_world(testbed, path, **options)
 
 
 def _ask_world(
     testbed: GatewayTestbed,
     path: str,
-    **how: Any,
+    **options: Any,
 ) -> ClientAnswer:
-    asking = _Asking(path, how)
-    curio.run(testbed.run, asking.play)
-    return asking.answers[0]
+    client = _Client(path, options)
+    curio.run(testbed.run, client.play)
+    return client.answers[0]
 
 
 @attrs.define
-class _Asking:
+class _Client:
     path: str
-    how: Mapping[str, Any]
+    options: Mapping[str, Any]
     answers: list[ClientAnswer] = attrs.field(factory=list)
 
     async def play(self, testbed: GatewayTestbed) -> None:
-        self.answers.append(await testbed.ask(self.path, **self.how))
+        self.answers.append(await testbed.ask(self.path, **self.options))
--- a/tests/unit/test_replica_reports.py
+++ b/tests/unit/test_replica_reports.py
@@ -1,4 +1,4 @@
-"""Which replicas are whole."""
+"""Which replicas are complete, and which reports are valid."""
 
 import unittest
 from collections import Counter
@@ -40,15 +40,15 @@
     )
 
 
-class AssembleTest(unittest.TestCase):
-    """The gate through which replicas serve."""
+class CompleteReplicasTest(unittest.TestCase):
+    """The conditions under which a replica serves."""
 
     @given(_reports())
-    def test_only_whole_replicas_serve(
+    def test_only_complete_replicas_serve(
         self,
         reports: dict[str, MemberReport],
     ) -> None:
-        """Every member says ready, for this replica and generation."""
+        """Every member reports ready for this replica and generation."""
         for replica in complete_replicas(_INSTANCES, reports):
             for member in replica.members:
                 report = reports[member]
@@ -58,11 +58,11 @@
                 self.assertFalse(report.draining)
 
     @given(_reports())
-    def test_no_instance_is_in_two(
+    def test_no_instance_is_in_two_replicas(
         self,
         reports: dict[str, MemberReport],
     ) -> None:
-        """Whatever instances say, none serves in two replicas."""
+        """Whatever instances report, none serves in two replicas."""
         members = Counter(
             member
             for replica in complete_replicas(_INSTANCES, reports)
@@ -71,15 +71,15 @@
         self.assertTrue(all(count == 1 for count in members.values()))
 
 
-class AssemblyTest(unittest.TestCase):
-    """Keeping up with changes one by one."""
+class ReplicaIndexTest(unittest.TestCase):
+    """Updates by single changes."""
 
     @given(st.lists(_reports(), max_size=4))
-    def test_the_same_as_assembling_anew(
+    def test_same_result_as_a_full_search(
         self,
         steps: list[dict[str, MemberReport]],
     ) -> None:
-        """After any changes in any order."""
+        """It holds after any changes in any order."""
         index = ReplicaIndex()
         for reports in steps:
             for name in _NAMES:
@@ -94,11 +94,11 @@
             self.assertEqual(dict(index.reports), reports)
 
 
-class ReportBookTest(unittest.TestCase):
-    """How long a report counts."""
+class ReportRegistryTest(unittest.TestCase):
+    """How long a report is valid."""
 
     def setUp(self) -> None:
-        """Make a book with a whole replica and a clock to turn."""
+        """Make a registry with a complete replica and a clock to set."""
         self.now = 100.0
         self.reports = ReportRegistry('own', lambda: self.now)
         self.reports.replace_instances(_INSTANCES.values())
@@ -107,40 +107,40 @@
             self.reports.record_report(report)
 
     def test_fresh_reports_make_a_replica(self) -> None:
-        """All members have just said that they are ready."""
+        """All members have just reported that they are ready."""
         self.assertEqual(
             [one.id for one in self.reports.serving_replicas()], ['r']
         )
 
-    def test_one_silent_member_ends_it(self) -> None:
-        """A single unreachable member makes the whole replica absent."""
+    def test_unreachable_member_makes_a_replica_incomplete(self) -> None:
+        """One unreachable member is enough."""
         self.reports.record_unreachable('e01')
         self.assertEqual(self.reports.serving_replicas(), [])
 
-    def test_old_reports_do_not_count(self) -> None:
-        """After a pause of this process nothing serves until asked anew."""
+    def test_reports_expire_in_a_process_pause(self) -> None:
+        """After a pause nothing serves until the members are probed again."""
         self.reports.tick()
         self.now += 10
         self.assertEqual(self.reports.serving_replicas(), [])
         self.reports.tick()
         self.assertEqual(self.reports.serving_replicas(), [])
 
-    def test_own_pause_loses_nobody(self) -> None:
-        """Time that this process slept through is no instance's silence."""
+    def test_process_pause_loses_no_instance(self) -> None:
+        """The time of a pause does not count as silence."""
         self.reports.tick()
         self.now += 60
         self.assertTrue(self.reports.tick())
         self.assertEqual(self.reports.lost_instances(), frozenset())
 
-    def test_silence_loses_an_instance(self) -> None:
-        """Silence while this process was awake counts."""
+    def test_silent_instances_are_lost(self) -> None:
+        """Silence while the process was running counts."""
         for _ in range(50):
             self.reports.tick()
             self.now += 0.25
         self.assertEqual(self.reports.lost_instances(), frozenset(_NAMES))
 
-    def test_a_node_that_asks_no_more_speaks_no_more(self) -> None:
-        """What it found before must not stand against what others find."""
+    def test_observation_of_a_former_prober_is_ignored(self) -> None:
+        """It must not contradict what other nodes observe later."""
         self.reports.replace_live_nodes(['other'])
         self.reports.record_report(MemberReport('e01'), 'other')
         self.assertEqual(self.reports.serving_replicas(), [])
@@ -149,8 +149,8 @@
             [one.id for one in self.reports.serving_replicas()], ['r']
         )
 
-    def test_a_doubt_counts_for_a_while(self) -> None:
-        """Another node's failure closes the gate until the rest confirm."""
+    def test_failure_of_another_node_counts_for_a_while(self) -> None:
+        """The replica serves again once the failure has expired."""
         self.reports.record_unreachable('e01', 'other')
         self.assertEqual(self.reports.serving_replicas(), [])
         self.now += 4.1
--- a/tests/unit/test_sse.py
+++ b/tests/unit/test_sse.py
@@ -1,4 +1,4 @@
-"""The relay's look into streams."""
+"""Splitting streams into server-sent events."""
 
 import unittest
 
@@ -12,31 +12,33 @@
 
 
 class EventCounterTest(unittest.TestCase):
-    """Pieces may be cut anywhere."""
+    """Counting and completing the events of a stream."""
 
     @given(st.integers(0, 20), st.lists(st.integers(0, 400)))
-    def test_any_cut_gives_the_same(self, events: int, cuts: list[int]) -> None:
-        """Whole events come out, all of them, counted once."""
+    def test_any_split_gives_the_same_events(
+        self, events: int, cuts: list[int]
+    ) -> None:
+        """All events are returned complete and counted once."""
         stream = _EVENT * events + _DONE
         ends = sorted(cut % (len(stream) + 1) for cut in cuts)
         counter = EventCounter()
-        passed = [
+        relayed = [
             counter.feed(stream[start:end])
             for start, end in zip([0, *ends], [*ends, None], strict=True)
         ]
-        self.assertEqual(b''.join(passed), stream)
+        self.assertEqual(b''.join(relayed), stream)
         self.assertEqual(counter.tokens, events)
         self.assertTrue(counter.is_finished)
         self.assertTrue(
-            all(piece.endswith(b'\n\n') for piece in passed if piece),
+            all(piece.endswith(b'\n\n') for piece in relayed if piece),
         )
 
-    def test_broken_stream_goes_on_at_the_right_token(self) -> None:
-        """Half an event is dropped with the replica that sent it."""
+    def test_resumed_stream_continues_at_the_right_token(self) -> None:
+        """An incomplete event is discarded when its replica fails."""
         counter = EventCounter()
         counter.feed(_EVENT * 3 + _EVENT[:5])
         self.assertEqual(counter.tokens, 3)
         counter.restart()
-        passed = counter.feed(_EVENT + _DONE)
-        self.assertEqual(passed, _EVENT + _DONE)
+        relayed = counter.feed(_EVENT + _DONE)
+        self.assertEqual(relayed, _EVENT + _DONE)
         self.assertEqual(counter.tokens, 4)
--- a/tests/unit/test_startup_gate.py
+++ b/tests/unit/test_startup_gate.py
@@ -1,9 +1,9 @@
-"""Requests that come while a node does not know yet where they may go.
+"""Requests that arrive before a started node can route them wait.
 
 All nodes lost power at once and were back after a second. In the two seconds
-after that, 44 requests were told that no whole replica serves, where replicas
-did serve, and 191 found no listener: 'no_replica' at 0.2 s after
-'node_started', the first 'routed' at 0.42 s.
+after that 44 requests were rejected with 'no_replica' although replicas were
+serving, and 191 found no listener. A node rejected requests from 0.2 s after
+'node_started' on and routed the first one at 0.42 s.
 """
 
 import unittest
@@ -19,10 +19,10 @@
 
 
 class _Node:
-    """What a gate asks a node, and a clock that moves when it is asked."""
+    """A node's state for the gate, with a clock that advances when read."""
 
     def __init__(self, informed_at: float) -> None:
-        """Know enough from a time on."""
+        """Set the time from which on the node is informed."""
         self.now = float(0)
         self.informed_at = informed_at
 
@@ -38,30 +38,30 @@
     return StartupGate(node.is_informed, node.clock)
 
 
-class StartGateTest(unittest.TestCase):
-    """How long a request waits, and what it is told."""
+class StartupGateTest(unittest.TestCase):
+    """How long requests wait and which errors clients get."""
 
     def test_waits_until_informed(self) -> None:
-        """It is let through as soon as the node knows."""
+        """It is let through as soon as the node is informed."""
         node = _Node(informed_at=0.4)
         curio.run(_gate(node).wait, 6.0)
         self.assertTrue(node.is_informed())
         self.assertLess(node.now, 0.45)
 
-    def test_an_informed_node_lets_everything_through(self) -> None:
-        """Nothing waits there."""
+    def test_informed_node_does_not_wait(self) -> None:
+        """It lets every request through at once."""
         node = _Node(informed_at=0)
         curio.run(_gate(node).wait, 6.0)
         self.assertLess(node.now, 0.05)
 
-    def test_its_client_keeps_time_to_be_served(self) -> None:
-        """At most half of what its client has left is spent waiting."""
+    def test_waits_for_half_of_the_deadline_at_most(self) -> None:
+        """The other half of the client's time is left for the request."""
         node = _Node(informed_at=float('inf'))
         curio.run(_gate(node).wait, 0.6)
         self.assertLessEqual(node.now, 0.35)
 
-    def test_only_a_start_is_waited_for(self) -> None:
-        """A node that learns nothing for long refuses at once."""
+    def test_waits_after_a_start_only(self) -> None:
+        """A node that is uninformed for long rejects requests at once."""
         node = _Node(informed_at=float('inf'))
         gate = _gate(node)
         curio.run(gate.wait, None)
@@ -70,14 +70,14 @@
         curio.run(gate.wait, None)
         self.assertLess(node.now - before, 0.05)
 
-    def test_an_ignorant_node_denies_no_replica(self) -> None:
-        """That it does not know yet is another answer."""
+    def test_uninformed_node_does_not_report_no_replica(self) -> None:
+        """It reports that it has not read the replicas yet."""
         error = NoReplicaError('none serves')
-        ignorant = _gate(_Node(informed_at=float('inf')))
-        told = ignorant.error_for_client(error)
-        self.assertIsInstance(told, NotInformedError)
-        self.assertIsNotNone(told.retry_after)
+        uninformed = _gate(_Node(informed_at=float('inf')))
+        reported = uninformed.error_for_client(error)
+        self.assertIsInstance(reported, NotInformedError)
+        self.assertIsNotNone(reported.retry_after)
         informed = _gate(_Node(informed_at=0))
         self.assertIs(informed.error_for_client(error), error)
         overloaded = OverloadedError('full')
-        self.assertIs(ignorant.error_for_client(overloaded), overloaded)
+        self.assertIs(uninformed.error_for_client(overloaded), overloaded)
--- a/tests/unit/test_surplus_responses.py
+++ b/tests/unit/test_surplus_responses.py
@@ -1,15 +1,14 @@
-"""No answer on a connection reaches a caller who did not ask for it.
-
-Callers got answers that were another request's. Their service sent a second
-answer behind one in two: 88 bytes that named no request came in one read with
-the first, stayed in the parser of the connection that was kept, and were the
-first thing found there when the next request was sent, 1 to 4 ms later. The
-node compared an answer's name only if it had one, gave up comparing after two
-foreign answers, and looked at the socket, not at the parser, before it used a
-connection again: 'left_over ... "bytes":88', then 'foreign_answer ...
-"named":"","carried":1,"taken":true', 11 times for 11 callers. An answer that
-came in parts was cut as well: what was read of it was dropped whenever the
-node looked up from waiting, every 25 ms.
+"""Surplus responses of a target reach no client.
+
+A service sent a second response, 88 bytes without a request id, after every
+other one. It arrived in the same read as the first, stayed in the parser of the
+idle connection and was taken for the response to the next request, sent 1 to
+4 ms later: 11 clients got the response of another request. The node compared
+request ids only where there was one, stopped after two mismatches, and checked
+the socket but not the parser before it reused a connection.
+
+A response received in parts was truncated as well: the part read so far was
+lost at each poll of the target's state, every 25 ms.
 """
 
 import itertools
@@ -40,10 +39,10 @@
 from tests.lib.waiting import until
 
 _STYLE = AnswerStyle('request-id', more=(('replica-signature', 'sig'),))
-_HERE = Address('127.0.0.1', 0)
-_GONE = (502, 504)
-# So many calls in a row may fail at a target after it has stopped stuttering.
-_SOON = 1
+_ANY_PORT = Address('127.0.0.1', 0)
+_FAILURE_STATUSES = (502, 504)
+# Number of calls that may still fail after the target's last surplus response.
+_MAX_LATE_FAILURES = 1
 
 _EXTRAS = st.builds(
     ExtraAnswer,
@@ -60,20 +59,20 @@
 
 
 @attrs.define
-class _Play:
-    """Calls made one after the other, and what came back."""
+class _CallSequence:
+    """Calls made one after the other, and their responses."""
 
     paths: Sequence[str]
     targets: Sequence[StutteringService]
-    # Before this call, answers too many are waited for: how late they come on
-    # a busy machine is not what is tested.
-    settled: int = 0
+    # Before this call the sequence waits until the targets have sent all surplus
+    # responses, so that delays on a busy machine do not matter.
+    settle_before: int = 0
     answers: list[ClientAnswer] = attrs.field(factory=list)
 
     async def run(self, testbed: GatewayTestbed) -> None:
         """Make the calls."""
         for number, path in enumerate(self.paths):
-            if number == self.settled:
+            if number == self.settle_before:
                 await until(self._is_settled)
             answer = await testbed.ask(
                 path,
@@ -86,36 +85,38 @@
         return not any(target.answering for target in self.targets)
 
 
-def _calls(
+def _make_calls(
     turns: Iterable[Turn],
     paths: Sequence[str],
     *,
-    has_sound: bool = False,
+    has_sound_target: bool = False,
 ) -> tuple[list[ClientAnswer], StutteringService]:
-    """Make one call after the other; return the answers and the target.
+    """Make calls in sequence; return the responses and the faulty target.
 
-    Another target of the same service is sound, if there is one.
+    With ``has_sound_target`` there is another one, which works correctly.
     """
     script = tuple(turns)
-    target = StutteringService(_HERE, _STYLE, script)
+    target = StutteringService(_ANY_PORT, _STYLE, script)
     targets = [target]
-    if has_sound:
-        targets.append(StutteringService(_HERE, _STYLE))
+    if has_sound_target:
+        targets.append(StutteringService(_ANY_PORT, _STYLE))
     others = {f's{number}': one for number, one in enumerate(targets)}
-    play = _Play(paths, targets, len(script) + _SOON)
-    curio.run(GatewayTestbed(service=PLAIN, other_targets=others).run, play.run)
-    return play.answers, target
+    sequence = _CallSequence(paths, targets, len(script) + _MAX_LATE_FAILURES)
+    curio.run(
+        GatewayTestbed(service=PLAIN, other_targets=others).run, sequence.run
+    )
+    return sequence.answers, target
 
 
 def _paths(path: str, count: int) -> Sequence[str]:
     return tuple(itertools.repeat(path, count))
 
 
-class StutterTest(unittest.TestCase):
-    """Targets that answer more often than they are asked."""
+class SurplusResponseTest(unittest.TestCase):
+    """Targets that send more responses than they get requests."""
 
-    def test_answers_too_many_are_nobodys(self) -> None:
-        """Whatever they name, whenever they come, and however many."""
+    def test_surplus_responses_reach_no_caller(self) -> None:
+        """Regardless of their ids, timing and number."""
         for extras in (
             (ExtraAnswer(Naming.NOTHING),),
             (ExtraAnswer(Naming.NOTHING, Moment.NEXT),),
@@ -123,86 +124,89 @@
             tuple(itertools.repeat(ExtraAnswer(moment=Moment.NEXT), 5)),
         ):
             with self.subTest(extras=extras):
-                self._all_own(Turn(extras))
+                self._assert_own_responses(Turn(extras))
 
-    def test_broken_off_behind_answers(self) -> None:
-        """A call that runs once is lost to that once at the most.
+    def test_truncated_surplus_response_costs_one_call(self) -> None:
+        """A non-repeatable call fails because of one once at most.
 
-        Nothing tells of the first such answer before the call that it breaks.
+        The first such response cannot be detected before the call that it
+        breaks.
         """
         cut = ExtraAnswer(moment=Moment.LATER, is_cut=True)
-        answers, _ = _calls(
+        answers, _ = _make_calls(
             itertools.repeat(Turn((cut,)), 6),
             _paths('/unsafe/x', 6),
         )
         lost = [one.status for one in answers if one.status != 200]
         self.assertLessEqual(len(lost), 1)
 
-    def test_an_uneven_connection_is_given_up(self) -> None:
-        """What it still owes can then reach nobody."""
+    def test_desynchronized_connection_is_closed(self) -> None:
+        """Later surplus responses on it can then reach no client."""
         turns = itertools.repeat(Turn((ExtraAnswer(),)), 3)
-        _answers, target = _calls(turns, _paths('/safe/x', 4))
+        _answers, target = _make_calls(turns, _paths('/safe/x', 4))
         self.assertEqual(target.connections, 4)
 
-    def test_an_answer_in_parts(self) -> None:
-        """Looking up from the wait loses nothing of it."""
-        self._all_own(Turn(pause_seconds=0.07))
+    def test_response_received_in_parts(self) -> None:
+        """Polls between the parts lose no data."""
+        self._assert_own_responses(Turn(pause_seconds=0.07))
 
     @settings(max_examples=60, deadline=None)
     @given(st.lists(_TURNS, max_size=8))
-    def test_drawn_sequences(self, turns: list[Turn]) -> None:
-        """Answers are one's own or none, and sound targets are used again.
+    def test_random_sequences(self, turns: list[Turn]) -> None:
+        """Clients get their own response or an error.
 
-        What must not run twice does not, and what may finds the answer of a
-        sound target beside the one that stutters.
+        A target that works again is used again. Non-repeatable calls run once
+        at most. Repeatable calls succeed at the other target.
         """
-        count = len(turns) + _SOON + 3
-        once, target = _calls(turns, _paths('/unsafe/x', count))
-        self._own_or_failed(once)
+        count = len(turns) + _MAX_LATE_FAILURES + 3
+        non_repeatable, target = _make_calls(turns, _paths('/unsafe/x', count))
+        self._assert_own_or_failed(non_repeatable)
         self.assertLessEqual(max(target.ran.values()), 1)
-        after = once[len(turns) + _SOON :]
+        after = non_repeatable[len(turns) + _MAX_LATE_FAILURES :]
         self.assertEqual({one.status for one in after}, {200})
-        repeatable, _ = _calls(turns, _paths('/safe/x', count), has_sound=True)
-        self._own_or_failed(repeatable)
+        repeatable, _ = _make_calls(
+            turns, _paths('/safe/x', count), has_sound_target=True
+        )
+        self._assert_own_or_failed(repeatable)
         self.assertEqual({one.status for one in repeatable}, {200})
 
-    def _all_own(self, turn: Turn) -> None:
+    def _assert_own_responses(self, turn: Turn) -> None:
         for path in ('/safe/x', '/unsafe/x'):
-            answers, _ = _calls(itertools.repeat(turn, 3), _paths(path, 4))
+            answers, _ = _make_calls(itertools.repeat(turn, 3), _paths(path, 4))
             self.assertEqual({one.status for one in answers}, {200})
-            self._own_or_failed(answers)
+            self._assert_own_or_failed(answers)
 
-    def _own_or_failed(self, answers: Sequence[ClientAnswer]) -> None:
+    def _assert_own_or_failed(self, answers: Sequence[ClientAnswer]) -> None:
         for number, answer in enumerate(answers):
             if answer.status == 200:
                 self.assertEqual(answer.body, own_body(f'r{number}'))
             else:
-                self.assertIn(answer.status, _GONE)
+                self.assertIn(answer.status, _FAILURE_STATUSES)
 
 
-class ServiceCallTest(unittest.TestCase):
-    """The native protocol's calls of plain services."""
+class NativeServiceCallTest(unittest.TestCase):
+    """Calls of plain services in the native protocol."""
 
-    def test_an_answer_that_names_nothing(self) -> None:
-        """It is nobody's there either."""
+    def test_response_without_request_id(self) -> None:
+        """It is rejected in this protocol too."""
         silent = AnswerStyle('x-request-id', names=False)
         with self.assertRaises(TargetBrokenError):
-            curio.run(_call_natively, StutteringService(_HERE, silent))
+            curio.run(_call_natively, StutteringService(_ANY_PORT, silent))
 
 
 class ResumedStreamTest(unittest.TestCase):
-    """A stream that goes on at another target."""
+    """A stream that is resumed at another target."""
 
-    def test_one_that_starts_over(self) -> None:
-        """Events that were passed on already are not passed on again."""
+    def test_stream_that_starts_over(self) -> None:
+        """Events that were relayed already are not relayed again."""
         splitter = EventSplitter()
         splitter.feed(b'id: 4\ndata: d\n\nid: 5')
         splitter.restart()
         with self.assertRaises(TargetBrokenError):
             splitter.feed(b'id: 1\ndata: a\n\n')
 
-    def test_one_that_goes_on(self) -> None:
-        """The event behind the last whole one is the next."""
+    def test_stream_that_continues(self) -> None:
+        """The event after the last complete one is relayed next."""
         splitter = EventSplitter()
         splitter.feed(b'id: 4\ndata: d\n\nid: 5')
         splitter.restart()
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -38,12 +38,12 @@
     'tests.unit.test_grouping_faults.GroupingFaultsTest'
     '.test_no_overlap_and_no_partial_replica'
 )
-_FOREIGN_ANSWERS = 'tests.unit.test_surplus_responses.StutterTest'
+_SURPLUS_RESPONSES = 'tests.unit.test_surplus_responses.SurplusResponseTest'
 _LIMIT_SHARES = 'tests.unit.test_limit_shares'
 _RESTORED = 'tests.platform.test_restored_store.RestoredStoreTest'
 _RESTORED_RECORDS = 'tests.unit.test_restored_records.RestoredRecordsTest'
 _VERSIONS = 'tests.platform.test_versions.VersionsTest'
-_WHOLE_ANSWERS = 'tests.unit.test_forwarding.WholeAnswerTest'
+_BUFFERED_RESPONSES = 'tests.unit.test_forwarding.BufferedResponseTest'
 
 MUTATIONS = (
     Mutation(
@@ -159,28 +159,28 @@
         'forwarding/_attempts.py',
         'if not call.may_repeat and self._may_have_run:',
         'if call is None:',
-        f'{_WHOLE_ANSWERS}.test_unknown_outcome_is_not_repeated',
+        f'{_BUFFERED_RESPONSES}.test_unknown_outcome_is_not_repeated',
     ),
     Mutation(
         'foreign-answers-are-taken',
         'forwarding/_own_response.py',
         'if answered_id == self._call.request_id:',
         'if head:',
-        f'{_WHOLE_ANSWERS}.test_a_foreign_answer_is_dropped',
+        f'{_BUFFERED_RESPONSES}.test_response_of_another_request_is_discarded',
     ),
     Mutation(
         'unnamed-answers-are-taken',
         'forwarding/_own_response.py',
         'if answered_id == self._call.request_id:',
         'if not answered_id or answered_id == self._call.request_id:',
-        f'{_FOREIGN_ANSWERS}.test_answers_too_many_are_nobodys',
+        f'{_SURPLUS_RESPONSES}.test_surplus_responses_reach_no_caller',
     ),
     Mutation(
         'parts-of-bodies-are-forgotten',
         'http/_client.py',
         'while chunk := await self.read_chunk():',
         'self._body.clear()\n        while chunk := await self.read_chunk():',
-        f'{_FOREIGN_ANSWERS}.test_an_answer_in_parts',
+        f'{_SURPLUS_RESPONSES}.test_response_received_in_parts',
     ),
     Mutation(
         'uneven-connections-are-kept',
@@ -188,7 +188,7 @@
         '            and is_response_read\n'
         '            and not self.has_surplus_data\n',
         '            and is_response_read\n',
-        f'{_FOREIGN_ANSWERS}.test_an_uneven_connection_is_given_up',
+        f'{_SURPLUS_RESPONSES}.test_desynchronized_connection_is_closed',
     ),
     Mutation(
         'doubted-targets-get-calls-on-kept-connections',
@@ -197,14 +197,14 @@
             require_recent and self._is_unreliable(instance)
         )""",
         'must_open = require_new',
-        f'{_FOREIGN_ANSWERS}.test_broken_off_behind_answers',
+        f'{_SURPLUS_RESPONSES}.test_truncated_surplus_response_costs_one_call',
     ),
     Mutation(
         'unsigned-answers-are-taken',
         'forwarding/_sender.py',
         'if head.is_success and not facts.is_genuine:',
         'if head is None:',
-        f'{_WHOLE_ANSWERS}.test_an_unsigned_answer_is_none',
+        f'{_BUFFERED_RESPONSES}.test_unsigned_response_is_rejected',
     ),
     Mutation(
         'half-events-are-passed-on',
@@ -212,7 +212,7 @@
         'self._partial = buffered[complete_end:]\n'
         '        complete = buffered[:complete_end]',
         "self._partial = b''\n        complete = buffered",
-        'tests.unit.test_forwarding.StreamTest.test_moves_between_events',
+        'tests.unit.test_forwarding.StreamTest.test_resumes_between_complete_events',
     ),
     Mutation(
         'requests-are-never-held',
@@ -253,7 +253,7 @@
         'forwarding/_startup.py',
         'while not self._is_informed() and self._clock() < wait_until:',
         'while False:',
-        'tests.unit.test_startup_gate.StartGateTest.test_waits_until_informed',
+        'tests.unit.test_startup_gate.StartupGateTest.test_waits_until_informed',
     ),
     Mutation(
         'entries-that-lapsed-in-an-outage-are-gone',
