--- a/src/cranecart/node/_control.py
+++ b/src/cranecart/node/_control_plane.py
@@ -19,13 +19,13 @@
 
 
 @attrs.frozen
-class Control:
+class ControlPlane:
     """Follows the configuration and holds the duties that fall to it."""
 
     _settings: NodeSettings
     _config: ActiveConfig
     _history: ConfigHistory
-    _follower: ConfigPoller
+    _config_poller: ConfigPoller
     _placer: Placer
     _sweeper: Sweeper
 
@@ -36,7 +36,7 @@
         platform: PlatformClient,
         reports: ReportRegistry,
         config: ActiveConfig,
-        source: random.Random,
+        random_source: random.Random,
     ) -> Self:
         """Build the parts; nothing runs until ``run``."""
         history = ConfigHistory(platform)
@@ -48,17 +48,17 @@
             reports,
             EngineClient(),
         )
-        follower = ConfigPoller(config, history, platform, source)
+        config_poller = ConfigPoller(config, history, platform, random_source)
         sweeper = Sweeper(
             Lease('sweeper', settings.node_id, platform),
             platform,
         )
-        return cls(settings, config, history, follower, placer, sweeper)
+        return cls(settings, config, history, config_poller, placer, sweeper)
 
     async def run(self) -> None:
         """Follow and place until cancelled."""
         async with curio.TaskGroup(wait=any) as tasks:
-            await tasks.spawn(self._follower.run)
+            await tasks.spawn(self._config_poller.run)
             await tasks.spawn(self._placer.run, self._config.declarations)
             await tasks.spawn(self._sweeper.run)
         raise_first_error(tasks)
@@ -86,7 +86,7 @@
             self._settings.operator_key_sha256,
             self._history,
             self._config,
-            self._follower,
+            self._config_poller,
             is_ready,
             status,
             metrics,
--- a/src/cranecart/node/_demand_sharing.py
+++ b/src/cranecart/node/_demand_sharing.py
@@ -6,8 +6,8 @@
 from cranecart.limits import LimitShares
 from cranecart.targets import DomainSummary
 
-_TELL_TICKS = 10
-_REFRESH_TICKS = 200
+_PUBLISH_INTERVAL_TICKS = 10
+_REPUBLISH_INTERVAL_TICKS = 200
 
 
 @attrs.define
@@ -16,22 +16,25 @@
 
     _members: Members
     _shares: LimitShares
-    _told: dict[str, int] = attrs.field(factory=dict, init=False)
+    _published_demand: dict[str, int] = attrs.field(factory=dict, init=False)
 
     def publish(self, peers: GossipProtocol, ticks: int) -> None:
         """Publish what changed, and all of it at times, as it expires."""
         demand = self._shares.demand()
-        is_due = ticks % _REFRESH_TICKS == 0
-        is_news = demand != self._told and ticks % _TELL_TICKS == 0
-        if is_due or is_news:
-            self._told = demand
+        is_due = ticks % _REPUBLISH_INTERVAL_TICKS == 0
+        has_changed = (
+            demand != self._published_demand
+            and ticks % _PUBLISH_INTERVAL_TICKS == 0
+        )
+        if is_due or has_changed:
+            self._published_demand = demand
             peers.publish(Topic.DEMAND, self._members.node_id, demand)
 
-    def expect(self, nodes: frozenset[str]) -> None:
+    def add_live_nodes(self, nodes: frozenset[str]) -> None:
         """Count nodes that live but have told nothing yet."""
         self._shares.add_sources(nodes - {self._members.node_id})
 
-    def take_entry(self, entry: Entry) -> None:
+    def apply_entry(self, entry: Entry) -> None:
         """Take over a node's demand, or that it stops."""
         match entry.key.topic:
             case Topic.DEMAND if entry.key.origin != self._members.node_id:
@@ -42,7 +45,7 @@
                 # Counted from the moment it is known, before it tells more.
                 self._shares.add_sources([entry.key.subject])
 
-    def take_summary(self, summary: DomainSummary) -> None:
+    def apply_summary(self, summary: DomainSummary) -> None:
         """Take over the demand of another failure domain."""
         domain = summary.failure_domain
         if domain != self._members.info.failure_domain and summary.versions:
@@ -52,8 +55,8 @@
                 summary.versions.nodes,
             )
 
-    def of_domain(self) -> dict[str, int]:
+    def domain_demand(self) -> dict[str, int]:
         """Return the demand of this failure domain's nodes together."""
-        near = self._shares.total_demand(self._members.others())
-        near.update(self._shares.demand())
-        return dict(near)
+        demand_of_others = self._shares.total_demand(self._members.others())
+        demand_of_others.update(self._shares.demand())
+        return dict(demand_of_others)
--- a/src/cranecart/node/_node.py
+++ b/src/cranecart/node/_node.py
@@ -16,7 +16,7 @@
 from cranecart.logs import decision
 from cranecart.metrics import Metrics
 from cranecart.native import PlatformClient, WriteBatcher
-from cranecart.node._control import Control
+from cranecart.node._control_plane import ControlPlane
 from cranecart.node._peering import Peering
 from cranecart.operators import NodeStatus
 from cranecart.rollout import ActiveConfig
@@ -33,12 +33,12 @@
     TargetDirectory,
 )
 
-_LATENESS_SECONDS = 0.1
-_KEEP_SECONDS = 0.5
+_LATENESS_INTERVAL_SECONDS = 0.1
+_GUARD_REFRESH_SECONDS = 0.5
 _DRAIN_POLL_SECONDS = 0.05
 _MILLISECONDS = 1000
 # A node that cannot hear of every instance gets ready all the same.
-_INFORMED_SECONDS = 8.0
+_MAX_UNINFORMED_SECONDS = 8.0
 
 
 class Node:
@@ -53,7 +53,7 @@
         self._metrics = Metrics()
         self._config = ActiveConfig()
         self._reports = ReportRegistry(settings.node_id)
-        source = random.Random(f'{settings.seed}{settings.node_id}')
+        random_source = random.Random(f'{settings.seed}{settings.node_id}')
         self._platform = PlatformClient(settings.platform)
         platform = self._platform
         self._directory = TargetDirectory(
@@ -65,20 +65,22 @@
             self._directory,
             self._config,
             shares,
-            source,
+            random_source,
         )
-        self._control = Control.from_settings(
+        self._control_plane = ControlPlane.from_settings(
             settings,
             platform,
             self._reports,
             self._config,
-            source,
+            random_source,
+        )
+        self._instances = InstanceListPoller(
+            platform, None, self._replace_instances
         )
-        self._instances = InstanceListPoller(platform, None, self._take_list)
         self._prober = Prober(
             self._reports,
-            self._peering.state.probed,
-            source,
+            self._peering.state.probed_instances,
+            random_source,
             self._publish_probe,
         )
         self._admission = Admission(
@@ -91,7 +93,7 @@
             self._config.declarations,
             Router(
                 self._directory,
-                source,
+                random_source,
                 policy_from_name(settings.routing_policy),
             ),
             EngineClient(),
@@ -104,7 +106,7 @@
         self._client_server = HttpServer(settings.clients, gateway.handle)
         self._admin_server = HttpServer(
             settings.operators,
-            self._control.admin(
+            self._control_plane.admin(
                 self._is_ready,
                 self._status,
                 self._metrics_text,
@@ -118,13 +120,13 @@
                 self._client_server,
                 self._admin_server,
                 self._peering,
-                self._control,
+                self._control_plane,
                 self._instances,
                 self._prober,
             ):
                 await tasks.spawn(part.run)
-            await tasks.spawn(self._watch_loop)
-            await tasks.spawn(self._keep_guard)
+            await tasks.spawn(self._measure_loop_lateness)
+            await tasks.spawn(self._refresh_guard)
             await tasks.spawn(self._wait_for_stop, stop)
         self._peering.close()
         raise_first_error(tasks)
@@ -135,7 +137,7 @@
         self._stopping = True
         decision('node_stopping', in_flight=self._admission.in_progress)
         self._peering.state.stop()
-        await self._control.hand_over()
+        await self._control_plane.hand_over()
         # The balancer needs a while to see that the node is not ready.
         await curio.sleep(self._settings.ready_off_ms / _MILLISECONDS)
         self._client_server.disable_keep_alive()
@@ -143,19 +145,19 @@
         while self._admission.in_progress and since_boot() < deadline:
             await curio.sleep(_DRAIN_POLL_SECONDS)
 
-    async def _watch_loop(self) -> None:
+    async def _measure_loop_lateness(self) -> None:
         while True:
-            due = awake() + _LATENESS_SECONDS
-            await curio.sleep(_LATENESS_SECONDS)
+            due = awake() + _LATENESS_INTERVAL_SECONDS
+            await curio.sleep(_LATENESS_INTERVAL_SECONDS)
             lateness = awake() - due
             self._metrics.loop_lateness_ms.record(lateness * _MILLISECONDS)
 
-    async def _keep_guard(self) -> None:
+    async def _refresh_guard(self) -> None:
         while True:
-            await curio.sleep(_KEEP_SECONDS)
+            await curio.sleep(_GUARD_REFRESH_SECONDS)
             self._guard.refresh(())
 
-    def _take_list(self, instances: Sequence[Instance]) -> None:
+    def _replace_instances(self, instances: Sequence[Instance]) -> None:
         self._peering.state.replace_instances(
             instance
             for instance in instances
@@ -193,7 +195,7 @@
             return False
         # Once it was informed, a node stays ready and serves what it can.
         domain = self._settings.failure_domain
-        late = since_boot() - self._started_at > _INFORMED_SECONDS
+        late = since_boot() - self._started_at > _MAX_UNINFORMED_SECONDS
         self._informed = (
             self._informed or late or self._reports.is_informed(domain)
         )
@@ -205,7 +207,7 @@
             self._settings.failure_domain,
             self._is_ready(),
             self._config.release.version,
-            self._control.duties(),
+            self._control_plane.duties(),
             tuple(self._directory.replicas()),
             tuple(self._directory.service_ids()),
             dict(self._peering.members.all_members()),
--- a/src/cranecart/node/_peering.py
+++ b/src/cranecart/node/_peering.py
@@ -53,7 +53,7 @@
         directory: TargetDirectory,
         config: ActiveConfig,
         shares: LimitShares,
-        source: random.Random,
+        random_source: random.Random,
     ) -> Self:
         """Bind the peer address and build the parts."""
         store = EntryStore()
@@ -69,7 +69,7 @@
             # A later life of the same node outranks the earlier one.
             int(time.time() * _MILLISECONDS),
         )
-        speaker = GossipSender(members, store, link)
+        gossip_sender = GossipSender(members, store, link)
         state = SharedState(
             members,
             store,
@@ -79,21 +79,23 @@
             DemandSharing(members, shares),
         )
         peers = GossipProtocol(
-            speaker,
+            gossip_sender,
             link,
             GossipSettings(settings.peers),
             PayloadExchanges(
-                ConfigExchange(speaker, state.read_config, state.take_config),
+                ConfigExchange(
+                    gossip_sender, state.active_config, state.apply_config
+                ),
                 ListExchange(
-                    speaker,
-                    state.listed,
+                    gossip_sender,
+                    state.listed_instances,
                     state.replace_instances,
                 ),
             ),
             GossipCallbacks(
-                state.take_entry, directory.reports.discard_remote_observations
+                state.apply_entry, directory.reports.discard_remote_observations
             ),
-            source,
+            random_source,
         )
         return cls(members, peers, state, link)
 
@@ -101,14 +103,14 @@
         """Build what holds requests that end targets, told by all nodes."""
 
         def is_expected(runner: Runner) -> bool:  # noqa: WPS430
-            listed = reports.instances.get(runner.incarnation.id)
-            return listed is None or listed.leaving
+            instance = reports.instances.get(runner.incarnation.id)
+            return instance is None or instance.leaving
 
         guard = RequestGuard(
             is_expected,
-            functools.partial(self.state.tell_cases, self.peers),
+            functools.partial(self.state.publish_cases, self.peers),
         )
-        self.state.on_case = guard.merge_remote
+        self.state.apply_case = guard.merge_remote
         return guard
 
     async def run(self) -> None:
--- a/src/cranecart/platform/__init__.py
+++ b/src/cranecart/platform/__init__.py
@@ -1,7 +1,7 @@
 """The adapter of the users' platform: it translates and decides nothing."""
 
 from cranecart.platform._calls import PlatformCallForm
-from cranecart.platform._declared import PlatformDeclarations
+from cranecart.platform._config_source import PlatformConfigSource
 from cranecart.platform._orders import PlatformOrders
 from cranecart.platform._store import StoreClient
 from cranecart.platform._tables import PlatformRowSource, PlatformTable
@@ -9,7 +9,7 @@
 
 __all__ = (
     'PlatformCallForm',
-    'PlatformDeclarations',
+    'PlatformConfigSource',
     'PlatformOrders',
     'PlatformRowSource',
     'PlatformTable',
--- a/src/cranecart/platform/_calls.py
+++ b/src/cranecart/platform/_calls.py
@@ -12,7 +12,7 @@
     ResponseHead,
     json_response,
 )
-from cranecart.platform._words import with_words
+from cranecart.platform._load_headers import with_load_headers
 from cranecart.ports import AnswerFacts, CallFacts, Dispatch
 
 _MILLISECONDS = 1000
@@ -98,7 +98,7 @@
             _NOT_RUN in headers or head.status == _WRONG_INSTANCE,
             headers.get(_AT_FAULT, ''),
         )
-        return with_words(facts, head)
+        return with_load_headers(facts, head)
 
     def answer_lines(self, head: ResponseHead) -> HeaderLines:
         """Return the headers of a target's answer that a client gets."""
--- a/src/cranecart/platform/_declared.py
+++ b/src/cranecart/platform/_config_source.py
@@ -21,7 +21,7 @@
     WireRoute,
     WireService,
     WireTenant,
-    whole,
+    whole_number,
 )
 from cranecart.ports import Changes, Snapshot
 
@@ -34,7 +34,7 @@
 
 
 @attrs.frozen
-class PlatformDeclarations:
+class PlatformConfigSource:
     """The operator's configuration as a source that can be followed."""
 
     _store: StoreClient
@@ -45,7 +45,7 @@
         return Snapshot(
             rows.schema_version,
             {
-                row.key_file: config_from_row(row)
+                row.key_file: decode_config(row)
                 for row in rows.rows
                 if row.key_file == _KEY
             },
@@ -61,14 +61,14 @@
         return Changes(
             changed.schema_version,
             {
-                row.key_file: config_from_row(row)
+                row.key_file: decode_config(row)
                 for row in changed.rows
                 if row.key_file == _KEY and not row.deleted
             },
         )
 
 
-def config_from_row(row: WireRow) -> RouteConfig:
+def decode_config(row: WireRow) -> RouteConfig:
     """Decode the operator's row; raise ``PlatformUnavailableError``."""
     wire: WireConfig = decode_row(row, WireConfig)
     return RouteConfig(
@@ -93,8 +93,8 @@
         # Without an objective there is the whole time, and no hurry.
         objective_seconds=(wire.slo_ms or wire.timeout_ms) / _MILLISECONDS,
         pause_seconds=wire.gap_target_ms / _MILLISECONDS,
-        rank=whole(wire.priority),
-        attempts=whole(wire.attempts, 1),
+        rank=whole_number(wire.priority),
+        attempts=whole_number(wire.attempts, 1),
         public=wire.public,
         shares=shares or (Share(wire.service, _WHOLE_WEIGHT),),
     )
@@ -108,11 +108,11 @@
         wire.name,
         EngineProfile(
             tuple(map(_model, runtime.models)),
-            whole(runtime.slots, 1),
+            whole_number(runtime.slots, 1),
             runtime.form_ms / _MILLISECONDS,
             runtime.loads_per_s,
-            whole(runtime.cached_prefixes),
-            whole(runtime.loads_at_once, 1),
+            whole_number(runtime.cached_prefixes),
+            whole_number(runtime.loads_at_once, 1),
             runtime.timing(),
         ),
     )
@@ -121,7 +121,7 @@
 def _model(wire: WireModel) -> EngineModel:
     return EngineModel(
         wire.name,
-        whole(wire.size, 1),
+        whole_number(wire.size, 1),
         wire.pace,
         wire.share,
         wire.load_s,
@@ -133,14 +133,14 @@
     return KeyHolder(
         wire.name,
         tuple(map(hash_key, wire.api_keys)),
-        None if wire.priority is None else whole(wire.priority),
+        None if wire.priority is None else whole_number(wire.priority),
     )
 
 
 def _limits(wire: WireLimits) -> ClientLimits:
     return ClientLimits(
-        whole(wire.max_header_bytes, 1),
-        whole(wire.max_body_bytes),
+        whole_number(wire.max_header_bytes, 1),
+        whole_number(wire.max_body_bytes),
         wire.header_timeout_ms / _MILLISECONDS,
         wire.idle_timeout_ms / _MILLISECONDS,
     )
--- a/src/cranecart/platform/_words.py
+++ b/src/cranecart/platform/_load_headers.py
@@ -24,7 +24,7 @@
 _MOST_TOLD = 40
 
 
-def with_words(facts: AnswerFacts, head: ResponseHead) -> AnswerFacts:
+def with_load_headers(facts: AnswerFacts, head: ResponseHead) -> AnswerFacts:
     """Add what the target says of the load that it takes."""
     if _LIMIT in head.headers:
         facts = _with_limit(facts, head)
--- a/src/cranecart/platform/_store.py
+++ b/src/cranecart/platform/_store.py
@@ -66,7 +66,7 @@
     rows: list[WireRow]
     truncated: bool = False
 
-    def of_era(self, era: int) -> 'WireRows':
+    def with_era(self, era: int) -> 'WireRows':
         """Return the same with versions that rise over all eras."""
         self.schema_version = version_in(era, self.schema_version)
         for row in self.rows:
@@ -185,7 +185,7 @@
         if era < self.era:
             raise PlatformUnavailableError(_LATE)
         try:
-            return _read_rows(response, str(query['tableName'])).of_era(era)
+            return _read_rows(response, str(query['tableName'])).with_era(era)
         except PlatformUnavailableError:
             # It may answer an earlier question, and so would the next one.
             await self._pool.close_idle(self._address)
--- a/src/cranecart/platform/_targets.py
+++ b/src/cranecart/platform/_targets.py
@@ -10,7 +10,7 @@
 from cranecart.http import Address
 from cranecart.logs import UnreadableRows
 from cranecart.platform._store import StoreClient, WireRow, decode_row
-from cranecart.platform._wire_config import whole
+from cranecart.platform._wire_config import whole_number
 from cranecart.ports import (
     Changes,
     ListedInstance,
@@ -116,13 +116,13 @@
         _address(wire.address),
         wire.zone,
         # A place that is there in part takes no request.
-        whole(wire.slots, 1),
+        whole_number(wire.slots, 1),
         wire.state == _LEAVING,
         wire.domain,
         tuple(model.name for model in wire.models),
         tuple(wire.staged),
         _membership(wire.group),
-        whole(wire.born),
+        whole_number(wire.born),
     )
 
 
--- a/src/cranecart/platform/_wire_config.py
+++ b/src/cranecart/platform/_wire_config.py
@@ -19,7 +19,7 @@
 _UNTOLD_RANK = 5
 
 
-def whole(figure: float, least: int = 0) -> int:
+def whole_number(figure: float, least: int = 0) -> int:
     """Return what a figure is worth where only whole ones count."""
     return max(least, int(figure))
 
@@ -105,7 +105,7 @@
             self.context_per_k / _MILLISECONDS / _THOUSAND_TOKENS,
             self.read_per_s or _TIMING.prompt_rate,
             self.pairs_per_m / _MILLISECONDS / _MILLION_PAIRS,
-            whole(self.chunk, 1),
+            whole_number(self.chunk, 1),
             self.stride or 1,
         )
 
--- a/src/cranecart/serving/_configuration.py
+++ b/src/cranecart/serving/_active_config.py
@@ -9,7 +9,7 @@
 
 
 @attrs.define
-class ForceConfig:
+class ActiveRouteConfig:
     """Holds the newest configuration that this process has seen."""
 
     _changed: list[Callable[[RouteConfig], None]] = attrs.field(
@@ -22,11 +22,11 @@
         """Return the configuration in force, if there is one yet."""
         return self._config
 
-    def on_change(self, tell: Callable[[RouteConfig], None]) -> None:
+    def subscribe(self, tell: Callable[[RouteConfig], None]) -> None:
         """Have something told of each new version."""
         self._changed.append(tell)
 
-    def take_from_store(
+    def apply_from_store(
         self,
         items: Mapping[str, RouteConfig | None],
         is_whole: bool,
@@ -42,7 +42,7 @@
                 if config.version > known or self._is_rewritten(config):
                     self._take(config, 'store')
 
-    def take_from_peer(self, config: RouteConfig) -> None:
+    def apply_from_peer(self, config: RouteConfig) -> None:
         """Take over what another node has in force."""
         known = self._config.version if self._config else 0
         if config.version > known:
--- a/src/cranecart/serving/_endpoints.py
+++ b/src/cranecart/serving/_endpoints.py
@@ -9,7 +9,7 @@
 
 from cranecart.fleet import Fleet
 from cranecart.http import Request, Responder, Response
-from cranecart.serving._configuration import ForceConfig
+from cranecart.serving._active_config import ActiveRouteConfig
 
 if TYPE_CHECKING:
     from cranecart.metrics import Metrics
@@ -35,7 +35,7 @@
 
 
 @attrs.define
-class RequestFigures:
+class RequestStatistics:
     """Outcomes and first bytes of requests; metrics are made by a reader.
 
     Loading them would delay each start, and many nodes are never read.
@@ -72,10 +72,10 @@
 class MetricsEndpoint:
     """Tells counters and histograms in the text exposition format."""
 
-    _figures: RequestFigures
+    _figures: RequestStatistics
     _counts: Callable[[], Mapping[str, int]]
     _fleet: Fleet
-    _config: ForceConfig
+    _config: ActiveRouteConfig
 
     async def handle(self, request: Request, responder: Responder) -> None:
         """Answer one reading."""
--- a/src/cranecart/serving/_making.py
+++ b/src/cranecart/serving/_factories.py
@@ -63,7 +63,7 @@
     )
 
 
-def retry_rules(settings: ServingSettings) -> RetryLimits:
+def retry_limits(settings: ServingSettings) -> RetryLimits:
     """Return how much may be sent again."""
     return RetryLimits(
         settings.retry_ratio,
@@ -72,7 +72,7 @@
     )
 
 
-def make_gate(
+def make_throttle(
     node_id: str,
     fleet: Fleet,
     read_mesh: Callable[[], Mesh],
--- a/src/cranecart/serving/_knowledge.py
+++ b/src/cranecart/serving/_followers.py
@@ -26,9 +26,9 @@
 from cranecart.models import RouteConfig
 from cranecart.ports import ListedInstance, Row, Source, era_of
 from cranecart.quarantine import HeldRows
-from cranecart.serving._configuration import ForceConfig
-from cranecart.serving._registry import NodeRegistry, peers_from_rows
-from cranecart.serving._surroundings import Surroundings
+from cranecart.serving._active_config import ActiveRouteConfig
+from cranecart.serving._node_registry import NodeRegistry, peers_from_rows
+from cranecart.serving._platform_adapters import PlatformAdapters
 from cranecart.signals import raise_first_error
 
 Item = TypeVar('Item')
@@ -52,7 +52,7 @@
 
 
 @attrs.define
-class Knowledge:
+class PlatformFollowers:
     """Followers of the configuration, the list, and the placers' records."""
 
     _mesh: Mesh
@@ -62,11 +62,11 @@
     reachability: StoreReachability
 
     @classmethod
-    def from_surroundings(
+    def from_adapters(
         cls,
-        surroundings: Surroundings,
-        config: ForceConfig,
-        taker: 'RowTaker',
+        platform_adapters: PlatformAdapters,
+        config: ActiveRouteConfig,
+        dispatcher: 'RowDispatcher',
         source: random.Random,
         leaving_seconds: float = _LEAVING_SECONDS,
     ) -> Self:
@@ -77,7 +77,7 @@
         the configuration itself: sent around, a large one filled the links of
         small nodes for seconds.
         """
-        mesh = taker.mesh
+        mesh = dispatcher.mesh
         reachability = StoreReachability(
             lambda: mesh.announced_version(_LIST) is not None
         )
@@ -85,28 +85,28 @@
             mesh,
             SourceFollower(
                 'configuration',
-                surroundings.declarations,
-                config.take_from_store,
+                platform_adapters.declarations,
+                config.apply_from_store,
                 source,
                 _DECLARATIONS_GAP_SECONDS,
                 reachability=reachability,
             ),
             _list_follower(
-                taker,
-                surroundings.instances,
+                dispatcher,
+                platform_adapters.instances,
                 source,
                 reachability,
                 leaving_seconds,
             ),
             SourceFollower(
                 _RECORDS,
-                surroundings.records,
-                taker.take,
+                platform_adapters.records,
+                dispatcher.take,
                 source,
                 _RECORDS_GAP_SECONDS,
                 _sharing(mesh, _RECORDS, RecordNews),
                 reachability=reachability,
-                apply_restored=taker.restore,
+                apply_restored=dispatcher.restore,
             ),
             reachability,
         )
@@ -116,15 +116,15 @@
         """Tell whether list and records were read at least once."""
         return self._instances.is_informed and self._records.is_informed
 
-    def take_list_news(self, news: SourceUpdate[ListedInstance]) -> None:
+    def apply_list_update(self, news: SourceUpdate[ListedInstance]) -> None:
         """Take over what another node has read of the list."""
         self._instances.apply_update(news)
 
-    def take_record_news(self, news: SourceUpdate[Row]) -> None:
+    def apply_record_update(self, news: SourceUpdate[Row]) -> None:
         """Take over what another node has read of the records."""
         self._records.apply_update(news)
 
-    def announced(self) -> dict[str, int]:
+    def announced_versions(self) -> dict[str, int]:
         """Return the last changes of the sources that this node reads.
 
         That it reads the list shows that its path to the store is good.
@@ -148,7 +148,7 @@
 
 
 @attrs.frozen
-class RowTaker:
+class RowDispatcher:
     """Sorts the rows of one table into nodes, replicas and held requests."""
 
     mesh: Mesh
@@ -177,19 +177,21 @@
 
 
 def _list_follower(
-    taker: RowTaker,
+    dispatcher: RowDispatcher,
     instances: Source[ListedInstance],
     source: random.Random,
     reachability: StoreReachability,
     leaving_seconds: float,
 ) -> SourceFollower[ListedInstance]:
-    mesh = taker.mesh
+    mesh = dispatcher.mesh
 
     def take_list(  # noqa: WPS430
         items: Mapping[str, ListedInstance | None],
         is_complete: bool,
     ) -> None:
-        taker.fleet.apply_instances(items, is_complete, follower.repopulated_at)
+        dispatcher.fleet.apply_instances(
+            items, is_complete, follower.repopulated_at
+        )
 
     follower = SourceFollower(
         _LIST,
@@ -205,7 +207,7 @@
             ),
         ),
         reachability=reachability,
-        apply_restored=taker.fleet.apply_restored_instances,
+        apply_restored=dispatcher.fleet.apply_restored_instances,
     )
     return follower
 
--- a/src/cranecart/serving/_node.py
+++ b/src/cranecart/serving/_node.py
@@ -25,35 +25,35 @@
 from cranecart.models import ClientLimits, RouteConfig
 from cranecart.retries import SharedRetryBudget
 from cranecart.routing import TargetRouter
-from cranecart.serving._configuration import ForceConfig
+from cranecart.serving._active_config import ActiveRouteConfig
 from cranecart.serving._endpoints import (
     MetricsEndpoint,
     ReadyEndpoint,
-    RequestFigures,
+    RequestStatistics,
 )
-from cranecart.serving._holding import Holding
-from cranecart.serving._knowledge import Knowledge, RowTaker
-from cranecart.serving._making import (
-    make_gate,
+from cranecart.serving._quarantine import NodeQuarantine
+from cranecart.serving._followers import PlatformFollowers, RowDispatcher
+from cranecart.serving._factories import (
+    make_throttle,
     make_mesh,
-    retry_rules,
+    retry_limits,
     server_limits,
 )
-from cranecart.serving._placing import PlacerParts, Placing
-from cranecart.serving._registry import NodeRegistry
-from cranecart.serving._surroundings import Surroundings
+from cranecart.serving._placer_host import PlacerDependencies, PlacerHost
+from cranecart.serving._node_registry import NodeRegistry
+from cranecart.serving._platform_adapters import PlatformAdapters
 from cranecart.settings import LiveSettings
 from cranecart.signals import StopSignal, raise_first_error, stop_signal
 
 # The balancer takes a node out after two missed questions a second apart.
-_LISTEN_ON_SECONDS = 3.0
+_LISTEN_WHILE_STOPPING_SECONDS = 3.0
 # What is left of the grace for breaking off what cannot end in time.
-_LAST_SECONDS = 0.6
-_DRAIN_LOOK_SECONDS = 0.05
+_ABORT_RESERVE_SECONDS = 0.6
+_DRAIN_POLL_SECONDS = 0.05
 _HOUSEKEEPING_SECONDS = 0.5
 _MILLISECONDS = 1000
 # The counters are logged every ten seconds.
-_FIGURES_TURNS = 20
+_COUNTER_LOG_TURNS = 20
 
 
 class ServingNode:
@@ -66,13 +66,15 @@
         self._live = live
         self._stopping = False
         self._suspensions = SuspensionWatch()
-        self._requests = RequestFigures()
+        self._request_statistics = RequestStatistics()
         self._random = random.Random()
-        self._config = ForceConfig()
+        self._config = ActiveRouteConfig()
         self._fleet = Fleet()
         self._demand = DemandMeter()
-        self._surroundings = Surroundings.from_settings(settings)
-        self._registry = NodeRegistry(settings, self._surroundings.table)
+        self._platform_adapters = PlatformAdapters.from_settings(settings)
+        self._node_registry = NodeRegistry(
+            settings, self._platform_adapters.table
+        )
         self._router = TargetRouter(
             self._fleet,
             self._random,
@@ -82,65 +84,65 @@
             report_broken=lambda incarnation: self._mesh.publish(
                 Broken(settings.node_id, incarnation.id, incarnation.born),
             ),
-            throttle=make_gate(
+            throttle=make_throttle(
                 settings.node_id, self._fleet, lambda: self._mesh
             ),
         )
         self._mesh = self._make_mesh()
-        self._holding = Holding.for_node(
+        self._quarantine = NodeQuarantine.for_node(
             settings.node_id,
-            self._surroundings.table,
+            self._platform_adapters.table,
             self._fleet,
             lambda: self._mesh,
         )
-        self._knowledge = Knowledge.from_surroundings(
-            self._surroundings,
+        self._followers = PlatformFollowers.from_adapters(
+            self._platform_adapters,
             self._config,
-            RowTaker(
+            RowDispatcher(
                 self._mesh,
                 self._fleet,
-                self._holding.rows,
-                self._registry,
+                self._quarantine.rows,
+                self._node_registry,
             ),
             self._random,
             settings.leaving_ms / _MILLISECONDS,
         )
-        self._placing = Placing(
-            PlacerParts(
+        self._placer_host = PlacerHost(
+            PlacerDependencies(
                 settings,
-                self._surroundings,
+                self._platform_adapters,
                 self._fleet,
                 self._mesh,
                 self._config,
-                self._knowledge,
-                self._tell_stopped,
+                self._followers,
+                self._report_stopped,
             ),
         )
         self._connections = TargetConnectionPool()
         self._budget = SharedRetryBudget(
-            retry_rules(settings),
+            retry_limits(settings),
             self._mesh.live_node_count,
         )
         self._gateway = self._make_gateway()
-        self._clients = HttpServer(
+        self._client_server = HttpServer(
             Address.from_text(settings.client_address),
             self._serve,
             server_limits(settings, ClientLimits()),
         )
-        self._ready = HttpServer(
+        self._ready_server = HttpServer(
             Address.from_text(settings.ready_address),
             ReadyEndpoint(self._is_ready).handle,
         )
-        self._figures = HttpServer(
+        self._metrics_server = HttpServer(
             Address.from_text(settings.metrics_address),
             MetricsEndpoint(
-                self._requests,
-                self._counts,
+                self._request_statistics,
+                self._counters,
                 self._fleet,
                 self._config,
             ).handle,
         )
-        self._config.on_change(self._take_limits)
+        self._config.subscribe(self._apply_client_limits)
 
     async def run(self) -> None:
         """Serve until told to stop, then stop without cutting anything."""
@@ -153,16 +155,16 @@
         async with signals as stop, curio.TaskGroup(wait=any) as tasks:
             for part in (
                 self._lines.run,
-                self._clients.run,
-                self._ready.run,
-                self._figures.run,
+                self._client_server.run,
+                self._ready_server.run,
+                self._metrics_server.run,
                 self._mesh.run,
-                self._knowledge.run,
-                self._placing.run,
-                self._keep_house,
+                self._followers.run,
+                self._placer_host.run,
+                self._run_housekeeping,
             ):
                 await tasks.spawn(part)
-            await curio.spawn(self._registry.register, daemon=True)
+            await curio.spawn(self._node_registry.register, daemon=True)
             await tasks.spawn(self._wait_for_stop, stop)
         self._mesh.close()
         raise_first_error(tasks)
@@ -171,15 +173,15 @@
 
     def _make_mesh(self) -> Mesh:
         events = MeshCallbacks(
-            self._hear_stopped,
-            self._hear_suspect,
-            lambda message: self._holding.hear(message),
-            lambda news: self._knowledge.take_list_news(news),
-            lambda news: self._knowledge.take_record_news(news),
+            self._apply_stopped,
+            self._apply_suspect,
+            lambda message: self._quarantine.merge_remote(message),
+            lambda news: self._followers.apply_list_update(news),
+            lambda news: self._followers.apply_record_update(news),
             self._router.in_flight_counts,
             self._config.current,
-            self._config.take_from_peer,
-            self._renew_own,
+            self._config.apply_from_peer,
+            self._update_local_state,
             lambda told: self._router.eject_reported(told.incarnation),
             lambda told: self._router.throttle.merge_updates(
                 told.limits, told.sender
@@ -192,34 +194,34 @@
 
     def _make_gateway(self) -> RoutedGateway:
         sender = Sender(
-            self._surroundings.form,
+            self._platform_adapters.call_form,
             self._router,
             self._connections,
             self._fleet.is_stopped,
-            self._tell_suspect,
+            self._report_suspect,
         )
         return RoutedGateway(
             self._config.current,
             sender,
             self._budget,
-            self._holding.guard,
+            self._quarantine.guard,
             self._random,
-            self._requests.observe_request,
+            self._request_statistics.observe_request,
             lambda: self._live.current.log_successes,
-            self._note_demand,
-            self._note_work,
-            StartupGate(self._knows_enough),
+            self._record_demand,
+            self._record_work,
+            StartupGate(self._is_informed),
         )
 
     async def _serve(self, request: Request, responder: Responder) -> None:
         self._mesh.local.requests += 1
         await self._gateway.handle(request, responder)
 
-    def _note_demand(self, call: RoutedCall) -> None:
+    def _record_demand(self, call: RoutedCall) -> None:
         if call.facts.model:
             self._demand.note_request(call.facts.model)
 
-    def _note_work(self, call: RoutedCall, events: int) -> None:
+    def _record_work(self, call: RoutedCall, events: int) -> None:
         facts = call.facts
         engine = call.config.engine(call.service)
         model = None if engine is None else engine.model(facts.model)
@@ -232,32 +234,32 @@
         )
         self._demand.note_work(facts.model, work * model.pace)
 
-    async def _keep_house(self) -> None:
+    async def _run_housekeeping(self) -> None:
         turn = 0
         while True:
             turn += 1
             await curio.sleep(_HOUSEKEEPING_SECONDS)
             if self._live.look():
-                self._take_settings()
-            if turn % _FIGURES_TURNS == 0:
-                decision('figures', **self._counts())
+                self._apply_settings()
+            if turn % _COUNTER_LOG_TURNS == 0:
+                decision('figures', **self._counters())
             self._fleet.process_timeouts()
             listed = self._fleet.instance_list.incarnations()
             await self._connections.close_expired(listed)
             self._router.forecast_errors.prune(listed)
             self._router.throttle.refresh(listed)
-            await self._holding.keep()
-            if self._registry.is_missing:
-                await curio.spawn(self._registry.register, daemon=True)
+            await self._quarantine.refresh()
+            if self._node_registry.is_missing:
+                await curio.spawn(self._node_registry.register, daemon=True)
 
-    def _renew_own(self) -> None:
+    def _update_local_state(self) -> None:
         """Bring up to date what the next beat tells."""
-        slept = self._suspensions.slept_seconds()
-        if slept:
+        suspended_seconds = self._suspensions.slept_seconds()
+        if suspended_seconds:
             # Leases, deadlines and ages go by a clock that counted it.
-            decision('node_was_suspended', seconds=round(slept, 3))
-        self._mesh.local.placer_domain = self._placing.places
-        self._mesh.local.source_versions = self._knowledge.announced()
+            decision('node_was_suspended', seconds=round(suspended_seconds, 3))
+        self._mesh.local.placer_domain = self._placer_host.held_failure_domain
+        self._mesh.local.source_versions = self._followers.announced_versions()
         self._mesh.local.demand = {
             model: round(replicas, 3)
             for model, replicas in self._demand.by_model().items()
@@ -265,11 +267,11 @@
 
     def _reload(self) -> None:
         if self._live.reload('asked by a signal'):
-            self._take_settings()
+            self._apply_settings()
 
-    def _take_settings(self) -> None:
+    def _apply_settings(self) -> None:
         settings = self._live.current
-        self._budget.limits = retry_rules(settings)
+        self._budget.limits = retry_limits(settings)
         set_log_level(settings.log_level)
 
     async def _wait_for_stop(self, stop: StopSignal) -> None:
@@ -278,54 +280,56 @@
         self._stopping = True
         self._mesh.local.stopping = True
         decision('node_stopping', in_flight=self._gateway.in_flight)
-        self._clients.disable_keep_alive()
-        await self._placing.hand_over()
+        self._client_server.disable_keep_alive()
+        await self._placer_host.hand_over()
         self._mesh.broadcast(self._mesh.message_sender.build_beat())
-        await self._registry.withdraw()
+        await self._node_registry.withdraw()
         await self._drain(started)
 
     async def _drain(self, started: float) -> None:
-        grace = self._live.current.stop_grace_seconds - _LAST_SECONDS
+        grace = self._live.current.stop_grace_seconds - _ABORT_RESERVE_SECONDS
         while since_boot() - started < grace:
-            await curio.sleep(_DRAIN_LOOK_SECONDS)
-            if since_boot() - started < _LISTEN_ON_SECONDS:
+            await curio.sleep(_DRAIN_POLL_SECONDS)
+            if since_boot() - started < _LISTEN_WHILE_STOPPING_SECONDS:
                 continue
             # A balancer that has too few ready nodes goes on sending to all,
             # and what came later could not be finished.
-            await self._clients.stop_listening()
-            await self._clients.close_idle()
+            await self._client_server.stop_listening()
+            await self._client_server.close_idle()
             if not self._gateway.in_flight:
                 return
         decision('stopped_with_requests', in_flight=self._gateway.in_flight)
 
-    def _counts(self) -> dict[str, int]:
+    def _counters(self) -> dict[str, int]:
         return {
             **self._mesh.counts(),
-            **self._surroundings.store_calls,
-            **self._holding.guard.counts(),
+            **self._platform_adapters.store_call_counts,
+            **self._quarantine.guard.counts(),
             'requests': self._gateway.received_count,
             'target_connections': self._connections.opened,
             'uneven_connections': self._connections.desynchronized,
             'log_bytes': self._lines.written_bytes,
             'log_lines_dropped': self._lines.dropped,
-            'liveness_checks': self._placing.checks,
+            'liveness_checks': self._placer_host.liveness_check_count,
             **self._router.throttle.counts(),
         }
 
-    def _knows_enough(self) -> bool:
+    def _is_informed(self) -> bool:
         """Tell whether configuration, list and records were read."""
         is_configured = self._config.current() is not None
-        return is_configured and self._knowledge.is_informed
+        return is_configured and self._followers.is_informed
 
     def _is_ready(self) -> bool:
-        has_room = not self._clients.is_full
-        return self._knows_enough() and has_room and not self._stopping
+        has_room = not self._client_server.is_full
+        return self._is_informed() and has_room and not self._stopping
 
-    def _take_limits(self, config: RouteConfig) -> None:
-        self._clients.limits = server_limits(self._live.current, config.limits)
+    def _apply_client_limits(self, config: RouteConfig) -> None:
+        self._client_server.limits = server_limits(
+            self._live.current, config.limits
+        )
         self._mesh.send_beat_now()
 
-    def _tell_stopped(
+    def _report_stopped(
         self,
         record: ReplicaRecord,
         reason: str,
@@ -338,10 +342,10 @@
             reason,
             finishes,
         )
-        if self._hear_stopped(message):
+        if self._apply_stopped(message):
             self._mesh.publish_stopped(message)
 
-    async def _tell_suspect(
+    async def _report_suspect(
         self,
         replica_epoch: tuple[str, int],
         evidence: str,
@@ -350,14 +354,14 @@
             self._fleet.failure_domain_of(replica_epoch),
             Suspect(self._live.current.node_id, *replica_epoch, evidence),
         )
-        await self._placing.suspect(replica_epoch, evidence)
+        await self._placer_host.suspect(replica_epoch, evidence)
 
-    def _hear_stopped(self, message: Stopped) -> bool:
+    def _apply_stopped(self, message: Stopped) -> bool:
         replica_epoch = (message.replica, message.epoch)
         if message.finishes:
             return self._fleet.mark_closing(replica_epoch, message.reason)
         return self._fleet.mark_stopped(replica_epoch, message.reason)
 
-    async def _hear_suspect(self, message: Suspect) -> None:
+    async def _apply_suspect(self, message: Suspect) -> None:
         replica_epoch = (message.replica, message.epoch)
-        await self._placing.suspect(replica_epoch, message.evidence)
+        await self._placer_host.suspect(replica_epoch, message.evidence)
--- a/src/cranecart/serving/_placement.py
+++ b/src/cranecart/serving/_placement.py
@@ -4,7 +4,7 @@
 from cranecart.grouping import GroupPlacer, PlacerEnvironment, PlacerScope
 from cranecart.leases import Lease, LeaseTimeouts
 from cranecart.ports import Table
-from cranecart.serving._placing import PlacerParts
+from cranecart.serving._placer_host import PlacerDependencies
 from cranecart.settings import ServingSettings
 
 _MILLISECONDS = 1000
@@ -18,7 +18,7 @@
 _PATIENT_SECONDS = 3.5
 
 
-def make_placer(parts: PlacerParts) -> GroupPlacer:
+def make_placer(parts: PlacerDependencies) -> GroupPlacer:
     """Build the placer of a node's failure domain; nothing runs yet."""
     settings = parts.settings
     domain = settings.failure_domain
@@ -26,19 +26,19 @@
     environment = PlacerEnvironment(
         parts.config.current,
         lambda: mesh.has_other_placer(domain),
-        lambda: parts.knowledge.is_informed,
+        lambda: parts.followers.is_informed,
         mesh.has_traffic,
         mesh.demand,
-        parts.tell_stopped,
+        parts.report_stopped,
         mesh.state.roster.is_isolated,
-        lambda: parts.knowledge.reachability.is_unreachable,
+        lambda: parts.followers.reachability.is_unreachable,
     )
-    table = parts.surroundings.table
+    table = parts.platform_adapters.table
     return GroupPlacer(
         _scope(settings),
         _lease(settings, table),
         table,
-        parts.surroundings.orders,
+        parts.platform_adapters.orders,
         parts.fleet,
         environment,
     )
--- a/src/cranecart/serving/_placing.py
+++ b/src/cranecart/serving/_placer_host.py
@@ -11,9 +11,9 @@
 from cranecart.fleet import Fleet, ReplicaRecord
 from cranecart.logs import decision
 from cranecart.mesh import Mesh
-from cranecart.serving._configuration import ForceConfig
-from cranecart.serving._knowledge import Knowledge
-from cranecart.serving._surroundings import Surroundings
+from cranecart.serving._active_config import ActiveRouteConfig
+from cranecart.serving._followers import PlatformFollowers
+from cranecart.serving._platform_adapters import PlatformAdapters
 from cranecart.settings import ServingSettings
 
 if TYPE_CHECKING:
@@ -25,37 +25,37 @@
 
 
 @attrs.frozen
-class PlacerParts:
+class PlacerDependencies:
     """What a placer is made from."""
 
     settings: ServingSettings
-    surroundings: Surroundings
+    platform_adapters: PlatformAdapters
     fleet: Fleet
     mesh: Mesh
-    config: ForceConfig
-    knowledge: Knowledge
-    tell_stopped: Callable[[ReplicaRecord, str, bool], None]
+    config: ActiveRouteConfig
+    followers: PlatformFollowers
+    report_stopped: Callable[[ReplicaRecord, str, bool], None]
 
 
 @attrs.define
-class Placing:
+class PlacerHost:
     """The placer, once it is there.
 
     It is loaded late, as clients wait while a node starts; replicas live on
     without it.
     """
 
-    _parts: PlacerParts
+    _parts: PlacerDependencies
     _placer: 'GroupPlacer | None' = attrs.field(default=None, init=False)
     _stopped: bool = attrs.field(default=False, init=False)
 
     @property
-    def places(self) -> str:
+    def held_failure_domain(self) -> str:
         """Return the failure domain whose duty this node holds, if any."""
         return '' if self._placer is None else self._placer.held_failure_domain
 
     @property
-    def checks(self) -> int:
+    def liveness_check_count(self) -> int:
         """Return how often it was asked whether a replica lives."""
         if self._placer is None:
             return 0
@@ -67,7 +67,7 @@
         await self._wait_until_serving()
         decision(
             'node_informed',
-            informed=self._parts.knowledge.is_informed,
+            informed=self._parts.followers.is_informed,
             after=round(since_boot() - started, 3),
         )
         # In a thread, as requests go on meanwhile.
@@ -96,5 +96,5 @@
 
     async def _wait_until_serving(self) -> None:
         latest = since_boot() + _LATEST_SECONDS
-        while not self._parts.knowledge.is_informed and since_boot() < latest:
+        while not self._parts.followers.is_informed and since_boot() < latest:
             await curio.sleep(_LOOK_SECONDS)
--- a/src/cranecart/serving/_surroundings.py
+++ b/src/cranecart/serving/_platform_adapters.py
@@ -10,7 +10,7 @@
 from cranecart.models import RouteConfig
 from cranecart.platform import (
     PlatformCallForm,
-    PlatformDeclarations,
+    PlatformConfigSource,
     PlatformOrders,
     PlatformRowSource,
     PlatformTable,
@@ -22,7 +22,7 @@
 
 
 @attrs.frozen
-class Surroundings:
+class PlatformAdapters:
     """Everything that a node meets outside, behind its ports."""
 
     table: Table
@@ -30,8 +30,8 @@
     instances: Source[ListedInstance]
     records: Source[Row]
     orders: Orders
-    form: CallForm
-    store_calls: Counter[str]
+    call_form: CallForm
+    store_call_counts: Counter[str]
 
     @classmethod
     def from_settings(cls, settings: ServingSettings) -> Self:
@@ -39,7 +39,7 @@
         store = StoreClient(Address.from_text(settings.platform_address))
         return cls(
             PlatformTable(store),
-            PlatformDeclarations(store),
+            PlatformConfigSource(store),
             PlatformTargetList(store),
             PlatformRowSource(
                 store,
--- a/src/cranecart/serving/_holding.py
+++ b/src/cranecart/serving/_quarantine.py
@@ -13,7 +13,7 @@
 
 
 @attrs.frozen
-class Holding:
+class NodeQuarantine:
     """The guard of this node, the rows of held requests, and other nodes."""
 
     guard: RequestGuard
@@ -49,7 +49,7 @@
         guard = RequestGuard(is_expected, tell, has_terminated=has_ended)
         return cls(guard, HeldRows(node_id, table, guard.cases), fleet)
 
-    def hear(self, message: RequestCases) -> bool:
+    def merge_remote(self, message: RequestCases) -> bool:
         """Take over what another node knows; return whether it is news."""
         news = [
             self.guard.merge_remote(one, message.sender)
@@ -57,7 +57,7 @@
         ]
         return any(news)
 
-    async def keep(self) -> None:
+    async def refresh(self) -> None:
         """Repeat what is new, forget what is old, write what must last."""
         self.guard.refresh(self._fleet.instance_list.incarnations())
         if self.rows.has_pending_writes:
--- a/tests/lib/store_rig.py
+++ b/tests/lib/store_rig.py
@@ -32,7 +32,7 @@
 )
 from cranecart.platform import (
     PlatformCallForm,
-    PlatformDeclarations,
+    PlatformConfigSource,
     PlatformOrders,
     PlatformRowSource,
     PlatformTable,
@@ -40,9 +40,9 @@
     StoreClient,
 )
 from cranecart.quarantine import CaseRegistry, HeldRows
-from cranecart.serving._configuration import ForceConfig
-from cranecart.serving._knowledge import Knowledge, RowTaker
-from cranecart.serving._surroundings import Surroundings
+from cranecart.serving._active_config import ActiveRouteConfig
+from cranecart.serving._followers import PlatformFollowers, RowDispatcher
+from cranecart.serving._platform_adapters import PlatformAdapters
 from cranecart.transport import PeerTransport
 from tests.lib.waiting import until
 from tests.platform._standin import StandinStore, start
@@ -136,26 +136,26 @@
 
     name: str
     gate: GatedClient
-    surroundings: Surroundings
-    config: ForceConfig
+    platform_adapters: PlatformAdapters
+    config: ActiveRouteConfig
     fleet: Fleet
     held: HeldRows
     book: CaseRegistry
     mesh: Mesh
-    knowledge: Knowledge
+    followers: PlatformFollowers
 
     @classmethod
     def beside(cls, rig: 'StoreRig', name: str) -> Self:
         """Build a node that has read nothing yet."""
         gate = GatedClient(rig.address)
-        surroundings = _surroundings(gate)
-        config = ForceConfig()
+        platform_adapters = _platform_adapters(gate)
+        config = ActiveRouteConfig()
         fleet = Fleet()
         book = CaseRegistry()
-        held = HeldRows(name, surroundings.table, book)
+        held = HeldRows(name, platform_adapters.table, book)
 
         def renew_own() -> None:  # noqa: WPS430
-            mesh.local.source_versions = knowledge.announced()
+            mesh.local.source_versions = followers.announced_versions()
 
         events = MeshCallbacks(
             lambda told: fleet.mark_stopped(
@@ -163,11 +163,11 @@
             ),
             _no_suspect,
             lambda _told: False,
-            lambda news: knowledge.take_list_news(news),
-            lambda news: knowledge.take_record_news(news),
+            lambda news: followers.apply_list_update(news),
+            lambda news: followers.apply_record_update(news),
             dict,
             config.current,
-            config.take_from_peer,
+            config.apply_from_peer,
             renew_own,
             lambda _told: None,
             lambda _told: None,
@@ -176,22 +176,22 @@
         domain = f'd{int(name.rpartition("-")[2]) % _DOMAINS}'
         local = LocalState(name, _peer_address(name), domain)
         mesh = Mesh(local, RigLink(rig), events)
-        knowledge = Knowledge.from_surroundings(
-            surroundings,
+        followers = PlatformFollowers.from_adapters(
+            platform_adapters,
             config,
-            RowTaker(mesh, fleet, held),
+            RowDispatcher(mesh, fleet, held),
             random.Random(name),
         )
         return cls(
             name,
             gate,
-            surroundings,
+            platform_adapters,
             config,
             fleet,
             held,
             book,
             mesh,
-            knowledge,
+            followers,
         )
 
     @property
@@ -203,7 +203,7 @@
     async def run(self) -> None:
         """Follow the store and tell the others until cancelled."""
         async with curio.TaskGroup(wait=any) as tasks:
-            await tasks.spawn(self.knowledge.run)
+            await tasks.spawn(self.followers.run)
             await tasks.spawn(self._beat)
 
     async def hear(self, encoded: bytes) -> None:
@@ -278,7 +278,7 @@
     def is_informed(self) -> bool:
         """Tell whether all nodes have read everything once."""
         return all(
-            node.knowledge.is_informed and node.version
+            node.followers.is_informed and node.version
             for node in self.nodes.values()
         )
 
@@ -366,10 +366,10 @@
     return f'127.0.0.1:{_FIRST_PORT + int(name.rpartition("-")[2])}'
 
 
-def _surroundings(store: StoreClient) -> Surroundings:
-    return Surroundings(
+def _platform_adapters(store: StoreClient) -> PlatformAdapters:
+    return PlatformAdapters(
         PlatformTable(store),
-        PlatformDeclarations(store),
+        PlatformConfigSource(store),
         PlatformTargetList(store),
         PlatformRowSource(store, RECORDS_TABLE, (RECORDS_PART,)),
         PlatformOrders(),
--- a/tests/platform/test_figures.py
+++ b/tests/platform/test_figures.py
@@ -20,7 +20,7 @@
 
 from cranecart.models import RouteConfig
 from cranecart.platform import (
-    PlatformDeclarations,
+    PlatformConfigSource,
     PlatformTargetList,
 )
 from cranecart.ports import ListedInstance
@@ -124,7 +124,7 @@
 
 
 def _read_config(value: object) -> RouteConfig:
-    source = PlatformDeclarations(
+    source = PlatformConfigSource(
         RowsOf({'config': json.dumps(value).encode()})
     )
     config: RouteConfig = curio.run(source.snapshot).items['config']
--- a/tests/platform/test_other_writers.py
+++ b/tests/platform/test_other_writers.py
@@ -21,14 +21,14 @@
 from cranecart.leases import Lease
 from cranecart.logs import UnreadableRows
 from cranecart.platform import (
-    PlatformDeclarations,
+    PlatformConfigSource,
     PlatformRowSource,
     PlatformTable,
     PlatformTargetList,
     StoreClient,
 )
 from cranecart.ports import Changes, ListedInstance, Put, Row, Transaction
-from cranecart.serving._registry import peers_from_rows
+from cranecart.serving._node_registry import peers_from_rows
 from tests.platform._rows import RowsOf
 from tests.platform._standin import StandinStore, start
 from tests.platform.test_figures import _CONFIG, _ENTRY
@@ -238,7 +238,7 @@
     @given(_BYTES)
     def test_any_bytes(self, value: bytes) -> None:
         """It is an error of the platform's, or a configuration."""
-        source = PlatformDeclarations(RowsOf({'config': value}))
+        source = PlatformConfigSource(RowsOf({'config': value}))
         try:
             curio.run(source.snapshot)
         except PlatformUnavailableError:
@@ -251,7 +251,7 @@
         changed: dict[str, Any] = copy.deepcopy(dict(_CONFIG))
         changed[field] = value
         row = json.dumps(changed).encode()
-        source = PlatformDeclarations(RowsOf({'config': row}))
+        source = PlatformConfigSource(RowsOf({'config': row}))
         try:
             curio.run(source.snapshot)
         except PlatformUnavailableError as error:
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -16,7 +16,7 @@
 )
 from cranecart.http import Address
 from cranecart.platform import (
-    PlatformDeclarations,
+    PlatformConfigSource,
     PlatformRowSource,
     PlatformTable,
     PlatformTargetList,
@@ -155,7 +155,7 @@
     def test_configuration(self) -> None:
         """Routes, keys and limits come in the product's units."""
         self.store.put('op', '', 'config', dict(_CONFIG))
-        found = self._run(lambda one: PlatformDeclarations(one).snapshot())
+        found = self._run(lambda one: PlatformConfigSource(one).snapshot())
         config = found.items['config']
         route = config.route('A.example:80', '/x/z')
         assert route is not None
@@ -176,7 +176,7 @@
         """It is an error of the platform's, told as one."""
         self.store.put('op', '', 'config', {'version': 'seven'})
         with self.assertRaises(PlatformUnavailableError):
-            self._run(lambda one: PlatformDeclarations(one).snapshot())
+            self._run(lambda one: PlatformConfigSource(one).snapshot())
 
     def _commit(self, transaction: Transaction) -> int:
         return self._run(lambda one: PlatformTable(one).commit(transaction))
--- a/tests/unit/test_readiness.py
+++ b/tests/unit/test_readiness.py
@@ -11,7 +11,7 @@
 from cranecart.logs import set_up_lines
 from cranecart.models import ClientLimits
 from cranecart.serving import ServingNode
-from cranecart.serving._making import server_limits
+from cranecart.serving._factories import server_limits
 from cranecart.settings import LiveSettings, ServingSettings
 from tests.lib.fake_targets import CONFIG
 
@@ -46,11 +46,11 @@
         self.file.write_bytes(_settings(max_descriptors=1200.5))
         self.node = _node(self.file)
         self.node._config._config = CONFIG
-        self.node._knowledge = SimpleNamespace(
+        self.node._followers = SimpleNamespace(
             is_informed=True,
-            announced=dict,
+            announced_versions=dict,
         )
-        self.node._clients = SimpleNamespace(is_full=False, limits=None)
+        self.node._client_server = SimpleNamespace(is_full=False, limits=None)
 
     def tearDown(self) -> None:
         """Free the addresses."""
@@ -62,14 +62,14 @@
 
     def test_full(self) -> None:
         """Connections wait that it cannot serve."""
-        self.node._clients.is_full = True
+        self.node._client_server.is_full = True
         self.assertFalse(self.node._is_ready())
 
     def test_uninformed(self) -> None:
         """It knows no configuration, or no targets."""
-        self.node._knowledge.is_informed = False
+        self.node._followers.is_informed = False
         self.assertFalse(self.node._is_ready())
-        self.node._knowledge.is_informed = True
+        self.node._followers.is_informed = True
         self.node._config._config = None
         self.assertFalse(self.node._is_ready())
 
@@ -88,6 +88,6 @@
         self.assertGreater(few.connections, 0)
 
     def _connections(self) -> int:
-        self.node._take_limits(CONFIG)
-        bound: int = self.node._clients.limits.connections
+        self.node._apply_client_limits(CONFIG)
+        bound: int = self.node._client_server.limits.connections
         return bound
--- a/tests/unit/test_request_figures.py
+++ b/tests/unit/test_request_statistics.py
@@ -2,22 +2,22 @@
 
 import unittest
 
-from cranecart.serving._endpoints import RequestFigures
+from cranecart.serving._endpoints import RequestStatistics
 
 
-class RequestFiguresTest(unittest.TestCase):
+class RequestStatisticsTest(unittest.TestCase):
     """Nothing is lost or counted twice by the first reading."""
 
     def setUp(self) -> None:
         """Observe some requests; nobody has read yet."""
-        self.figures = RequestFigures()
+        self.statistics = RequestStatistics()
         for _request in range(3):
-            self.figures.observe_request('answered', 0.25)
-        self.figures.observe_request('no_replica', None)
+            self.statistics.observe_request('answered', 0.25)
+        self.statistics.observe_request('no_replica', None)
 
     def test_first_reading(self) -> None:
         """It has all that came before."""
-        told = self.figures.metrics().text().decode()
+        told = self.statistics.metrics().text().decode()
         self.assertIn('cranecart_requests{outcome="answered"} 3', told)
         self.assertIn('cranecart_requests{outcome="no_replica"} 1', told)
         self.assertIn('cranecart_first_token_ms_count{} 3', told)
@@ -25,8 +25,8 @@
 
     def test_later_readings(self) -> None:
         """They add what came since."""
-        self.figures.metrics()
-        self.figures.observe_request('answered', 0.25)
-        told = self.figures.metrics().text().decode()
+        self.statistics.metrics()
+        self.statistics.observe_request('answered', 0.25)
+        told = self.statistics.metrics().text().decode()
         self.assertIn('cranecart_requests{outcome="answered"} 4', told)
         self.assertIn('cranecart_first_token_ms_count{} 4', told)
--- a/tests/unit/test_restored_rows.py
+++ b/tests/unit/test_restored_rows.py
@@ -7,7 +7,7 @@
 import curio
 
 from cranecart.quarantine import CaseRegistry, HeldRows, Verdict
-from cranecart.serving._registry import NodeRegistry
+from cranecart.serving._node_registry import NodeRegistry
 from tests.lib.fake_platform import FakePlatform
 from tests.unit.test_quarantine import _begun_at, _Clock
 
--- a/tests/unit/test_store_reachability.py
+++ b/tests/unit/test_store_reachability.py
@@ -14,7 +14,7 @@
 from cranecart.clocks import since_boot
 from cranecart.fleet import SourceFollower, StoreReachability
 from cranecart.grouping import GroupPlacer
-from cranecart.serving._knowledge import _DECLARATIONS_GAP_SECONDS
+from cranecart.serving._followers import _DECLARATIONS_GAP_SECONDS
 from tests.lib.waiting import until
 from tests.unit.test_follower import FakeSource, Held
 
