--- a/src/cranecart/serving/_node.py
+++ b/src/cranecart/serving/_node.py
@@ -31,17 +31,17 @@
     ReadyEndpoint,
     RequestStatistics,
 )
-from cranecart.serving._quarantine import NodeQuarantine
-from cranecart.serving._followers import PlatformFollowers, RowDispatcher
 from cranecart.serving._factories import (
-    make_throttle,
     make_mesh,
+    make_throttle,
     retry_limits,
     server_limits,
 )
-from cranecart.serving._placer_host import PlacerDependencies, PlacerHost
+from cranecart.serving._followers import PlatformFollowers, RowDispatcher
 from cranecart.serving._node_registry import NodeRegistry
+from cranecart.serving._placer_host import PlacerDependencies, PlacerHost
 from cranecart.serving._platform_adapters import PlatformAdapters
+from cranecart.serving._quarantine import NodeQuarantine
 from cranecart.settings import LiveSettings
 from cranecart.signals import StopSignal, raise_first_error, stop_signal
 
