--- a/src/cranecart/claims/__init__.py
+++ b/src/cranecart/claims/__init__.py
@@ -1,4 +1,4 @@
-"""Claims of non-repeatable calls: at most one node may ever send one."""
+"""Claims of idempotency keys, so that a non-repeatable call runs at most once."""
 
 from cranecart.claims._claims import AcquiredClaim, ClaimStore, RecordedResponse
 from cranecart.claims._sweeper import Sweeper
--- a/src/cranecart/claims/_claims.py
+++ b/src/cranecart/claims/_claims.py
@@ -1,7 +1,8 @@
-"""One row of the table for each idempotency key, inserted before sending.
+"""One table row for each idempotency key, inserted before the call is sent.
 
-A claim is never taken over. Whoever inserted the row may send the call, once;
-every other copy of it hears what became of it, or that nobody can tell.
+A claim is never taken over by another node. The node that inserted the row may
+send the call once. Every other copy of the call gets the recorded response, or
+an error that the outcome is unknown.
 """
 
 import time
@@ -14,8 +15,8 @@
 from cranecart.claims._rows import (
     Claim,
     ClaimState,
-    decode_claim,
-    encode_claim,
+    claim_from_row,
+    claim_to_value,
     fingerprint,
     index_key,
     row_key,
@@ -37,36 +38,37 @@
 from cranecart.targets import Call
 
 _MAX_RECORDED_BYTES = 65536
-_ATTEMPTS = 2
+_MAX_ATTEMPTS = 2
 
 
 @attrs.frozen
 class AcquiredClaim:
-    """The right to send one call, once."""
+    """The right to send a call once, with the row that grants it."""
 
     row: Row
 
 
 @attrs.frozen
 class RecordedResponse:
-    """The recorded answer to an earlier copy of the same call."""
+    """The recorded response to an earlier copy of the same call."""
 
     response: Response
 
 
 @attrs.define
 class ClaimStore:
-    """Makes and settles claims for one node."""
+    """Acquires and completes claims for one node."""
 
     node_id: str
     _writes: WriteBatcher
 
     async def acquire(self, call: Call) -> AcquiredClaim | RecordedResponse:
-        """Claim a call's key, or return what its earlier copy got.
+        """Claim a call's key, or return the response to an earlier copy.
 
-        Raise ``PlatformAwayError`` where no copy was claimed, so that none
-        can have run, ``OutcomeUnknownError`` where an earlier copy may have
-        run, ``KeyReusedError`` where the key belongs to another call.
+        Raise ``PlatformAwayError`` if no copy was claimed, so none can have
+        run; ``OutcomeUnknownError`` if an earlier copy may have run;
+        ``ClaimUnreadableError`` if the claim cannot be read;
+        ``KeyReusedError`` if the key belongs to another call.
         """
         try:
             return await curio.timeout_after(
@@ -76,12 +78,14 @@
             )
         except TaskTimeout as error:
             raise ClaimUnreadableError(
-                'this copy was not sent: its deadline passed first',
+                'the call was not sent: its deadline passed before the key was claimed',
             ) from error
 
-    async def complete(self, held: AcquiredClaim, response: Response) -> None:
-        """Record the answer, so that repeats of the call hear it."""
-        claim = decode_claim(held.row)
+    async def complete(
+        self, acquired: AcquiredClaim, response: Response
+    ) -> None:
+        """Record the response, so that repeats of the call get it."""
+        claim = claim_from_row(acquired.row)
         body = response.body
         if len(body) > _MAX_RECORDED_BYTES:
             body = b''
@@ -92,42 +96,46 @@
             content_type=response.headers.get('content-type', ''),
             body=body.decode('utf-8', 'replace'),
         )
-        await self._rewrite(held, done)
+        await self._update(acquired, done)
 
-    async def release(self, held: AcquiredClaim) -> None:
-        """Record that the call did not run, so that a repeat may."""
-        claim = decode_claim(held.row)
-        await self._rewrite(held, attrs.evolve(claim, state=ClaimState.NOT_RUN))
+    async def release(self, acquired: AcquiredClaim) -> None:
+        """Record that the call did not run, so that it may be repeated."""
+        claim = claim_from_row(acquired.row)
+        await self._update(
+            acquired, attrs.evolve(claim, state=ClaimState.NOT_RUN)
+        )
 
     async def _acquire(self, call: Call) -> AcquiredClaim | RecordedResponse:
         key = row_key(call)
-        wanted = Claim(
+        new_claim = Claim(
             self.node_id,
             uuid.uuid4().hex,
             fingerprint(call),
             ClaimState.CLAIMED,
             time.time(),
         )
-        seen: Row | None = None
-        for _attempt in range(_ATTEMPTS):
-            held = await self._insert(key, wanted, seen)
-            if held is not None:
-                return held
-            seen = await self._read(key)
-            outcome = _judge(seen, wanted)
+        existing: Row | None = None
+        for _attempt in range(_MAX_ATTEMPTS):
+            acquired = await self._insert(key, new_claim, existing)
+            if acquired is not None:
+                return acquired
+            existing = await self._read_existing(key)
+            outcome = _resolve_existing(existing, new_claim)
             if outcome is not None:
                 return outcome
-        raise PlatformAwayError('the claim could not be made; try again')
+        raise PlatformAwayError(
+            'the idempotency key could not be claimed; try again'
+        )
 
     async def _insert(
         self,
         key: str,
-        wanted: Claim,
-        seen: Row | None,
+        new_claim: Claim,
+        existing: Row | None,
     ) -> AcquiredClaim | None:
-        put = Put(key, encode_claim(wanted))
-        check = Check(key, seen.version if seen else 0)
-        index = Put(index_key(key, wanted.made_at), key)
+        put = Put(key, claim_to_value(new_claim))
+        check = Check(key, existing.version if existing else 0)
+        index = Put(index_key(key, new_claim.made_at), key)
         try:
             version = await self._writes.commit(
                 Transaction((check,), (put, index)),
@@ -136,27 +144,27 @@
             return None
         except PlatformUnavailableError as error:
             raise ClaimUnreadableError(
-                'this copy was not sent, but whether an earlier one ran '
-                'cannot be read; repeat it with the same key',
+                'the call was not sent, but it is unknown whether an earlier '
+                'copy ran; repeat it with the same idempotency key',
             ) from error
         return AcquiredClaim(Row(key, version, put.value))
 
-    async def _read(self, key: str) -> Row | None:
+    async def _read_existing(self, key: str) -> Row | None:
         try:
             return await self._writes.read_key(key)
         except PlatformError as error:
-            # This node has not sent the call and now never will under this
-            # claim, but an earlier copy may have run elsewhere.
+            # This node has not sent the call and never will with this claim,
+            # but an earlier copy may have run at another node.
             raise ClaimUnreadableError(
-                'this copy was not sent, but whether an earlier one ran '
-                'cannot be read; repeat it with the same key',
+                'the call was not sent, but it is unknown whether an earlier '
+                'copy ran; repeat it with the same idempotency key',
             ) from error
 
-    async def _rewrite(self, held: AcquiredClaim, claim: Claim) -> None:
-        row = held.row
+    async def _update(self, acquired: AcquiredClaim, claim: Claim) -> None:
+        row = acquired.row
         transaction = Transaction(
             (Check(row.key, row.version),),
-            (Put(row.key, encode_claim(claim)),),
+            (Put(row.key, claim_to_value(claim)),),
         )
         try:
             await self._writes.commit(transaction)
@@ -164,17 +172,22 @@
             decision('claim_not_settled', key=row.key, why=str(error))
 
 
-def _judge(
-    seen: Row | None, wanted: Claim
+def _resolve_existing(
+    existing: Row | None, new_claim: Claim
 ) -> AcquiredClaim | RecordedResponse | None:
-    """Return what a row found after a failed insert means for the call."""
-    if seen is None:
+    """Return the outcome for a call whose insert failed, by the found row.
+
+    ``None`` means that the claim may be attempted again.
+    """
+    if existing is None:
         return None
-    found = decode_claim(seen)
-    if found.nonce == wanted.nonce:
-        return AcquiredClaim(seen)
-    if found.fingerprint != wanted.fingerprint:
-        raise KeyReusedError('the idempotency key belongs to another call')
+    found = claim_from_row(existing)
+    if found.nonce == new_claim.nonce:
+        return AcquiredClaim(existing)
+    if found.fingerprint != new_claim.fingerprint:
+        raise KeyReusedError(
+            'the idempotency key was already used for another call'
+        )
     match found.state:
         case ClaimState.NOT_RUN:
             return None
@@ -191,6 +204,6 @@
             )
         case ClaimState.CLAIMED:
             raise OutcomeUnknownError(
-                f'{found.node} took an earlier copy of this call',
+                f'{found.node} accepted an earlier copy of this call',
                 retry_after=1,
             )
--- a/src/cranecart/claims/_rows.py
+++ b/src/cranecart/claims/_rows.py
@@ -1,4 +1,4 @@
-"""The rows of claims, and an index of them by the minute they were made."""
+"""Table rows of claims, and an index of them by minute of creation."""
 
 import enum
 import hashlib
@@ -9,13 +9,13 @@
 from cranecart.ports import Row
 from cranecart.targets import Call, ServiceCall
 
-# How long a repeat of a call hears what became of it.
+# How long a repeated call gets the recorded response.
 RETENTION_SECONDS = 86400
 _BUCKET_SECONDS = 60
 
 
 class ClaimState(enum.Enum):
-    """What is known of a claimed call."""
+    """What is known about a claimed call."""
 
     CLAIMED = 'claimed'
     DONE = 'done'
@@ -24,9 +24,11 @@
 
 @attrs.frozen
 class Claim:
-    """Who may send a call, and what came of it.
+    """The node that may send a call, and the call's outcome.
 
-    ``made_at`` is in seconds since the epoch and serves only for sweeping.
+    ``made_at`` is in seconds since the epoch and is used only for deleting old
+    claims. ``status``, ``content_type`` and ``body`` are those of the recorded
+    response.
     """
 
     node: str
@@ -51,26 +53,26 @@
 
 
 def bucket_of(made_at: float) -> int:
-    """Return the number of the minute in which a claim was made."""
+    """Return the number of the minute in which a claim was created."""
     return int(made_at // _BUCKET_SECONDS)
 
 
 def bucket_prefix(bucket: int) -> str:
-    """Return the prefix of a minute's index rows."""
+    """Return the key prefix of a minute's index rows."""
     return f'claim-made/{bucket:010}/'
 
 
 def fingerprint(call: Call) -> str:
-    """Return what tells a call from others under the same key."""
+    """Return a digest that differs for different calls with the same key."""
     path = call.path if isinstance(call, ServiceCall) else ''
     return hashlib.sha256(path.encode() + call.body).hexdigest()
 
 
-def encode_claim(claim: Claim) -> str:
-    """Write a claim as a row's value."""
+def claim_to_value(claim: Claim) -> str:
+    """Encode a claim as the value of its row."""
     return msgspec.json.encode(claim).decode()
 
 
-def decode_claim(row: Row) -> Claim:
-    """Read a claim from a row."""
+def claim_from_row(row: Row) -> Claim:
+    """Decode a claim from its row."""
     return msgspec.json.decode(row.value, type=Claim)
--- a/src/cranecart/claims/_sweeper.py
+++ b/src/cranecart/claims/_sweeper.py
@@ -1,4 +1,4 @@
-"""Delete claims that are older than the time outcomes are kept for."""
+"""Delete claims that are older than the retention period."""
 
 import itertools
 import logging
@@ -12,7 +12,7 @@
     RETENTION_SECONDS,
     bucket_of,
     bucket_prefix,
-    decode_claim,
+    claim_from_row,
 )
 from cranecart.exceptions import LeaseLostError, PlatformError
 from cranecart.leases import Lease
@@ -21,52 +21,59 @@
 from cranecart.ports import Check, Put, Row, Transaction
 
 _LOG = logging.getLogger(__name__)
-_TICK_SECONDS = 5.0
-_TOGETHER = 50
-_POINTER = 'claim-swept'
-# Without a pointer nothing was ever swept; a day's buckets are looked at.
-_LOOK_BACK = 1440
+_INTERVAL_SECONDS = 5.0
+_BATCH_SIZE = 50
+_CURSOR_KEY = 'claim-swept'
+# Without a cursor nothing was swept yet, so the buckets of the last day before
+# the retention limit are swept.
+_MAX_LOOKBACK_BUCKETS = 1440
 
 
 @attrs.define
 class Sweeper:
-    """Holds the sweeping duty when it can; sweeps a bucket at a time."""
+    """Deletes expired claims, one bucket at a time, while it has the lease."""
 
     lease: Lease
     _platform: PlatformClient
-    _now: Callable[[], float] = time.time
+    _wall_clock: Callable[[], float] = time.time
     _stopped: bool = attrs.field(default=False, init=False)
 
     async def run(self) -> None:
-        """Keep the lease and sweep, until cancelled."""
+        """Acquire the lease and sweep while it is held, until cancelled."""
         while not self._stopped:
             try:
                 if await self.lease.acquire_or_renew():
                     await self.sweep_next_bucket()
             except (PlatformError, LeaseLostError) as error:
-                _LOG.debug('sweeping waits: %s', error)
-            await curio.sleep(_TICK_SECONDS)
+                _LOG.debug('sweeping failed, will retry: %s', error)
+            await curio.sleep(_INTERVAL_SECONDS)
         await curio.Event().wait()
 
     def stop(self) -> None:
-        """Take the duty no more."""
+        """Stop sweeping and renewing the lease."""
         self._stopped = True
 
     async def sweep_next_bucket(self) -> bool:
-        """Sweep the oldest bucket that is due; return whether one was."""
-        pointer = (await self._platform.read_keys([_POINTER])).get(_POINTER)
-        newest = bucket_of(self._now() - RETENTION_SECONDS) - 1
-        bucket = int(pointer.value) + 1 if pointer else newest - _LOOK_BACK
-        if bucket > newest:
+        """Sweep the oldest expired bucket; return whether there was one."""
+        cursor = (await self._platform.read_keys([_CURSOR_KEY])).get(
+            _CURSOR_KEY
+        )
+        newest_expired = bucket_of(self._wall_clock() - RETENTION_SECONDS) - 1
+        bucket = (
+            int(cursor.value) + 1
+            if cursor
+            else newest_expired - _MAX_LOOKBACK_BUCKETS
+        )
+        if bucket > newest_expired:
             return False
         index = await self._platform.read_prefix(bucket_prefix(bucket))
         for batch in _batches(list(index.values())):
             await self._delete(batch)
-        version = pointer.version if pointer else 0
+        version = cursor.version if cursor else 0
         await self._platform.commit(
             Transaction(
-                (self.lease.check(), Check(_POINTER, version)),
-                (Put(_POINTER, str(bucket)),),
+                (self.lease.check(), Check(_CURSOR_KEY, version)),
+                (Put(_CURSOR_KEY, str(bucket)),),
             ),
         )
         if index:
@@ -74,24 +81,24 @@
         return True
 
     async def _delete(self, index: Sequence[Row]) -> None:
-        """Delete index rows, and their claims unless they were made anew."""
+        """Delete index rows, and their claims unless claimed again since."""
         claims = await self._platform.read_keys([row.value for row in index])
-        limit = self._now() - RETENTION_SECONDS
-        old = [
+        oldest_kept = self._wall_clock() - RETENTION_SECONDS
+        expired = [
             claim
             for claim in claims.values()
-            if decode_claim(claim).made_at < limit
+            if claim_from_row(claim).made_at < oldest_kept
         ]
         await self._platform.commit(
             Transaction(
                 (
                     self.lease.check(),
-                    *(Check(claim.key, claim.version) for claim in old),
+                    *(Check(claim.key, claim.version) for claim in expired),
                 ),
                 (),
                 (
                     *(row.key for row in index),
-                    *(claim.key for claim in old),
+                    *(claim.key for claim in expired),
                 ),
             ),
         )
@@ -99,5 +106,5 @@
 
 def _batches(rows: Sequence[Row]) -> Iterator[Sequence[Row]]:
     source = iter(rows)
-    while batch := list(itertools.islice(source, _TOGETHER)):
+    while batch := list(itertools.islice(source, _BATCH_SIZE)):
         yield batch
--- a/src/cranecart/leases/__init__.py
+++ b/src/cranecart/leases/__init__.py
@@ -1,4 +1,4 @@
-"""Duties that one node at a time holds, by leases in the table."""
+"""Leases in the table, for duties that one node at a time performs."""
 
 from cranecart.leases._lease import Lease, LeaseTimeouts
 
--- a/src/cranecart/leases/_lease.py
+++ b/src/cranecart/leases/_lease.py
@@ -1,14 +1,15 @@
-"""A lease with a fencing number, kept in one row of the table.
-
-No clocks are compared between machines. The holder trusts its lease for a
-while that starts before it sent the renewal; everybody else waits, on its own
-clock, until the row has not changed for longer than that. A process that was
-paused, or whose machine was suspended, finds its own time run out when it
-wakes: the clock that counts from the machine's start goes on meanwhile.
-
-A table that comes back from a copy may lack the row, or hold that of an earlier
-holder. Fencing numbers rise with the table's eras, so that none is given out
-twice and each tells in which era its holder took the lease.
+"""A lease with a fencing token, stored in one row of the table.
+
+Clocks of different machines are never compared. The holder considers its lease
+valid for a period that starts before it sent the renewal. All other nodes
+wait, on their own clocks, until the row has not changed for longer than that.
+A process that was paused, or whose machine was suspended, finds its lease
+expired when it resumes, because the boot-time clock keeps running meanwhile.
+
+A table that was restored from a backup may lack the row, or hold the row of an
+earlier holder. Each restore begins a new era of the table. Fencing tokens
+increase with the era, so that none is issued twice and each shows in which era
+its holder acquired the lease.
 """
 
 import uuid
@@ -36,15 +37,16 @@
 )
 
 _NO_ROW_VERSION = 0
-# Stands for whoever has written what is not this project's.
+# The holder of a row that some other program wrote and that cannot be decoded.
 _UNREADABLE_HOLDER = '?'
 
 
 @attrs.frozen
 class LeaseTimeouts:
-    """How long a lease is trusted, and how long others wait, in seconds.
+    """How long a lease is valid, and how long others wait, in seconds.
 
-    Who may be cut off from the holder waits for ``patient`` at least.
+    A node that may be partitioned from the holder waits at least for
+    ``isolated_takeover_seconds``.
     """
 
     valid_seconds: float = 6.0
@@ -53,7 +55,7 @@
 
 
 @attrs.frozen
-class _Value:
+class _LeaseValue:
     holder: str
     fencing: int
     nonce: str
@@ -66,14 +68,14 @@
     duty: str
     node_id: str
     _table: Table
-    _times: LeaseTimeouts = attrs.field(factory=LeaseTimeouts)
+    _timeouts: LeaseTimeouts = attrs.field(factory=LeaseTimeouts)
     _clock: Callable[[], float] = since_boot
-    _seen: Row | None = attrs.field(default=None, init=False)
-    _seen_at: float = attrs.field(default=0, init=False)
-    _trusted_until: float = attrs.field(default=float('-inf'), init=False)
+    _last_row: Row | None = attrs.field(default=None, init=False)
+    _last_row_at: float = attrs.field(default=0, init=False)
+    _valid_until: float = attrs.field(default=float('-inf'), init=False)
     _fencing: int = attrs.field(default=0, init=False)
-    _taken_at: float = attrs.field(default=0, init=False)
-    _has_seen_a_row: bool = attrs.field(default=False, init=False)
+    _acquired_at: float = attrs.field(default=0, init=False)
+    _has_seen_row: bool = attrs.field(default=False, init=False)
 
     @property
     def key(self) -> str:
@@ -82,73 +84,76 @@
 
     @property
     def is_held(self) -> bool:
-        """Tell whether this node may act for the duty right now."""
-        return self._clock() < self._trusted_until
+        """Return whether this node may perform the duty right now."""
+        return self._clock() < self._valid_until
 
     @property
     def held_seconds(self) -> float:
-        """Return for how long this holder has had the lease."""
-        return self._clock() - self._taken_at if self.is_held else 0
+        """Return how long this node has held the lease."""
+        return self._clock() - self._acquired_at if self.is_held else 0
 
     @property
     def fencing(self) -> int:
-        """Return the number that goes with every order of this holder."""
+        """Return the fencing token for the orders of this holder."""
         return self._fencing
 
     @property
     def version(self) -> int:
-        """Return the version of the lease's row as it was seen last."""
-        return self._seen.version if self._seen else _NO_ROW_VERSION
+        """Return the version of the row when it was last read or written."""
+        return self._last_row.version if self._last_row else _NO_ROW_VERSION
 
     @property
     def holder(self) -> str:
-        """Return who held the lease when the row was seen last."""
-        return _decode(self._seen).holder if self._seen else ''
+        """Return the holder when the row was last read or written."""
+        return _decode(self._last_row).holder if self._last_row else ''
 
     @property
     def is_current_era(self) -> bool:
-        """Tell whether the row that was seen last can be a condition."""
+        """Return whether the row's version is of the table's current era.
+
+        Only such a version can be checked in a transaction.
+        """
         return (
-            self._seen is not None
-            and era_of(self._seen.version) == self._table.era
+            self._last_row is not None
+            and era_of(self._last_row.version) == self._table.era
         )
 
     def check(self) -> Check:
-        """Return the condition that ties a transaction to this lease.
+        """Return the check that makes a transaction depend on this lease.
 
         Raise ``LeaseLostError`` if the lease is not held.
         """
-        if not self.is_held or self._seen is None:
-            raise LeaseLostError(f'{self.duty} is not held any more')
-        return Check(self.key, self._seen.version)
+        if not self.is_held or self._last_row is None:
+            raise LeaseLostError(f'the lease of {self.duty} is no longer held')
+        return Check(self.key, self._last_row.version)
 
     async def acquire_or_renew(self, *, may_be_isolated: bool = False) -> bool:
-        """Renew the lease or try to take it; return whether it is held.
+        """Renew or try to acquire the lease; return whether it is held.
 
-        Raise ``PlatformError`` when the table cannot be asked.
+        Raise ``PlatformError`` if the table cannot be reached.
         """
         if self.is_held and self.is_current_era:
-            await self._write(self._seen, self._fencing)
+            await self._write(self._last_row, self._fencing)
             if not self.is_held or self.is_current_era:
                 return self.is_held
-        await self._look()
-        if self.is_held and self._was_taken_since():
-            self._trusted_until = float('-inf')
-        if self.is_held or self._may_take(may_be_isolated):
-            await self._take()
+        await self._read_row()
+        if self.is_held and self._is_taken_in_this_era():
+            self._valid_until = float('-inf')
+        if self.is_held or self._may_acquire(may_be_isolated):
+            await self._acquire()
         return self.is_held
 
     async def release(self) -> None:
-        """Give the lease up, so that the next holder need not wait."""
-        if not self.is_held or self._seen is None:
+        """Release the lease, so that the next holder does not have to wait."""
+        if not self.is_held or self._last_row is None:
             return
-        seen = self._seen
-        self._trusted_until = float('-inf')
-        released = _Value('', self._fencing, uuid.uuid4().hex)
+        last_row = self._last_row
+        self._valid_until = float('-inf')
+        released = _LeaseValue('', self._fencing, uuid.uuid4().hex)
         try:
             await self._table.commit(
                 Transaction(
-                    (Check(self.key, seen.version),),
+                    (Check(self.key, last_row.version),),
                     (Put(self.key, _encode(released)),),
                 ),
             )
@@ -157,12 +162,12 @@
         else:
             decision('duty_handed_over', duty=self.duty)
 
-    async def _take(self) -> None:
-        earlier = _decode(self._seen) if self._seen else None
+    async def _acquire(self) -> None:
+        earlier = _decode(self._last_row) if self._last_row else None
         fencing = version_in(self._table.era, 1)
         if earlier is not None:
             fencing = max(fencing, earlier.fencing + 1)
-        await self._write(self._seen, fencing)
+        await self._write(self._last_row, fencing)
         if self.is_held:
             decision(
                 'duty_taken',
@@ -171,97 +176,104 @@
                 earlier=earlier.holder if earlier else '',
             )
 
-    def _was_taken_since(self) -> bool:
-        """Tell whether another has the lease since the table came back.
+    def _is_taken_in_this_era(self) -> bool:
+        """Return whether another node acquired the lease in this era.
 
-        Its fencing number is of this era then; a copy holds earlier ones.
+        Its fencing token is then of this era, while a restored row has one of
+        an earlier era.
         """
-        if self._seen is None:
+        if self._last_row is None:
             return False
-        found = _decode(self._seen)
+        found = _decode(self._last_row)
         is_taken = era_of(found.fencing) == self._table.era
         return is_taken and found.holder != self.node_id
 
-    async def _look(self) -> None:
+    async def _read_row(self) -> None:
         rows = await self._table.read_keys([self.key])
         row = rows.get(self.key)
-        if row != self._seen or self._seen_at == 0:
-            self._seen = row
-            self._seen_at = self._clock()
-        # A holder's row that a copy lacks is waited for like one that stands.
-        self._has_seen_a_row = self._has_seen_a_row or row is not None
-
-    def _may_take(self, may_be_isolated: bool) -> bool:
+        if row != self._last_row or self._last_row_at == 0:
+            self._last_row = row
+            self._last_row_at = self._clock()
+        # A row that is missing after a restore may have a holder, so it is
+        # waited for like an existing one.
+        self._has_seen_row = self._has_seen_row or row is not None
+
+    def _may_acquire(self, may_be_isolated: bool) -> bool:
         if self._is_free():
             return True
-        wait = self._times.takeover_seconds
+        wait = self._timeouts.takeover_seconds
         if may_be_isolated:
-            wait = max(wait, self._times.isolated_takeover_seconds)
-        return self._clock() - self._seen_at > wait
+            wait = max(wait, self._timeouts.isolated_takeover_seconds)
+        return self._clock() - self._last_row_at > wait
 
     def _is_free(self) -> bool:
-        """Tell whether nobody can hold the lease.
+        """Return whether no node can be holding the lease.
 
-        A copy may lack a holder's row, or show the lease as given up before
-        its last holder took it.
+        A restored table may lack the holder's row, or show the lease as
+        released although a node acquired it later.
         """
-        if self._seen is None:
-            return not self._has_seen_a_row
-        found = _decode(self._seen)
+        if self._last_row is None:
+            return not self._has_seen_row
+        found = _decode(self._last_row)
         return not found.holder and era_of(found.fencing) == self._table.era
 
-    async def _write(self, seen: Row | None, fencing: int) -> None:
+    async def _write(self, last_row: Row | None, fencing: int) -> None:
         started = self._clock()
         era = self._table.era
-        wanted = _Value(self.node_id, fencing, uuid.uuid4().hex)
-        version = seen.version if seen else _NO_ROW_VERSION
-        put = Put(self.key, _encode(wanted))
+        value = _LeaseValue(self.node_id, fencing, uuid.uuid4().hex)
+        version = last_row.version if last_row else _NO_ROW_VERSION
+        put = Put(self.key, _encode(value))
         try:
             written = await self._table.commit(
                 Transaction((Check(self.key, version),), (put,)),
             )
         except WriteConflictError:
             if self._table.era == era:
-                self._trusted_until = float('-inf')
-                await self._look()
+                self._valid_until = float('-inf')
+                await self._read_row()
             return
         except WriteUnknownError:
             if self._table.era == era:
-                await self._find_out(wanted, started)
+                await self._resolve_unknown_write(value, started)
             else:
-                # It may have replaced the row of one who took the lease since.
-                self._trusted_until = float('-inf')
+                # The write may have replaced the row of a node that acquired
+                # the lease in the new era.
+                self._valid_until = float('-inf')
             return
-        self._accept(Row(self.key, written, put.value), fencing, started)
+        self._record_renewal(
+            Row(self.key, written, put.value), fencing, started
+        )
 
-    async def _find_out(self, wanted: _Value, started: float) -> None:
+    async def _resolve_unknown_write(
+        self, value: _LeaseValue, started: float
+    ) -> None:
         row = (await self._table.read_keys([self.key])).get(self.key)
-        if row is None or _decode(row) != wanted:
+        if row is None or _decode(row) != value:
             return
-        if era_of(row.version) == era_of(wanted.fencing):
-            self._accept(row, wanted.fencing, started)
+        if era_of(row.version) == era_of(value.fencing):
+            self._record_renewal(row, value.fencing, started)
 
-    def _accept(self, row: Row, fencing: int, started: float) -> None:
-        self._seen = row
-        self._has_seen_a_row = True
-        self._seen_at = started
+    def _record_renewal(self, row: Row, fencing: int, started: float) -> None:
+        self._last_row = row
+        self._has_seen_row = True
+        self._last_row_at = started
         if fencing != self._fencing:
-            self._taken_at = self._clock()
+            self._acquired_at = self._clock()
         self._fencing = fencing
-        self._trusted_until = started + self._times.valid_seconds
+        self._valid_until = started + self._timeouts.valid_seconds
 
 
-def _encode(value: _Value) -> str:
+def _encode(value: _LeaseValue) -> str:
     return msgspec.json.encode(value).decode()
 
 
-def _decode(row: Row) -> _Value:
-    """Return what a lease's row says; one that can't be read has a holder.
+def _decode(row: Row) -> _LeaseValue:
+    """Decode a lease's row; one that cannot be decoded counts as held.
 
-    It is waited for like any other. The fencing number after it has to be above
-    all that were used: the row's version rises faster than they do.
+    It is waited for like any other. The next fencing token has to exceed all
+    earlier ones, so the row's version is used, which increases faster.
     """
     try:
-        return msgspec.json.decode(row.value, type=_Value)
+        return msgspec.json.decode(row.value, type=_LeaseValue)
     except (msgspec.MsgspecError, RecursionError):
-        return _Value(_UNREADABLE_HOLDER, row.version, '')
+        return _LeaseValue(_UNREADABLE_HOLDER, row.version, '')
--- a/src/cranecart/operators/_admin.py
+++ b/src/cranecart/operators/_admin.py
@@ -66,8 +66,8 @@
 
     _key_sha256: str
     _history: ConfigHistory
-    _current: ActiveConfig
-    _follower: ConfigPoller
+    _active_config: ActiveConfig
+    _poller: ConfigPoller
     _is_ready: Callable[[], bool]
     _status: Callable[[], NodeStatus]
     _metrics: Callable[[], bytes]
@@ -135,21 +135,21 @@
             encoded,
             message.note,
         )
-        self._current.activate(change.release, encoded)
+        self._active_config.activate(change.release, encoded)
         return json_response(_OK, change)
 
     async def _declarations(self, request: Request) -> Response:
         version = request.query.get('version')
         if version is None:
-            await self._follower.poll()
-            release = self._current.release
-            encoded = self._current.encoded or b'null'
+            await self._poller.poll()
+            release = self._active_config.release
+            encoded = self._active_config.encoded or b'null'
         else:
             change = await self._history.change(int(version))
             if change is None:
                 return _problem(_NOT_FOUND, f'there is no version {version}')
             release = change.release
-            encoded = await self._follower.read(release)
+            encoded = await self._poller.read(release)
         return json_response(
             _OK,
             {
--- a/src/cranecart/rollout/__init__.py
+++ b/src/cranecart/rollout/__init__.py
@@ -1,4 +1,4 @@
-"""Bring accepted configuration into force on every node."""
+"""Distribute accepted configuration to every node."""
 
 from cranecart.rollout._active_config import ActiveConfig, Release
 from cranecart.rollout._history import Change, ConfigHistory
--- a/src/cranecart/rollout/_active_config.py
+++ b/src/cranecart/rollout/_active_config.py
@@ -1,4 +1,4 @@
-"""The configuration in force on this node; its version only ever rises."""
+"""The active configuration of this node; its version never decreases."""
 
 import hashlib
 
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class Release:
-    """An accepted version and the checksum of what it says."""
+    """An accepted configuration version and the checksum of its contents."""
 
     version: int
     sha256: str
@@ -19,7 +19,7 @@
 
 @attrs.define
 class ActiveConfig:
-    """Holds one release and what it says."""
+    """The active release and its declarations."""
 
     _release: Release = attrs.field(
         factory=lambda: Release(0, ''),
@@ -30,7 +30,7 @@
 
     @property
     def release(self) -> Release:
-        """Return the release in force; version 0 before the first."""
+        """Return the active release; version 0 before the first."""
         return self._release
 
     @property
@@ -39,25 +39,26 @@
         return self._encoded
 
     def declarations(self) -> Declarations | None:
-        """Return the declarations in force, if any are."""
+        """Return the active declarations, if there are any."""
         return self._declarations
 
     def activate(self, release: Release, encoded: bytes) -> bool:
-        """Take a newer release; return whether it is in force now.
+        """Activate a release if it is newer; return whether it was activated.
 
-        Raise ``DamagedObjectError`` for bytes that do not match it.
+        Raise ``DamagedObjectError`` if ``encoded`` does not match its checksum
+        or cannot be decoded.
         """
         if release.version <= self._release.version:
             return False
         if hashlib.sha256(encoded).hexdigest() != release.sha256:
             raise DamagedObjectError(
-                f'version {release.version} does not match its checksum',
+                f'configuration version {release.version} does not match its checksum',
             )
         try:
             declarations = compiled_from_json(encoded)
         except ValueError as error:
             raise DamagedObjectError(
-                f'version {release.version} cannot be read: {error}',
+                f'configuration version {release.version} cannot be decoded: {error}',
             ) from error
         self._release = release
         self._encoded = encoded
--- a/src/cranecart/rollout/_history.py
+++ b/src/cranecart/rollout/_history.py
@@ -1,4 +1,4 @@
-"""The history of accepted changes, kept in the table."""
+"""The history of accepted configuration changes, stored in the table."""
 
 import contextlib
 import time
@@ -18,7 +18,7 @@
 
 HEAD_KEY = 'config/head'
 _CHANGES = 'config/change/'
-_IDS = 'config/id/'
+_CHANGE_IDS = 'config/id/'
 
 
 @attrs.frozen
@@ -34,13 +34,13 @@
 
     @property
     def release(self) -> Release:
-        """Return the release that the change made."""
+        """Return the release that the change created."""
         return Release(self.version, self.sha256)
 
 
 @attrs.define
 class ConfigHistory:
-    """Appends to and reads the one history of a deployment."""
+    """The history of a deployment."""
 
     _platform: PlatformClient
 
@@ -55,14 +55,14 @@
         return [_decode(rows[key]) for key in sorted(rows)]
 
     async def change(self, version: int) -> Change | None:
-        """Return the change that made a version."""
+        """Return the change that created a version, if there is one."""
         key = _change_key(version)
         row = (await self._platform.read_keys([key])).get(key)
         return _decode(row) if row else None
 
     async def find(self, change_id: str) -> Change | None:
-        """Return what became of a change id: its change, or nothing."""
-        key = f'{_IDS}{change_id}'
+        """Return the accepted change with a change id, if there is one."""
+        key = f'{_CHANGE_IDS}{change_id}'
         row = (await self._platform.read_keys([key])).get(key)
         return _decode(row) if row else None
 
@@ -74,21 +74,21 @@
         encoded: bytes,
         note: str = '',
     ) -> Change:
-        """Accept a change on top of the version that its author saw.
+        """Append a change that is based on ``base_version``.
 
-        Raise ``WriteConflictError`` if another change was faster, and
-        ``WriteUnknownError`` if what became of it cannot be found out now.
+        Raise ``WriteConflictError`` if that is not the newest version, and
+        ``WriteUnknownError`` if the outcome of the write cannot be determined.
         """
         sha256 = await self._platform.put_object(encoded)
         head = await self._head_row()
-        seen = _decode(head).version if head else 0
-        if seen != base_version:
+        current_version = _decode(head).version if head else 0
+        if current_version != base_version:
             raise WriteConflictError(
-                f'version {seen} is in force, the change was made on '
-                f'{base_version}',
+                f'the change is based on version {base_version}, but version '
+                f'{current_version} is in force',
             )
         change = Change(
-            seen + 1,
+            current_version + 1,
             sha256,
             change_id,
             author,
@@ -99,19 +99,22 @@
         try:
             await self._platform.commit(transaction)
         except WriteUnknownError:
-            return await self._find_out(transaction, change)
+            return await self._resolve_unknown_write(transaction, change)
         return change
 
     async def _head_row(self) -> Row | None:
         rows = await self._platform.read_keys([HEAD_KEY])
         return rows.get(HEAD_KEY)
 
-    async def _find_out(
+    async def _resolve_unknown_write(
         self,
         transaction: Transaction,
         change: Change,
     ) -> Change:
-        """Write once more and read back; the id can be accepted only once."""
+        """Retry the write and read it back.
+
+        The retry is safe, because a change id can be accepted only once.
+        """
         with contextlib.suppress(PlatformError):
             await self._platform.commit(transaction)
         try:
@@ -122,14 +125,16 @@
         if found is not None:
             return found
         if head is not None and head.version >= change.version:
-            raise WriteConflictError('another change was faster')
-        # The write may still be on its way and take effect later.
-        raise WriteUnknownError('the change is not in the history yet')
+            raise WriteConflictError('another change was accepted first')
+        # The write may still be in flight and take effect later.
+        raise WriteUnknownError(
+            'the change is not in the history, but may still be accepted'
+        )
 
 
 def _transaction(head: Row | None, change: Change) -> Transaction:
     encoded = msgspec.json.encode(change).decode()
-    id_key = f'{_IDS}{change.change_id}'
+    id_key = f'{_CHANGE_IDS}{change.change_id}'
     return Transaction(
         (
             Check(HEAD_KEY, head.version if head else 0),
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -81,7 +81,7 @@
     Mutation(
         'lease-taken-without-waiting',
         'leases/_lease.py',
-        'return self._clock() - self._seen_at > wait',
+        'return self._clock() - self._last_row_at > wait',
         'return True',
         'tests.unit.test_lease',
     ),
