--- a/src/cranecart/clients/_gateway.py
+++ b/src/cranecart/clients/_gateway.py
@@ -171,9 +171,9 @@
                 async with self._guard.watch(
                     lambda: call.identity,
                     runner,
-                ) as watch:
+                ) as progress:
                     answer = await self._engines.start_completion(replica, call)
-                    watch.record_begun()
+                    progress.record_begun()
                     return await _read_response(call, answer)
 
         return await self._attempts(call).run(attempt)
@@ -186,9 +186,9 @@
             tried.append(instance.id)
             incarnation = Incarnation(instance.id)
             runner = NamedRunner(instance.id, incarnation, instance.address)
-            watching = self._guard.watch(lambda: call.identity, runner)
+            watching_context = self._guard.watch(lambda: call.identity, runner)
             with self._router.track_in_flight(instance.id):
-                async with watching:
+                async with watching_context:
                     return await self._services.call(instance, call)
 
         return await self._attempts(call).run(attempt)
--- a/src/cranecart/clients/_relay.py
+++ b/src/cranecart/clients/_relay.py
@@ -65,10 +65,12 @@
         replica = self._router.choose_replica(self._call, self._tried)
         self._tried.append(replica.id)
         runner = leader_runner(replica)
-        watching = self._guard.watch(lambda: self._call.identity, runner)
+        watching_context = self._guard.watch(
+            lambda: self._call.identity, runner
+        )
         with self._router.track_in_flight(replica.id):
-            async with watching as watch:
-                await self._relay(replica, watch)
+            async with watching_context as progress:
+                await self._relay(replica, progress)
 
     async def finish_with_error(self, error: RequestError) -> None:
         """End a stream that has started with an error event."""
@@ -91,7 +93,7 @@
         )
 
     async def _relay(
-        self, replica: ServingReplica, watch: AttemptProgress
+        self, replica: ServingReplica, progress: AttemptProgress
     ) -> None:
         self._event_counter.restart()
         answer = await self._engines.start_completion(
@@ -100,11 +102,11 @@
             self._event_counter.tokens,
         )
         async with answer:
-            watch.record_begun()
+            progress.record_begun()
             await self._start_response()
             # One timer for the whole stream: a timer for each event costs too
             # much CPU time.
-            await within_deadline(self._call, self._relay_all, answer, watch)
+            await within_deadline(self._call, self._relay_all, answer, progress)
             if not self.is_finished:
                 raise TargetBrokenError(
                     f'{replica.id} ended its stream before the last event'
@@ -125,10 +127,10 @@
         )
 
     async def _relay_all(
-        self, answer: EngineAnswer, watch: AttemptProgress
+        self, answer: EngineAnswer, progress: AttemptProgress
     ) -> None:
         while chunk := await answer.read_chunk():
-            watch.record_progress()
+            progress.record_progress()
             complete = self._event_counter.feed(chunk)
             if not complete:
                 continue
--- a/src/cranecart/forwarding/_admit.py
+++ b/src/cranecart/forwarding/_admit.py
@@ -37,7 +37,7 @@
     route = config.route(facts.host, _path(request.target))
     if route is None:
         raise NotFoundError(f'no route matches {request.target!r}')
-    holder = _find_holder(config, route, facts)
+    holder = _find_key_holder(config, route, facts)
     rank = route.rank
     if holder is not None and holder.rank is not None:
         rank = holder.rank
@@ -63,7 +63,7 @@
         return ''
 
 
-def _find_holder(
+def _find_key_holder(
     config: RouteConfig,
     route: Route,
     facts: CallFacts,
--- a/src/cranecart/forwarding/_attempts.py
+++ b/src/cranecart/forwarding/_attempts.py
@@ -99,9 +99,9 @@
         attempt: Callable[[Target], Awaitable[None]],
         target: Target,
     ) -> bool:
-        watching = self._guard.watch(self._identity, target.instance)
+        watching_context = self._guard.watch(self._identity, target.instance)
         try:
-            async with watching as progress:
+            async with watching_context as progress:
                 self._progress = progress
                 with self._router.track_in_flight(target):
                     await attempt(target)
--- a/src/cranecart/forwarding/_gateway.py
+++ b/src/cranecart/forwarding/_gateway.py
@@ -41,9 +41,10 @@
 class RoutedGateway:
     """Handles client requests according to the configured routes.
 
-    ``_current_config`` returns the configuration in force, ``_success_log_fraction``
-    the fraction of successful requests to log. ``in_flight`` is the number of
-    requests being handled, ``received_count`` that of all requests so far.
+    ``_current_config`` returns the configuration in force and
+    ``_success_log_fraction`` the fraction of successful requests to log.
+    ``in_flight`` is the number of requests being handled, ``received_count``
+    that of all requests so far.
     """
 
     _current_config: Callable[[], RouteConfig | None]
@@ -67,26 +68,26 @@
         """Handle one request; it is cancelled if the client disconnects."""
         self.in_flight += 1
         self.received_count += 1
-        handling = await curio.current_task()
-        watch = await curio.spawn(
+        request_task = await curio.current_task()
+        disconnect_watcher = await curio.spawn(
             self._cancel_on_disconnect,
             responder,
-            handling,
+            request_task,
             daemon=True,
         )
         try:
             await self._answer(request, responder)
         finally:
             self.in_flight -= 1
-            await watch.cancel()
+            await disconnect_watcher.cancel()
 
     async def _cancel_on_disconnect(
         self,
         responder: Responder,
-        handling: curio.Task,
+        request_task: curio.Task,
     ) -> None:
         await responder.wait_for_disconnect()
-        await handling.cancel(blocking=False)
+        await request_task.cancel(blocking=False)
 
     async def _answer(self, request: Request, responder: Responder) -> None:
         started = since_boot()
@@ -128,18 +129,18 @@
 
     def _with_retry_time(self, call: RoutedCall) -> RoutedCall:
         """Add for how long the client has been retrying a refused request."""
-        returned = self._returns.elapsed_seconds(
+        retrying_for = self._returns.elapsed_seconds(
             call.route.name,
             call.facts.deadline_seconds,
             call.started_at,
         )
-        return attrs.evolve(call, retrying_for_seconds=returned)
+        return attrs.evolve(call, retrying_for_seconds=retrying_for)
 
     def _write_trace(self, trace: RequestTrace, outcome: str) -> None:
         """Log a request, but only a fraction of the unremarkable ones."""
         hash_fraction = zlib.crc32(trace.request_id.encode()) / _CRC_RANGE
-        is_drawn = hash_fraction < self._success_log_fraction()
-        if is_drawn or trace.is_notable or outcome != 'answered':
+        is_sampled = hash_fraction < self._success_log_fraction()
+        if is_sampled or trace.is_notable or outcome != 'answered':
             trace.write()
 
     async def _forward(self, call: RoutedCall, responder: Responder) -> None:
--- a/src/cranecart/forwarding/_sender.py
+++ b/src/cranecart/forwarding/_sender.py
@@ -102,9 +102,9 @@
         try:
             sent_at = since_boot()
             await self._send(call, target, connection, resume_after)
-            reading = OwnResponseReader(self.form, call, connection)
+            reader = OwnResponseReader(self.form, call, connection)
             head = await self.read_with_limits(
-                call, target, limits, reading.read
+                call, target, limits, reader.read
             )
             yield await self._verify(target, connection, head, sent_at)
         except (TargetBrokenError, TargetTimeoutError):
@@ -130,10 +130,10 @@
         silence = float(0)
         is_reported = False
         while True:
-            pause = _poll_interval(limits, silence, is_reported)
+            interval = _poll_interval(limits, silence, is_reported)
             try:
                 return await curio.timeout_after(
-                    max(0, min(pause, call.seconds_left)),
+                    max(0, min(interval, call.seconds_left)),
                     read,
                 )
             except TaskTimeout:
@@ -162,8 +162,8 @@
     ) -> None:
         if call.seconds_left <= 0:
             raise TargetTimeoutError('no complete response before the deadline')
-        replica_key = target.replica_epoch
-        is_stopped = replica_key is not None and self._has_stopped(replica_key)
+        epoch = target.replica_epoch
+        is_stopped = epoch is not None and self._has_stopped(epoch)
         if is_stopped and not limits.is_final_attempt:
             raise TargetBrokenError(f'{target.instance.id} has stopped')
         model = call.facts.model
--- a/src/cranecart/targets/_directory.py
+++ b/src/cranecart/targets/_directory.py
@@ -84,13 +84,13 @@
         demand: Mapping[str, int] | None = None,
     ) -> DomainSummary:
         """Return the summary of this domain for the others."""
-        open_service_ids = [
+        open_services = [
             self.reports.instances[name]
             for name in self.reports.open_service_ids()
         ]
         local = [
             instance
-            for instance in open_service_ids
+            for instance in open_services
             if instance.failure_domain == self.failure_domain
         ]
         least_loaded = sorted(
--- a/src/cranecart/targets/_probe_connection.py
+++ b/src/cranecart/targets/_probe_connection.py
@@ -49,7 +49,7 @@
         try:
             return await curio.timeout_after(
                 _ANSWER_TIMEOUT_SECONDS,
-                self._fetch,
+                self._fetch_report,
                 instance,
             )
         except TaskTimeout as error:
@@ -78,9 +78,9 @@
         if connection is not None:
             await connection.close()
 
-    async def _fetch(self, instance: Instance) -> MemberReport:
+    async def _fetch_report(self, instance: Instance) -> MemberReport:
         try:
-            response = await self._ask(instance)
+            response = await self._request_status(instance)
         except ConnectFailedError as error:
             raise TargetNotReachedError(str(error)) from error
         except HttpError as error:
@@ -91,7 +91,7 @@
         self._etag = response.headers.get('etag', '')
         return self._report
 
-    async def _ask(self, instance: Instance) -> Response:
+    async def _request_status(self, instance: Instance) -> Response:
         if self._connection is None:
             self._connection = await HttpConnection.open(instance.address)
         connection = self._connection
--- a/src/cranecart/targets/_prober.py
+++ b/src/cranecart/targets/_prober.py
@@ -57,48 +57,52 @@
             self._reports.tick()
             assigned = set(self._assigned())
             self._discard_crashed()
-            for name in assigned - self._tasks.keys():
-                self._tasks[name] = await curio.spawn(
+            for instance_id in assigned - self._tasks.keys():
+                self._tasks[instance_id] = await curio.spawn(
                     self._probe,
-                    name,
+                    instance_id,
                     daemon=True,
                 )
-            for name in self._handed_over(assigned):
-                await self._tasks.pop(name).cancel()
-                self._last_published.pop(name, None)
-                self._reports.remove_observation(name)
-                self._publish(name, ProbeResult(ProbeOutcome.NOT_ASKED))
+            for instance_id in self._handed_over(assigned):
+                await self._tasks.pop(instance_id).cancel()
+                self._last_published.pop(instance_id, None)
+                self._reports.remove_observation(instance_id)
+                self._publish(instance_id, ProbeResult(ProbeOutcome.NOT_ASKED))
             await curio.sleep(_TICK_SECONDS)
 
     def _discard_crashed(self) -> None:
         """Discard tasks that ended with an error; they are started again."""
         crashed = [
-            name for name, task in self._tasks.items() if task.terminated
+            instance_id
+            for instance_id, task in self._tasks.items()
+            if task.terminated
         ]
-        for name in crashed:
-            task = self._tasks.pop(name)
-            _LOG.error('the probe of %s crashed', name, exc_info=task.exception)
+        for instance_id in crashed:
+            task = self._tasks.pop(instance_id)
+            _LOG.error(
+                'the probe of %s crashed', instance_id, exc_info=task.exception
+            )
 
     def _handed_over(self, assigned: Collection[str]) -> list[str]:
         """Return the instances that other nodes have taken over by now."""
         now = since_boot()
         self._unassigned_since = {
-            name: self._unassigned_since.get(name, now)
-            for name in self._tasks
-            if name not in assigned
+            instance_id: self._unassigned_since.get(instance_id, now)
+            for instance_id in self._tasks
+            if instance_id not in assigned
         }
         return [
-            name
-            for name, since in self._unassigned_since.items()
+            instance_id
+            for instance_id, since in self._unassigned_since.items()
             if now - since > _HANDOVER_SECONDS
         ]
 
-    async def _probe(self, name: str) -> None:
+    async def _probe(self, instance_id: str) -> None:
         await curio.sleep(self._random.random() * _MAX_INITIAL_DELAY_SECONDS)
         connection = ProbeConnection()
         try:
             while True:
-                await self._probe_once(name, connection)
+                await self._probe_once(instance_id, connection)
                 jitter = 1 + _JITTER_FRACTION * (self._random.random() - 1 / 2)
                 await connection.sleep(self._interval() * jitter)
         finally:
@@ -111,27 +115,31 @@
             PROBE_INTERVAL_SECONDS, len(self._tasks) / _MAX_PROBES_PER_SECOND
         )
 
-    async def _probe_once(self, name: str, connection: ProbeConnection) -> None:
-        instance = self._reports.instances.get(name)
+    async def _probe_once(
+        self, instance_id: str, connection: ProbeConnection
+    ) -> None:
+        instance = self._reports.instances.get(instance_id)
         if instance is None:
             return
         try:
             report = await connection.fetch(instance)
         except TargetError as error:
-            _LOG.debug('%s did not answer: %s', name, error)
-            self._reports.record_unreachable(name)
-            self._publish_change(name, None)
+            _LOG.debug('%s did not answer: %s', instance_id, error)
+            self._reports.record_unreachable(instance_id)
+            self._publish_change(instance_id, None)
         else:
             self._reports.record_report(report)
-            self._publish_change(name, report)
+            self._publish_change(instance_id, report)
 
-    def _publish_change(self, name: str, report: MemberReport | None) -> None:
+    def _publish_change(
+        self, instance_id: str, report: MemberReport | None
+    ) -> None:
         """Publish the first result and significant changes."""
-        if name not in self._last_published or is_significant_change(
-            self._last_published[name], report
+        if instance_id not in self._last_published or is_significant_change(
+            self._last_published[instance_id], report
         ):
-            self._last_published[name] = report
+            self._last_published[instance_id] = report
             outcome = (
                 ProbeOutcome.SILENT if report is None else ProbeOutcome.ANSWERED
             )
-            self._publish(name, ProbeResult(outcome, report))
+            self._publish(instance_id, ProbeResult(outcome, report))
--- a/tests/unit/test_http.py
+++ b/tests/unit/test_http.py
@@ -1,4 +1,4 @@
-"""Both sides of HTTP over real sockets."""
+"""The HTTP client and server over real sockets."""
 
 import itertools
 import socket
@@ -31,82 +31,84 @@
             await curio.sleep(0.05)
 
 
-async def _pieces(writes: Sequence[bytes]) -> list[bytes]:
+async def _read_chunks(writes: Sequence[bytes]) -> list[bytes]:
     listener = curio.io.Socket(socket.create_server(('127.0.0.1', 0)))
     address = Address(*listener.getsockname()[:2])
     serving = await curio.spawn(_serve, listener, writes)
     connection = await HttpConnection.open(address)
-    pieces = []
+    chunks = []
     await connection.send(Request('GET', '/'))
     await connection.read_head()
     async with listener:
-        while piece := await connection.read_chunk():
-            pieces.append(piece)
+        while chunk := await connection.read_chunk():
+            chunks.append(chunk)
     await connection.close()
     await serving.join()
-    return pieces
+    return chunks
 
 
-class ReadPieceTest(unittest.TestCase):
-    """What one read brings is one piece."""
+class ReadChunkTest(unittest.TestCase):
+    """Reading a body in chunks."""
 
-    def test_chunks_of_one_read_come_together(self) -> None:
-        """So that they are passed on in one write."""
+    def test_chunks_of_one_read_are_joined(self) -> None:
+        """They can then be forwarded in one write."""
         writes = [_HEAD, b'1\r\na\r\n1\r\nb\r\n', b'1\r\nc\r\n%b' % _END]
-        self.assertEqual(curio.run(_pieces, writes), [b'ab', b'c'])
+        self.assertEqual(curio.run(_read_chunks, writes), [b'ab', b'c'])
 
-    def test_a_chunk_cut_in_two(self) -> None:
-        """Its parts come as they arrive, and nothing is lost."""
+    def test_chunk_received_in_two_parts(self) -> None:
+        """Its parts are returned as they arrive, and no data is lost."""
         writes = [_HEAD, b'4\r\nab', b'cd\r\n', _END]
-        self.assertEqual(b''.join(curio.run(_pieces, writes)), b'abcd')
+        self.assertEqual(b''.join(curio.run(_read_chunks, writes)), b'abcd')
 
-    def test_a_body_without_its_end_is_no_answer(self) -> None:
-        """A connection that breaks off is told from one that ended."""
+    def test_truncated_body_is_an_error(self) -> None:
+        """A connection that breaks off does not look like the end."""
         with self.assertRaises(ConnectionBrokenError):
-            curio.run(_pieces, [_HEAD, b'1\r\na\r\n'])
+            curio.run(_read_chunks, [_HEAD, b'1\r\na\r\n'])
 
 
-class HostileClientTest(unittest.TestCase):
-    """What a server with short bounds does with bad clients."""
+class FaultyClientTest(unittest.TestCase):
+    """A server with low limits and clients that violate them."""
 
     def setUp(self) -> None:
-        """Forget what was handled."""
+        """Start without handled requests."""
         self.handled: list[Request] = []
 
-    def test_slow_dripped(self) -> None:
-        """A request that does not arrive whole in time is a 408."""
-        drips = [bytes((one,)) for one in b'GET / HTTP/1.1\r\nhost: x\r\n']
-        answer = curio.run(self._talk, drips)
+    def test_slow_request_times_out(self) -> None:
+        """An incomplete request is answered with 408."""
+        single_bytes = [
+            bytes((one,)) for one in b'GET / HTTP/1.1\r\nhost: x\r\n'
+        ]
+        answer = curio.run(self._send_raw, single_bytes)
         self.assertIn(b' 408 ', answer.partition(b'\r\n')[0])
         self.assertEqual(self.handled, [])
 
-    def test_goes_on_sending_after_a_refusal(self) -> None:
-        """Who is refused early can still read why."""
+    def test_client_that_goes_on_sending_gets_the_error(self) -> None:
+        """A client rejected early can still read the response."""
         head = b'POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 900000\r\n\r\n'
         answer = curio.run(
-            self._talk, [head, *itertools.repeat(b'x' * 9000, 12)]
+            self._send_raw, [head, *itertools.repeat(b'x' * 9000, 12)]
         )
         self.assertIn(b' 413 ', answer.partition(b'\r\n')[0])
         self.assertEqual(self.handled, [])
 
-    def test_half_sent(self) -> None:
-        """A body that ends too early reaches no handler."""
+    def test_truncated_request_is_not_handled(self) -> None:
+        """A request whose body ends early does not reach the handler."""
         sent = b'POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 9\r\n\r\nab'
-        curio.run(self._talk, [sent])
+        curio.run(self._send_raw, [sent])
         self.assertEqual(self.handled, [])
 
-    def test_body_over_the_bound(self) -> None:
-        """Also where its length was not announced."""
+    def test_chunked_body_over_the_limit(self) -> None:
+        """The limit also applies to a body of undeclared length."""
         head = b'POST / HTTP/1.1\r\nhost: x\r\ntransfer-encoding: chunked\r\n'
         chunk = b'8\r\nabcdefgh\r\n'
-        answer = curio.run(self._talk, [b'%b\r\n%b' % (head, chunk * 9)])
+        answer = curio.run(self._send_raw, [b'%b\r\n%b' % (head, chunk * 9)])
         self.assertIn(b' 413 ', answer.partition(b'\r\n')[0])
         self.assertEqual(self.handled, [])
 
-    def test_whole(self) -> None:
-        """A good request is handled, whatever the cuts."""
+    def test_request_received_in_parts(self) -> None:
+        """A valid request is handled, however it is split."""
         sent = [b'GET /x HTTP/1.1\r\nho', b'st: x\r\n', b'\r\n']
-        answer = curio.run(self._talk, sent)
+        answer = curio.run(self._send_raw, sent)
         self.assertIn(b' 200 ', answer.partition(b'\r\n')[0])
         self.assertEqual([one.path for one in self.handled], ['/x'])
 
@@ -114,7 +116,7 @@
         self.handled.append(request)
         await responder.send(Response(200))
 
-    async def _talk(self, writes: Sequence[bytes]) -> bytes:
+    async def _send_raw(self, writes: Sequence[bytes]) -> bytes:
         limits = ServerLimits(body_bytes=64, receive_seconds=0.5)
         server = HttpServer(Address('127.0.0.1', 0), self._handle, limits)
         server.open()
@@ -131,11 +133,11 @@
 
 
 class StopListeningTest(unittest.TestCase):
-    """What a server does that accepts nothing more."""
+    """A server that has stopped accepting connections."""
 
-    def test_connections_go_on(self) -> None:
-        """A request under way is answered, a new connection is refused."""
-        curio.run(self._stop)
+    def test_open_connections_are_served(self) -> None:
+        """An open request is answered; a new connection is refused."""
+        curio.run(self._stop_with_open_request)
 
     async def _answer_late(
         self,
@@ -145,7 +147,7 @@
         await curio.sleep(0.2)
         await responder.send(Response(200))
 
-    async def _stop(self) -> None:
+    async def _stop_with_open_request(self) -> None:
         server = HttpServer(Address('127.0.0.1', 0), self._answer_late)
         server.open()
         address = server.address
