--- a/src/cranecart/serving/__init__.py
+++ b/src/cranecart/serving/__init__.py
@@ -1,4 +1,4 @@
-"""A node on a deployment's platform: all its parts, wired together."""
+"""A node on a deployment's platform: builds and connects its components."""
 
 from cranecart.serving._node import ServingNode
 
--- a/src/cranecart/serving/_active_config.py
+++ b/src/cranecart/serving/_active_config.py
@@ -1,4 +1,4 @@
-"""The configuration in force: versions only rise."""
+"""The active configuration, which is only replaced by newer versions."""
 
 from collections.abc import Callable, Mapping
 
@@ -10,43 +10,44 @@
 
 @attrs.define
 class ActiveRouteConfig:
-    """Holds the newest configuration that this process has seen."""
+    """Holds the newest configuration that this process has received."""
 
-    _changed: list[Callable[[RouteConfig], None]] = attrs.field(
+    _subscribers: list[Callable[[RouteConfig], None]] = attrs.field(
         factory=list,
         init=False,
     )
     _config: RouteConfig | None = attrs.field(default=None, init=False)
 
     def current(self) -> RouteConfig | None:
-        """Return the configuration in force, if there is one yet."""
+        """Return the active configuration, if there is one yet."""
         return self._config
 
-    def subscribe(self, tell: Callable[[RouteConfig], None]) -> None:
-        """Have something told of each new version."""
-        self._changed.append(tell)
+    def subscribe(self, callback: Callable[[RouteConfig], None]) -> None:
+        """Register a callback for each new configuration."""
+        self._subscribers.append(callback)
 
     def apply_from_store(
         self,
         items: Mapping[str, RouteConfig | None],
-        is_whole: bool,
+        is_complete: bool,
     ) -> None:
-        """Take over what the operator's row holds.
+        """Activate the configuration in the operator's row, if it is newer.
 
-        Its version may be given out again after the store has come back from a
-        copy that lacked it; what the operator has written then counts.
+        A store that was restored from a backup may issue a version again. If
+        the content under the active version differs, the operator has written
+        it since, and it is activated as well.
         """
         for config in items.values():
             if config is not None:
                 known = self._config.version if self._config else 0
                 if config.version > known or self._is_rewritten(config):
-                    self._take(config, 'store')
+                    self._activate(config, 'store')
 
     def apply_from_peer(self, config: RouteConfig) -> None:
-        """Take over what another node has in force."""
+        """Activate the configuration of another node, if it is newer."""
         known = self._config.version if self._config else 0
         if config.version > known:
-            self._take(config, 'peer')
+            self._activate(config, 'peer')
 
     def _is_rewritten(self, config: RouteConfig) -> bool:
         known = self._config
@@ -54,7 +55,7 @@
             return False
         return config != known
 
-    def _take(self, config: RouteConfig, source: str) -> None:
+    def _activate(self, config: RouteConfig, source: str) -> None:
         known = self._config.version if self._config else 0
         self._config = config
         decision(
@@ -64,5 +65,5 @@
             source=source,
             routes=len(config.routes),
         )
-        for tell in self._changed:
-            tell(config)
+        for callback in self._subscribers:
+            callback(config)
--- a/src/cranecart/serving/_endpoints.py
+++ b/src/cranecart/serving/_endpoints.py
@@ -1,4 +1,4 @@
-"""What a node answers to its balancer and to whoever reads its figures."""
+"""The endpoints for the load balancer's health check and for metrics."""
 
 import importlib
 from collections import Counter, deque
@@ -18,72 +18,75 @@
 _UNAVAILABLE = 503
 _NOT_FOUND = 404
 _METRICS_PATH = '/metrics'
-# Some minutes of a busy node; older times of the same life are left out.
-_MOST_TIMES = 10000
+# Covers some minutes of a busy node. Until metrics are read for the first time,
+# only the latest samples are kept.
+_MAX_SAMPLES = 10000
 
 
 @attrs.frozen
 class ReadyEndpoint:
-    """Tells the balancer whether new connections are welcome."""
+    """Tells the load balancer whether to send new connections."""
 
     _is_ready: Callable[[], bool]
 
     async def handle(self, request: Request, responder: Responder) -> None:
-        """Answer one question, whatever its path."""
+        """Answer a health check, whatever its path."""
         is_ready = self._is_ready()
         await responder.send(Response(_OK if is_ready else _UNAVAILABLE))
 
 
 @attrs.define
 class RequestStatistics:
-    """Outcomes and first bytes of requests; metrics are made by a reader.
+    """Counts request outcomes and the times until their first bytes.
 
-    Loading them would delay each start, and many nodes are never read.
+    The metrics library is loaded when metrics are read for the first time:
+    loading it would delay each start, and the metrics of many nodes are never
+    read.
     """
 
     _outcomes: Counter[str] = attrs.field(factory=Counter, init=False)
-    _times: deque[float] = attrs.field(
-        factory=lambda: deque(maxlen=_MOST_TIMES),
+    _first_byte_seconds: deque[float] = attrs.field(
+        factory=lambda: deque(maxlen=_MAX_SAMPLES),
         init=False,
     )
     _metrics: 'Metrics | None' = attrs.field(default=None, init=False)
 
     def observe_request(self, outcome: str, seconds: float | None) -> None:
-        """Count a request, with the seconds until its first byte."""
+        """Record a request's outcome and the time until its first byte."""
         if self._metrics is not None:
             self._metrics.observe_request(outcome, seconds)
             return
         self._outcomes[outcome] += 1
         if seconds is not None:
-            self._times.append(seconds)
+            self._first_byte_seconds.append(seconds)
 
     def metrics(self) -> 'Metrics':
-        """Return the node's metrics, with all that was counted so far."""
+        """Return the node's metrics, including everything recorded so far."""
         if self._metrics is None:
             made: Metrics = importlib.import_module(
                 'cranecart.metrics'
             ).Metrics()
-            made.take_over(self._outcomes, self._times)
+            made.take_over(self._outcomes, self._first_byte_seconds)
             self._metrics = made
         return self._metrics
 
 
 @attrs.frozen
 class MetricsEndpoint:
-    """Tells counters and histograms in the text exposition format."""
+    """Serves counters and histograms in the text exposition format."""
 
-    _figures: RequestStatistics
-    _counts: Callable[[], Mapping[str, int]]
+    _statistics: RequestStatistics
+    _counters: Callable[[], Mapping[str, int]]
     _fleet: Fleet
     _config: ActiveRouteConfig
 
     async def handle(self, request: Request, responder: Responder) -> None:
-        """Answer one reading."""
+        """Answer a request for metrics."""
         if request.path != _METRICS_PATH:
             await responder.send(Response(_NOT_FOUND))
             return
-        metrics = self._figures.metrics()
-        for name, number in self._counts().items():
+        metrics = self._statistics.metrics()
+        for name, number in self._counters().items():
             metrics.control.set(number, {'what': name})
         metrics.serving_replicas.set(len(list(self._fleet.all_heads())))
         config = self._config.current()
--- a/src/cranecart/serving/_factories.py
+++ b/src/cranecart/serving/_factories.py
@@ -1,4 +1,4 @@
-"""Make the larger parts of a node from its settings."""
+"""Build the components of a node from its settings."""
 
 from collections.abc import Callable
 
@@ -22,49 +22,51 @@
 from cranecart.throttling import TargetThrottle
 from cranecart.transport import PeerTransport
 
-# What machines keep back for files, and what clients get of the rest: each
-# request under way has a connection to a target, and some are kept there.
-_FILE_DESCRIPTORS = 200
-_CLIENTS_PART = 0.6
-_FEWEST_CONNECTIONS = 16
+# File descriptors reserved for files, and the fraction of the others that clients
+# may use: each request in flight also has a connection to a target, and idle
+# connections to targets are kept open.
+_RESERVED_DESCRIPTORS = 200
+_CLIENT_FRACTION = 0.6
+_MIN_CONNECTIONS = 16
 
 
 def make_mesh(settings: ServingSettings, events: MeshCallbacks) -> Mesh:
-    """Bind the address for other nodes."""
-    link: PeerTransport[MeshMessage] = PeerTransport(
+    """Bind the peer address and return the mesh."""
+    transport: PeerTransport[MeshMessage] = PeerTransport(
         Address.from_text(settings.peer_address),
         encode_mesh_message,
         decode_mesh_message,
     )
-    own = LocalState(
+    local_state = LocalState(
         settings.node_id,
         settings.peer_address,
         settings.failure_domain,
     )
-    return Mesh(own, link, events)
+    return Mesh(local_state, transport, events)
 
 
 def server_limits(
     settings: ServingSettings,
     limits: ClientLimits,
 ) -> ServerLimits:
-    """Return what clients may make the node hold.
+    """Return the limits on clients' connections and requests.
 
-    Connections to targets, to the store and to other nodes need descriptors
-    too, and without any the node answers neither clients nor its balancer.
+    Connections to targets, to the store and to other nodes need file
+    descriptors too. A node that runs out of them answers neither clients nor
+    the load balancer.
     """
-    free = settings.max_descriptors - _FILE_DESCRIPTORS
+    free = settings.max_descriptors - _RESERVED_DESCRIPTORS
     return ServerLimits(
         head_bytes=limits.head_bytes,
         body_bytes=limits.body_bytes,
         receive_seconds=limits.receive_seconds,
         idle_seconds=limits.idle_seconds,
-        connections=max(_FEWEST_CONNECTIONS, int(free * _CLIENTS_PART)),
+        connections=max(_MIN_CONNECTIONS, int(free * _CLIENT_FRACTION)),
     )
 
 
 def retry_limits(settings: ServingSettings) -> RetryLimits:
-    """Return how much may be sent again."""
+    """Return the limits on retries."""
     return RetryLimits(
         settings.retry_ratio,
         settings.retry_slack,
@@ -75,25 +77,27 @@
 def make_throttle(
     node_id: str,
     fleet: Fleet,
-    read_mesh: Callable[[], Mesh],
+    get_mesh: Callable[[], Mesh],
 ) -> TargetThrottle:
-    """Return what keeps to the words of targets, shared with other nodes."""
+    """Build the throttle that shares targets' limits with other nodes."""
 
-    def leave(incarnation: Incarnation) -> None:  # noqa: WPS430
+    def report_leaving(incarnation: Incarnation) -> None:  # noqa: WPS430
         if mark_leaving(fleet, incarnation, 'an answer'):
-            read_mesh().publish(
+            get_mesh().publish(
                 Leaving(node_id, incarnation.id, incarnation.born)
             )
 
     return TargetThrottle(
-        lambda domain, name, most: sharing_node_count(
-            read_mesh().state,
+        lambda domain, name, max_nodes: sharing_node_count(
+            get_mesh().state,
             domain,
             name,
-            most,
+            max_nodes,
         ),
         fleet.find_instance,
-        lambda told: read_mesh().publish(TargetLimits(node_id, list(told))),
-        leave,
+        lambda updates: get_mesh().publish(
+            TargetLimits(node_id, list(updates))
+        ),
+        report_leaving,
         fleet.instance_list.is_leaving,
     )
--- a/src/cranecart/serving/_followers.py
+++ b/src/cranecart/serving/_followers.py
@@ -1,4 +1,4 @@
-"""The parts of a node that follow the platform."""
+"""Follow the configuration, the instance list and the placement records."""
 
 import random
 from collections.abc import Callable, Mapping
@@ -27,36 +27,41 @@
 from cranecart.ports import ListedInstance, Row, Source, era_of
 from cranecart.quarantine import HeldRows
 from cranecart.serving._active_config import ActiveRouteConfig
-from cranecart.serving._node_registry import NodeRegistry, peers_from_rows
+from cranecart.serving._node_registration import (
+    NodeRegistration,
+    peers_from_rows,
+)
 from cranecart.serving._platform_adapters import PlatformAdapters
 from cranecart.signals import raise_first_error
 
 Item = TypeVar('Item')
 
-# Changes come in bursts, as members of a replica change together; a repair
-# waits for several of them in a row.
-_LIST_GAP_SECONDS = 0.1
-# Versions may come several times in a second, and every node asks the store
-# anew after each. Well below the time in which one has to be in force.
-_DECLARATIONS_GAP_SECONDS = 0.5
-_RECORDS_GAP_SECONDS = 0.15
-# Before the first request nothing is late. It stays below the rest by which
-# placers tell that the list is whole.
-_EARLY_GAP_SECONDS = 0.15
-# A cut reader of the list is missed by all in under four waits, which has to be
-# within the time that leaving instances may still get requests.
-_LEAVING_PART = 0.25
+# Minimum times between two reads. Changes come in bursts, as the members of a
+# replica change together. The time is short, as repairing a replica waits for
+# several such changes in sequence.
+_LIST_MIN_INTERVAL_SECONDS = 0.1
+# Configurations may change several times a second, and each node reads the store
+# again after each change. The interval is well below the time in which a new
+# configuration has to be active.
+_CONFIG_MIN_INTERVAL_SECONDS = 0.5
+_RECORDS_MIN_INTERVAL_SECONDS = 0.15
+# Before the first request no read is urgent. The interval has to be shorter than
+# the quiet period after which placers take the list for complete.
+_IDLE_MIN_INTERVAL_SECONDS = 0.15
+# If the shared reader of the list is cut off, all nodes notice within four polls.
+# That has to happen before leaving instances stop accepting requests.
+_POLL_FRACTION_OF_LEAVING = 0.25
 _LIST = 'list'
 _RECORDS = 'records'
-_LEAVING_SECONDS = 2.0
+_DEFAULT_LEAVING_SECONDS = 2.0
 
 
 @attrs.define
 class PlatformFollowers:
-    """Followers of the configuration, the list, and the placers' records."""
+    """The followers of the configuration, instance list and records."""
 
     _mesh: Mesh
-    _declarations: SourceFollower[RouteConfig]
+    _configuration: SourceFollower[RouteConfig]
     _instances: SourceFollower[ListedInstance]
     _records: SourceFollower[Row]
     reachability: StoreReachability
@@ -67,15 +72,15 @@
         platform_adapters: PlatformAdapters,
         config: ActiveRouteConfig,
         dispatcher: 'RowDispatcher',
-        source: random.Random,
-        leaving_seconds: float = _LEAVING_SECONDS,
+        random_source: random.Random,
+        leaving_seconds: float = _DEFAULT_LEAVING_SECONDS,
     ) -> Self:
         """Build the followers; nothing is read until ``run``.
 
-        The list is read often enough to show that the path to the store is
-        good; the records wait for changes on that same path. Each node follows
-        the configuration itself: sent around, a large one filled the links of
-        small nodes for seconds.
+        The list is polled often enough to show whether the store is reachable;
+        the followers share that result. Each node reads the configuration from
+        the store itself: sent between nodes, a large configuration saturated
+        the links of small nodes for seconds.
         """
         mesh = dispatcher.mesh
         reachability = StoreReachability(
@@ -85,25 +90,25 @@
             mesh,
             SourceFollower(
                 'configuration',
-                platform_adapters.declarations,
+                platform_adapters.configuration,
                 config.apply_from_store,
-                source,
-                _DECLARATIONS_GAP_SECONDS,
+                random_source,
+                _CONFIG_MIN_INTERVAL_SECONDS,
                 reachability=reachability,
             ),
             _list_follower(
                 dispatcher,
                 platform_adapters.instances,
-                source,
+                random_source,
                 reachability,
                 leaving_seconds,
             ),
             SourceFollower(
                 _RECORDS,
                 platform_adapters.records,
-                dispatcher.take,
-                source,
-                _RECORDS_GAP_SECONDS,
+                dispatcher.apply,
+                random_source,
+                _RECORDS_MIN_INTERVAL_SECONDS,
                 _sharing(mesh, _RECORDS, RecordNews),
                 reachability=reachability,
                 apply_restored=dispatcher.restore,
@@ -113,21 +118,22 @@
 
     @property
     def is_informed(self) -> bool:
-        """Tell whether list and records were read at least once."""
+        """Return whether list and records were read at least once."""
         return self._instances.is_informed and self._records.is_informed
 
-    def apply_list_update(self, news: SourceUpdate[ListedInstance]) -> None:
-        """Take over what another node has read of the list."""
-        self._instances.apply_update(news)
+    def apply_list_update(self, update: SourceUpdate[ListedInstance]) -> None:
+        """Apply what another node has read from the instance list."""
+        self._instances.apply_update(update)
 
-    def apply_record_update(self, news: SourceUpdate[Row]) -> None:
-        """Take over what another node has read of the records."""
-        self._records.apply_update(news)
+    def apply_record_update(self, update: SourceUpdate[Row]) -> None:
+        """Apply what another node has read from the records."""
+        self._records.apply_update(update)
 
     def announced_versions(self) -> dict[str, int]:
-        """Return the last changes of the sources that this node reads.
+        """Return the version of the last change by the source's name.
 
-        That it reads the list shows that its path to the store is good.
+        It is empty unless this node has read the list recently, which shows
+        that it reaches the store.
         """
         if not self._instances.has_recent_read:
             return {}
@@ -141,7 +147,7 @@
     async def run(self) -> None:
         """Follow everything until cancelled."""
         async with curio.TaskGroup(wait=any) as tasks:
-            await tasks.spawn(self._declarations.run)
+            await tasks.spawn(self._configuration.run)
             await tasks.spawn(self._instances.run)
             await tasks.spawn(self._records.run)
         raise_first_error(tasks)
@@ -149,43 +155,44 @@
 
 @attrs.frozen
 class RowDispatcher:
-    """Sorts the rows of one table into nodes, replicas and held requests."""
+    """Passes table rows on to mesh, fleet and quarantine by their keys."""
 
     mesh: Mesh
     fleet: Fleet
     held: HeldRows
-    registry: NodeRegistry | None = None
+    registry: NodeRegistration | None = None
 
     def restore(self, items: Mapping[str, Row]) -> None:
-        """Take over the rows of a table that has come back from a copy.
+        """Apply the rows of a table that was restored from a backup.
 
-        What it lacks counts on, and is written again by whoever knows it.
+        Rows that are missing there remain valid; the nodes that know them
+        write them again.
         """
         self.mesh.update_peers(peers_from_rows(items), False)
-        self.fleet.apply_records(_records_of(items), False)
+        self.fleet.apply_records(_decode_records(items), False)
         self.held.restore(items)
         if self.registry is not None:
             self.registry.restore(items)
 
-    def take(self, items: Mapping[str, Row | None], is_complete: bool) -> None:
-        """Take over changed rows, or all of them."""
+    def apply(self, items: Mapping[str, Row | None], is_complete: bool) -> None:
+        """Apply changed rows, or all rows if ``is_complete``."""
         self.mesh.update_peers(peers_from_rows(items), is_complete)
         versions = (0 if row is None else row.version for row in items.values())
         era = era_of(max(versions, default=0))
-        self.fleet.apply_records(_records_of(items), is_complete, era)
+        self.fleet.apply_records(_decode_records(items), is_complete, era)
         self.held.apply(items, is_complete)
 
 
 def _list_follower(
     dispatcher: RowDispatcher,
     instances: Source[ListedInstance],
-    source: random.Random,
+    random_source: random.Random,
     reachability: StoreReachability,
     leaving_seconds: float,
 ) -> SourceFollower[ListedInstance]:
     mesh = dispatcher.mesh
 
-    def take_list(  # noqa: WPS430
+    def apply_list(  # noqa: WPS430
         items: Mapping[str, ListedInstance | None],
         is_complete: bool,
     ) -> None:
@@ -196,14 +203,14 @@
     follower = SourceFollower(
         _LIST,
         instances,
-        take_list,
-        source,
-        _LIST_GAP_SECONDS,
+        apply_list,
+        random_source,
+        _LIST_MIN_INTERVAL_SECONDS,
         attrs.evolve(
             _sharing(mesh, _LIST, ListNews),
-            poll_seconds=leaving_seconds * _LEAVING_PART,
+            poll_seconds=leaving_seconds * _POLL_FRACTION_OF_LEAVING,
             min_interval_seconds=lambda: (
-                0 if mesh.has_traffic() else _EARLY_GAP_SECONDS
+                0 if mesh.has_traffic() else _IDLE_MIN_INTERVAL_SECONDS
             ),
         ),
         reachability=reachability,
@@ -214,18 +221,18 @@
 
 def _sharing(
     mesh: Mesh,
-    source: str,
+    random_source: str,
     message: Callable[[str, SourceUpdate[Item]], SourceUpdateMessage],
 ) -> UpdateSharing[Item]:
     return UpdateSharing(
-        lambda: mesh.announced_version(source),
-        lambda news: mesh.publish_update(message(mesh.local.node_id, news)),
+        lambda: mesh.announced_version(random_source),
+        lambda update: mesh.publish_update(message(mesh.local.node_id, update)),
         LONG_POLL_SECONDS,
         takeover_rank=mesh.state.roster.takeover_rank,
     )
 
 
-def _records_of(
+def _decode_records(
     items: Mapping[str, Row | None],
 ) -> dict[str, ReplicaRecord | None]:
     read = {
--- a/src/cranecart/serving/_node_registry.py
+++ b/src/cranecart/serving/_node_registration.py
@@ -1,4 +1,4 @@
-"""This node's row in the table, by which other nodes find it."""
+"""Registration of this node in the store, where other nodes find it."""
 
 from collections.abc import Mapping
 
@@ -14,40 +14,40 @@
 from cranecart.ports import Put, Row, Table, Transaction
 from cranecart.settings import ServingSettings
 
-_AGAIN_SECONDS = 0.5
-_UNREADABLE = UnreadableRows('node_row_unreadable')
+_RETRY_SECONDS = 0.5
+_UNREADABLE_ROWS = UnreadableRows('node_row_unreadable')
 
 
 @attrs.define
-class NodeRegistry:
-    """Writes the row at the start and drops it at a planned stop."""
+class NodeRegistration:
+    """Writes this node's row at the start and deletes it at a planned stop."""
 
     _settings: ServingSettings
     _table: Table
-    _written: bool = attrs.field(default=False, init=False)
-    _writing: bool = attrs.field(default=False, init=False)
+    _is_written: bool = attrs.field(default=False, init=False)
+    _is_writing: bool = attrs.field(default=False, init=False)
     _is_withdrawn: bool = attrs.field(default=False, init=False)
 
     @property
-    def is_missing(self) -> bool:
-        """Tell whether the row has to be written, and nobody writes it."""
-        is_due = not self._written and not self._is_withdrawn
-        return is_due and not self._writing
+    def needs_registration(self) -> bool:
+        """Return whether the row has to be written and no write is running."""
+        is_due = not self._is_written and not self._is_withdrawn
+        return is_due and not self._is_writing
 
     def restore(self, items: Mapping[str, Row]) -> None:
-        """Take over the rows of a table that has come back from a copy."""
-        self._written = self._written and self._key in items
+        """Check the rows of a restored store for this node's row."""
+        self._is_written = self._is_written and self._key in items
 
     async def register(self) -> None:
-        """Write the row; go on trying until the store has taken it."""
-        self._writing = True
+        """Write the row; retry until the store has accepted it."""
+        self._is_writing = True
         try:
             await self._write()
         finally:
-            self._writing = False
+            self._is_writing = False
 
     async def withdraw(self) -> None:
-        """Drop the row, if the store takes that."""
+        """Delete the row; log if the store does not accept that."""
         self._is_withdrawn = True
         try:
             await self._table.commit(Transaction((), (), (self._key,)))
@@ -60,14 +60,14 @@
             self._settings.failure_domain,
         )
         put = Put(self._key, msgspec.json.encode(peer).decode())
-        while not self._written and not self._is_withdrawn:
+        while not self._is_written and not self._is_withdrawn:
             try:
                 await self._table.commit(Transaction((), (put,)))
             except PlatformError as error:
                 decision('node_not_registered', why=str(error))
-                await curio.sleep(_AGAIN_SECONDS)
+                await curio.sleep(_RETRY_SECONDS)
             else:
-                self._written = True
+                self._is_written = True
 
     @property
     def _key(self) -> str:
@@ -77,19 +77,19 @@
 def peers_from_rows(
     items: Mapping[str, Row | None],
 ) -> dict[str, PeerNode | None]:
-    """Return the nodes among changed rows, by node id.
+    """Return the nodes among changed rows by node id, ``None`` if deleted.
 
-    What cannot be read changes nothing that is known of a node.
+    An unreadable row is skipped, so that what is known of its node stays.
     """
     prefix = node_key('')
-    read = {
+    peers = {
         key: None if row is None else _peer_from_row(row)
         for key, row in items.items()
         if key.startswith(prefix)
     }
     return {
         key.removeprefix(prefix): peer
-        for key, peer in read.items()
+        for key, peer in peers.items()
         if peer is not None or items[key] is None
     }
 
@@ -99,6 +99,6 @@
         peer = msgspec.json.decode(row.value, type=PeerNode)
         Address.from_text(peer.address)
     except (ValueError, RecursionError, msgspec.MsgspecError) as error:
-        _UNREADABLE.note(row.key, str(error))
+        _UNREADABLE_ROWS.note(row.key, str(error))
         return None
     return peer
--- a/src/cranecart/serving/_placement.py
+++ b/src/cranecart/serving/_placement.py
@@ -1,4 +1,4 @@
-"""Make this node's placer. Importing this loads all that placement needs."""
+"""Build this node's placer. Importing this module loads the placement code."""
 
 from cranecart.fleet import placement_duty
 from cranecart.grouping import GroupPlacer, PlacerEnvironment, PlacerScope
@@ -9,38 +9,39 @@
 
 _MILLISECONDS = 1000
 # The holder renews every 2 s, as each renewal costs a call, and every second
-# while it hears nobody; others look only once its beats are silent. A holder
-# that stalls loses the duty's rows by their versions, so that a takeover needs
-# no longer wait than a renewal (docs/design/platform.md), but by who may be the
-# one that is cut off: two such took the duty from each other by turns.
-_TRUSTED_SECONDS = 5.0
+# while it hears from no other node; others read the lease only once its
+# heartbeats have stopped. A stalled holder cannot overwrite the rows of its
+# successor, as writes are conditional on their versions, so a takeover waits no
+# longer than a renewal takes (docs/design/platform.md). A node that may itself
+# be isolated waits longer: two such nodes took the duty from each other in turn.
+_VALID_SECONDS = 5.0
 _TAKEOVER_SECONDS = 1.2
-_PATIENT_SECONDS = 3.5
+_ISOLATED_TAKEOVER_SECONDS = 3.5
 
 
-def make_placer(parts: PlacerDependencies) -> GroupPlacer:
-    """Build the placer of a node's failure domain; nothing runs yet."""
-    settings = parts.settings
+def make_placer(dependencies: PlacerDependencies) -> GroupPlacer:
+    """Build the placer for the node's failure domain; nothing runs yet."""
+    settings = dependencies.settings
     domain = settings.failure_domain
-    mesh = parts.mesh
-    environment = PlacerEnvironment(
-        parts.config.current,
+    mesh = dependencies.mesh
+    placer_environment = PlacerEnvironment(
+        dependencies.config.current,
         lambda: mesh.has_other_placer(domain),
-        lambda: parts.followers.is_informed,
+        lambda: dependencies.followers.is_informed,
         mesh.has_traffic,
         mesh.demand,
-        parts.report_stopped,
+        dependencies.report_stopped,
         mesh.state.roster.is_isolated,
-        lambda: parts.followers.reachability.is_unreachable,
+        lambda: dependencies.followers.reachability.is_unreachable,
     )
-    table = parts.platform_adapters.table
+    table = dependencies.platform_adapters.table
     return GroupPlacer(
         _scope(settings),
         _lease(settings, table),
         table,
-        parts.platform_adapters.orders,
-        parts.fleet,
-        environment,
+        dependencies.platform_adapters.orders,
+        dependencies.fleet,
+        placer_environment,
     )
 
 
@@ -49,7 +50,9 @@
         placement_duty(settings.failure_domain),
         settings.node_id,
         table,
-        LeaseTimeouts(_TRUSTED_SECONDS, _TAKEOVER_SECONDS, _PATIENT_SECONDS),
+        LeaseTimeouts(
+            _VALID_SECONDS, _TAKEOVER_SECONDS, _ISOLATED_TAKEOVER_SECONDS
+        ),
     )
 
 
--- a/src/cranecart/serving/_placer_host.py
+++ b/src/cranecart/serving/_placer_host.py
@@ -1,4 +1,4 @@
-"""This node's part in placement, loaded once the node serves."""
+"""Load and run this node's placer once the node serves requests."""
 
 import importlib
 from collections.abc import Callable
@@ -19,14 +19,15 @@
 if TYPE_CHECKING:
     from cranecart.grouping import GroupPlacer
 
-_LOOK_SECONDS = 0.02
-# A node that is told nothing may still have to hold the duty.
-_LATEST_SECONDS = 2.0
+_POLL_SECONDS = 0.02
+# After this time the placer is loaded even without data from the platform, as
+# this node may still have to take over the placement duty.
+_MAX_WAIT_SECONDS = 2.0
 
 
 @attrs.frozen
 class PlacerDependencies:
-    """What a placer is made from."""
+    """The components that a placer is built from."""
 
     settings: ServingSettings
     platform_adapters: PlatformAdapters
@@ -39,24 +40,24 @@
 
 @attrs.define
 class PlacerHost:
-    """The placer, once it is there.
+    """Runs the placer after loading it in the background.
 
-    It is loaded late, as clients wait while a node starts; replicas live on
-    without it.
+    Loading it during start would delay the first requests, and existing
+    replicas serve without it.
     """
 
-    _parts: PlacerDependencies
+    _dependencies: PlacerDependencies
     _placer: 'GroupPlacer | None' = attrs.field(default=None, init=False)
     _stopped: bool = attrs.field(default=False, init=False)
 
     @property
     def held_failure_domain(self) -> str:
-        """Return the failure domain whose duty this node holds, if any."""
+        """Return the failure domain that this node places, or ''."""
         return '' if self._placer is None else self._placer.held_failure_domain
 
     @property
     def liveness_check_count(self) -> int:
-        """Return how often it was asked whether a replica lives."""
+        """Return the number of liveness checks of replicas."""
         if self._placer is None:
             return 0
         return self._placer.failure_detector.liveness.checks
@@ -67,22 +68,22 @@
         await self._wait_until_serving()
         decision(
             'node_informed',
-            informed=self._parts.followers.is_informed,
+            informed=self._dependencies.followers.is_informed,
             after=round(since_boot() - started, 3),
         )
-        # In a thread, as requests go on meanwhile.
-        made = await curio.run_in_thread(
+        # Import in a thread, so that requests are served meanwhile.
+        placement_module = await curio.run_in_thread(
             importlib.import_module,
             'cranecart.serving._placement',
         )
-        placer: GroupPlacer = made.make_placer(self._parts)
+        placer: GroupPlacer = placement_module.make_placer(self._dependencies)
         self._placer = placer
         if self._stopped:
             await placer.hand_over()
         await placer.run()
 
     async def hand_over(self) -> None:
-        """Give the duty up, so that another node takes it at once."""
+        """Release the duty, so that another node takes it over at once."""
         self._stopped = True
         if self._placer is not None:
             await self._placer.hand_over()
@@ -90,11 +91,14 @@
     async def suspect(
         self, replica_epoch: tuple[str, int], evidence: str
     ) -> None:
-        """Look at once whether a replica stands still, if that is the duty."""
+        """Check a replica for a stall at once, if this node is the placer."""
         if self._placer is not None:
             await self._placer.suspect(replica_epoch, evidence)
 
     async def _wait_until_serving(self) -> None:
-        latest = since_boot() + _LATEST_SECONDS
-        while not self._parts.followers.is_informed and since_boot() < latest:
-            await curio.sleep(_LOOK_SECONDS)
+        deadline = since_boot() + _MAX_WAIT_SECONDS
+        while (
+            not self._dependencies.followers.is_informed
+            and since_boot() < deadline
+        ):
+            await curio.sleep(_POLL_SECONDS)
--- a/src/cranecart/serving/_platform_adapters.py
+++ b/src/cranecart/serving/_platform_adapters.py
@@ -1,4 +1,4 @@
-"""The platform's side of a node, as the ports that the product asks for."""
+"""The platform adapters of a node, one for each port."""
 
 from collections import Counter
 from typing import Self
@@ -23,10 +23,13 @@
 
 @attrs.frozen
 class PlatformAdapters:
-    """Everything that a node meets outside, behind its ports."""
+    """The implementations of all ports through which a node uses the platform.
+
+    ``store_call_counts`` counts the calls to the store by kind.
+    """
 
     table: Table
-    declarations: Source[RouteConfig]
+    configuration: Source[RouteConfig]
     instances: Source[ListedInstance]
     records: Source[Row]
     orders: Orders
@@ -35,7 +38,7 @@
 
     @classmethod
     def from_settings(cls, settings: ServingSettings) -> Self:
-        """Meet the platform that the settings name."""
+        """Build the adapters for the platform address in the settings."""
         store = StoreClient(Address.from_text(settings.platform_address))
         return cls(
             PlatformTable(store),
--- a/src/cranecart/serving/_quarantine.py
+++ b/src/cranecart/serving/_quarantine.py
@@ -1,4 +1,4 @@
-"""A node's part in holding requests that end targets, wired to its peers."""
+"""Connects the quarantine of crashing requests to the fleet and the mesh."""
 
 from collections.abc import Callable, Sequence
 from typing import Self
@@ -14,7 +14,7 @@
 
 @attrs.frozen
 class NodeQuarantine:
-    """The guard of this node, the rows of held requests, and other nodes."""
+    """This node's request guard and the stored rows of held requests."""
 
     guard: RequestGuard
     rows: HeldRows
@@ -28,38 +28,40 @@
         fleet: Fleet,
         mesh: Callable[[], Mesh],
     ) -> Self:
-        """Know of no request yet."""
+        """Build the quarantine of a node; no request is known yet."""
 
-        def tell(cases: Sequence[CaseUpdate]) -> None:  # noqa: WPS430
+        def publish(cases: Sequence[CaseUpdate]) -> None:  # noqa: WPS430
             mesh().publish(RequestCases(node_id, list(cases)))
 
         def is_expected(runner: Runner) -> bool:  # noqa: WPS430
-            listed = fleet.instances.get(runner.id)
-            return listed is None or listed.leaving
+            instance = fleet.instances.get(runner.id)
+            return instance is None or instance.leaving
 
-        def has_ended(incarnation: Incarnation) -> bool:  # noqa: WPS430
-            known = fleet.find_instance(incarnation.id)
-            if known is None:
+        def has_terminated(incarnation: Incarnation) -> bool:  # noqa: WPS430
+            instance = fleet.find_instance(incarnation.id)
+            if instance is None:
                 return True
             if incarnation.id in fleet.instances:
-                return known.incarnation.is_another(incarnation)
-            # Its entry went, but not as it was leaving.
-            return not known.leaving
+                return instance.incarnation.is_another(incarnation)
+            # Its entry is gone although it had not announced its leaving.
+            return not instance.leaving
 
-        guard = RequestGuard(is_expected, tell, has_terminated=has_ended)
+        guard = RequestGuard(
+            is_expected, publish, has_terminated=has_terminated
+        )
         return cls(guard, HeldRows(node_id, table, guard.cases), fleet)
 
     def merge_remote(self, message: RequestCases) -> bool:
-        """Take over what another node knows; return whether it is news."""
-        news = [
-            self.guard.merge_remote(one, message.sender)
-            for one in message.cases
+        """Merge another node's cases; return whether any of them is new."""
+        changes = [
+            self.guard.merge_remote(update, message.sender)
+            for update in message.cases
         ]
-        return any(news)
+        return any(changes)
 
     async def refresh(self) -> None:
-        """Repeat what is new, forget what is old, write what must last."""
+        """Republish new cases, expire old ones and store held requests."""
         self.guard.refresh(self._fleet.instance_list.incarnations())
         if self.rows.has_pending_writes:
-            # The store may be slow: nothing else is kept waiting for it.
+            # The store may be slow, and the caller must not wait for it.
             await curio.spawn(self.rows.write, daemon=True)
--- a/tests/platform/test_other_writers.py
+++ b/tests/platform/test_other_writers.py
@@ -28,7 +28,7 @@
     StoreClient,
 )
 from cranecart.ports import Changes, ListedInstance, Put, Row, Transaction
-from cranecart.serving._node_registry import peers_from_rows
+from cranecart.serving._node_registration import peers_from_rows
 from tests.platform._rows import RowsOf
 from tests.platform._standin import StandinStore, start
 from tests.platform.test_figures import _CONFIG, _ENTRY
--- a/tests/unit/test_readiness.py
+++ b/tests/unit/test_readiness.py
@@ -45,7 +45,7 @@
         self.file = Path(folder.name) / 'node.json'
         self.file.write_bytes(_settings(max_descriptors=1200.5))
         self.node = _node(self.file)
-        self.node._config._config = CONFIG
+        self.node._active_config._config = CONFIG
         self.node._followers = SimpleNamespace(
             is_informed=True,
             announced_versions=dict,
@@ -70,12 +70,12 @@
         self.node._followers.is_informed = False
         self.assertFalse(self.node._is_ready())
         self.node._followers.is_informed = True
-        self.node._config._config = None
+        self.node._active_config._config = None
         self.assertFalse(self.node._is_ready())
 
     def test_stopping(self) -> None:
         """It was told to stop."""
-        self.node._stopping = True
+        self.node._is_stopping = True
         self.assertFalse(self.node._is_ready())
 
     def test_descriptors_are_left_for_targets(self) -> None:
--- a/tests/unit/test_restored_rows.py
+++ b/tests/unit/test_restored_rows.py
@@ -7,7 +7,7 @@
 import curio
 
 from cranecart.quarantine import CaseRegistry, HeldRows, Verdict
-from cranecart.serving._node_registry import NodeRegistry
+from cranecart.serving._node_registration import NodeRegistration
 from tests.lib.fake_platform import FakePlatform
 from tests.unit.test_quarantine import _begun_at, _Clock
 
@@ -76,16 +76,16 @@
         )
         table = FakePlatform()
         empty = table.copied()
-        registry = NodeRegistry(settings, table)
+        registry = NodeRegistration(settings, table)
         curio.run(registry.register)
         registry.restore(dict(table.rows))
-        self.assertFalse(registry.is_missing)
+        self.assertFalse(registry.needs_registration)
         table.restore(empty)
         registry.restore(dict(table.rows))
-        self.assertTrue(registry.is_missing)
+        self.assertTrue(registry.needs_registration)
         curio.run(registry.register)
         self.assertEqual(len(table.rows), 1)
         registry.restore({})
         curio.run(registry.withdraw)
-        self.assertFalse(registry.is_missing)
+        self.assertFalse(registry.needs_registration)
         self.assertFalse(table.rows)
--- a/tests/unit/test_store_reachability.py
+++ b/tests/unit/test_store_reachability.py
@@ -14,7 +14,7 @@
 from cranecart.clocks import since_boot
 from cranecart.fleet import SourceFollower, StoreReachability
 from cranecart.grouping import GroupPlacer
-from cranecart.serving._followers import _DECLARATIONS_GAP_SECONDS
+from cranecart.serving._followers import _CONFIG_MIN_INTERVAL_SECONDS
 from tests.lib.waiting import until
 from tests.unit.test_follower import FakeSource, Held
 
@@ -70,7 +70,7 @@
             source,
             held.take,  # type: ignore[arg-type]
             random.Random(1),
-            _DECLARATIONS_GAP_SECONDS,
+            _CONFIG_MIN_INTERVAL_SECONDS,
         )
         task = await curio.spawn(follower.run)
         await curio.sleep(1)
