--- a/src/cranecart/platform/__init__.py
+++ b/src/cranecart/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The adapter of the users' platform: it translates and decides nothing."""
+"""The adapter for the users' platform: translates, but takes no decisions."""
 
 from cranecart.platform._calls import PlatformCallForm
 from cranecart.platform._config_source import PlatformConfigSource
--- a/src/cranecart/platform/_calls.py
+++ b/src/cranecart/platform/_calls.py
@@ -1,4 +1,4 @@
-"""The form of calls on the platform: headers in and out."""
+"""Translate the platform's HTTP headers of requests and answers."""
 
 from collections.abc import Mapping
 
@@ -18,22 +18,22 @@
 _MILLISECONDS = 1000
 _REQUEST_ID = 'request-id'
 _MODEL = 'model'
-_TOKENS = 'token-usage'
+_TOKEN_USAGE = 'token-usage'
 _DEADLINE = 'deadline-ms'
-_RESUME = 'last-event-id'
-_INSTANCE = 'expect-replica'
+_LAST_EVENT_ID = 'last-event-id'
+_EXPECTED_INSTANCE = 'expect-replica'
 _ORGANISATION = 'tenant'
-_RANK = 'request-priority'
+_PRIORITY = 'request-priority'
 _SIGNATURE = 'replica-signature'
 _NOT_RUN = 'not-executed'
 _AT_FAULT = 'at-server'
-_WRONG_INSTANCE = 421
-_LAST_RANK = 9
-# No request has a milliard of tokens; longer numbers cannot be reckoned with.
-_MOST_DIGITS = 9
+_MISDIRECTED = 421
+_MAX_RANK = 9
+# No request has a billion tokens. Python refuses to parse very long numbers.
+_MAX_DIGITS = 9
 
-# Headers that concern one connection only.
-_HOP = frozenset(
+# Headers that apply to a single connection and are not forwarded.
+_HOP_BY_HOP_HEADERS = frozenset(
     (
         'connection',
         'keep-alive',
@@ -46,13 +46,13 @@
         'expect',
     ),
 )
-# Headers that only the system sets, whatever a client sends.
-_OWN = frozenset(
+# Headers that only the system sets; a client's values are dropped.
+_RESERVED_HEADERS = frozenset(
     (
         _DEADLINE,
-        _INSTANCE,
+        _EXPECTED_INSTANCE,
         _ORGANISATION,
-        _RANK,
+        _PRIORITY,
         'expect-version',
         'authorization',
     ),
@@ -61,32 +61,34 @@
 
 @attrs.frozen
 class PlatformCallForm:
-    """Reads and writes the headers that the platform's calls carry."""
+    """Reads and writes the headers of calls on the platform."""
 
     def read_request(self, request: Request) -> CallFacts:
         """Read a client's request; raise ``InvalidRequestError``."""
         headers = request.headers
-        prompt, most = _tokens(headers.get(_TOKENS, ''))
+        prompt_tokens, max_tokens = _token_usage(headers.get(_TOKEN_USAGE, ''))
         return CallFacts(
             headers.get(_REQUEST_ID, ''),
             headers.get('host', ''),
-            _key(headers.get('authorization', '')),
-            _seconds(headers.get(_DEADLINE)),
+            _bearer_key(headers.get('authorization', '')),
+            _deadline_seconds(headers.get(_DEADLINE)),
             headers.get(_MODEL, ''),
-            prompt,
-            most,
-            headers.get(_RESUME, ''),
+            prompt_tokens,
+            max_tokens,
+            headers.get(_LAST_EVENT_ID, ''),
         )
 
     def request_for(self, request: Request, dispatch: Dispatch) -> Request:
         """Return the request as a target gets it."""
-        dropped = set(_HOP | _OWN) | _named_by_connection(request.headers)
+        dropped = set(
+            _HOP_BY_HOP_HEADERS | _RESERVED_HEADERS
+        ) | _named_by_connection(request.headers)
         if dispatch.resume_after:
-            dropped.add(_RESUME)
+            dropped.add(_LAST_EVENT_ID)
         kept = [line for line in request.header_lines if line[0] not in dropped]
         return attrs.evolve(
             request,
-            header_lines=(*kept, *_added(request, dispatch)),
+            header_lines=(*kept, *_dispatch_lines(request, dispatch)),
         )
 
     def read_answer(self, head: ResponseHead) -> AnswerFacts:
@@ -95,14 +97,14 @@
         facts = AnswerFacts(
             headers.get(_REQUEST_ID, ''),
             _SIGNATURE in headers,
-            _NOT_RUN in headers or head.status == _WRONG_INSTANCE,
+            _NOT_RUN in headers or head.status == _MISDIRECTED,
             headers.get(_AT_FAULT, ''),
         )
         return with_load_headers(facts, head)
 
     def answer_lines(self, head: ResponseHead) -> HeaderLines:
-        """Return the headers of a target's answer that a client gets."""
-        dropped = _HOP | _named_by_connection(head.headers)
+        """Return the headers of a target's answer to forward to the client."""
+        dropped = _HOP_BY_HOP_HEADERS | _named_by_connection(head.headers)
         return tuple(
             line for line in head.header_lines if line[0] not in dropped
         )
@@ -115,7 +117,7 @@
         message: str,
         retry_after: float | None,
     ) -> Response:
-        """Build an answer of the product's own."""
+        """Build an error answer that does not come from a target."""
         headers = {_REQUEST_ID: request_id} if request_id else {}
         if retry_after is not None:
             headers['retry-after'] = f'{retry_after:.2f}'
@@ -123,25 +125,28 @@
         return json_response(status, body, headers)
 
 
-def _added(request: Request, dispatch: Dispatch) -> HeaderLines:
+def _dispatch_lines(request: Request, dispatch: Dispatch) -> HeaderLines:
     milliseconds = max(1, int(dispatch.seconds_left * _MILLISECONDS))
     lines = [
-        (_INSTANCE, dispatch.instance_id),
+        (_EXPECTED_INSTANCE, dispatch.instance_id),
         (_DEADLINE, str(milliseconds)),
     ]
     if request.body or request.method not in {'GET', 'HEAD', 'DELETE'}:
         lines.append(('content-length', str(len(request.body))))
     if dispatch.organisation:
-        lines.append((_ORGANISATION, _as_header(dispatch.organisation)))
+        lines.append(
+            (_ORGANISATION, _encode_header_text(dispatch.organisation))
+        )
     if dispatch.rank is not None:
-        lines.append((_RANK, str(min(dispatch.rank, _LAST_RANK))))
+        lines.append((_PRIORITY, str(min(dispatch.rank, _MAX_RANK))))
     if dispatch.resume_after:
-        lines.append((_RESUME, dispatch.resume_after))
+        lines.append((_LAST_EVENT_ID, dispatch.resume_after))
     return tuple(lines)
 
 
-def _as_header(text: str) -> str:
-    # Headers hold bytes; what the operator writes in JSON may be any letters.
+def _encode_header_text(text: str) -> str:
+    # Header values are Latin-1 here, while names in the operator's JSON may
+    # contain any character: send their UTF-8 bytes.
     return text.encode().decode('latin-1')
 
 
@@ -150,27 +155,27 @@
     return {name.strip().lower() for name in names}
 
 
-def _key(authorization: str) -> str:
+def _bearer_key(authorization: str) -> str:
     scheme, _, key = authorization.partition(' ')
     return key.strip() if scheme.lower() == 'bearer' else ''
 
 
-def _seconds(text: str | None) -> float | None:
+def _deadline_seconds(text: str | None) -> float | None:
     if text is None:
         return None
     try:
         return max(0, float(text)) / _MILLISECONDS
     except ValueError:
         raise InvalidRequestError(
-            f'the deadline {text!r} is not a number',
+            f'invalid deadline-ms header {text!r}: expected a number',
         ) from None
 
 
-def _tokens(text: str) -> tuple[int, int]:
-    prompt, _, most = text.partition(',')
-    return _count(prompt), _count(most)
+def _token_usage(text: str) -> tuple[int, int]:
+    prompt_tokens, _, max_tokens = text.partition(',')
+    return _parse_count(prompt_tokens), _parse_count(max_tokens)
 
 
-def _count(text: str) -> int:
-    is_count = text.isdecimal() and len(text) <= _MOST_DIGITS
+def _parse_count(text: str) -> int:
+    is_count = text.isdecimal() and len(text) <= _MAX_DIGITS
     return int(text) if is_count else 0
--- a/src/cranecart/platform/_config_source.py
+++ b/src/cranecart/platform/_config_source.py
@@ -1,4 +1,4 @@
-"""The operator's configuration, decoded into the product's types."""
+"""The operator's configuration, decoded into ``RouteConfig``."""
 
 import attrs
 
@@ -30,12 +30,12 @@
 _MILLISECONDS = 1000
 _STREAMING = 'streaming'
 _SAFE = 'safe'
-_WHOLE_WEIGHT = 1
+_DEFAULT_WEIGHT = 1
 
 
 @attrs.frozen
 class PlatformConfigSource:
-    """The operator's configuration as a source that can be followed."""
+    """The operator's configuration as a source to follow."""
 
     _store: StoreClient
 
@@ -56,7 +56,7 @@
         since: int,
         wait_seconds: float,
     ) -> Changes[RouteConfig]:
-        """Wait for the next version."""
+        """Wait for the next version of the configuration."""
         changed = await self._store.feed(_TABLE, since, wait_seconds)
         return Changes(
             changed.schema_version,
@@ -73,15 +73,17 @@
     wire: WireConfig = decode_row(row, WireConfig)
     return RouteConfig(
         wire.version,
-        tuple(map(_route, wire.routes)),
-        {service.name: _service(service) for service in wire.services},
-        None if wire.tenants is None else tuple(map(_holder, wire.tenants)),
-        _limits(wire.limits),
+        tuple(map(_decode_route, wire.routes)),
+        {service.name: _decode_service(service) for service in wire.services},
+        None
+        if wire.tenants is None
+        else tuple(map(_decode_key_holder, wire.tenants)),
+        _decode_limits(wire.limits),
     )
 
 
-def _route(wire: WireRoute) -> Route:
-    shares = tuple(Share(one.service, one.weight) for one in wire.split)
+def _decode_route(wire: WireRoute) -> Route:
+    shares = tuple(Share(share.service, share.weight) for share in wire.split)
     return Route(
         name=wire.name,
         host=wire.host,
@@ -90,24 +92,24 @@
         streaming=wire.type == _STREAMING,
         resumable=wire.resumable,
         timeout_seconds=wire.timeout_ms / _MILLISECONDS,
-        # Without an objective there is the whole time, and no hurry.
+        # Without an objective, the request may take its full timeout.
         objective_seconds=(wire.slo_ms or wire.timeout_ms) / _MILLISECONDS,
         pause_seconds=wire.gap_target_ms / _MILLISECONDS,
         rank=whole_number(wire.priority),
         attempts=whole_number(wire.attempts, 1),
         public=wire.public,
-        shares=shares or (Share(wire.service, _WHOLE_WEIGHT),),
+        shares=shares or (Share(wire.service, _DEFAULT_WEIGHT),),
     )
 
 
-def _service(wire: WireService) -> ServiceProfile:
+def _decode_service(wire: WireService) -> ServiceProfile:
     runtime = wire.runtime
     if runtime is None or not runtime.models:
         return ServiceProfile(wire.name)
     return ServiceProfile(
         wire.name,
         EngineProfile(
-            tuple(map(_model, runtime.models)),
+            tuple(map(_decode_model, runtime.models)),
             whole_number(runtime.slots, 1),
             runtime.form_ms / _MILLISECONDS,
             runtime.loads_per_s,
@@ -118,7 +120,7 @@
     )
 
 
-def _model(wire: WireModel) -> EngineModel:
+def _decode_model(wire: WireModel) -> EngineModel:
     return EngineModel(
         wire.name,
         whole_number(wire.size, 1),
@@ -129,7 +131,7 @@
     )
 
 
-def _holder(wire: WireTenant) -> KeyHolder:
+def _decode_key_holder(wire: WireTenant) -> KeyHolder:
     return KeyHolder(
         wire.name,
         tuple(map(hash_key, wire.api_keys)),
@@ -137,7 +139,7 @@
     )
 
 
-def _limits(wire: WireLimits) -> ClientLimits:
+def _decode_limits(wire: WireLimits) -> ClientLimits:
     return ClientLimits(
         whole_number(wire.max_header_bytes, 1),
         whole_number(wire.max_body_bytes),
--- a/src/cranecart/platform/_era.py
+++ b/src/cranecart/platform/_era.py
@@ -1,4 +1,4 @@
-"""The store's era, which rises when the store comes back from a copy."""
+"""The store's era, which rises when the store is restored from a backup."""
 
 from collections.abc import Mapping
 
@@ -7,39 +7,39 @@
 from cranecart.logs import decision
 
 _HEADER = 'store-era'
-# No store has come back a milliard times; longer numbers are no era.
-_MOST_DIGITS = 9
+# No store is restored a billion times; longer numbers are no valid era.
+_MAX_DIGITS = 9
 
 
 @attrs.define
 class StoreEra:
-    """The latest era that any answer of the store has told.
+    """The highest era in any answer of the store.
 
-    Answers on different connections may pass each other, so that a lower
-    era comes from an answer that was made earlier.
+    Answers on different connections may arrive out of order: one with a lower
+    era was sent before the store was restored.
     """
 
     _current: int | None = attrs.field(default=None, init=False)
 
     @property
     def current(self) -> int:
-        """Return the latest era, 0 while no answer has told one."""
+        """Return the highest era, or 0 if no answer has stated one."""
         return self._current or 0
 
-    def note(self, headers: Mapping[str, str]) -> int:
-        """Take over an answer's era and return it.
+    def record(self, headers: Mapping[str, str]) -> int:
+        """Record the era in an answer's headers and return it.
 
-        An answer that tells none is taken to be of the latest one.
+        An answer that states no valid era is assumed to be of the highest one.
         """
-        told = _read(headers.get(_HEADER, ''))
-        if told is None:
+        era = _parse_era(headers.get(_HEADER, ''))
+        if era is None:
             return self.current
-        if self._current is not None and told > self._current:
-            decision('store_restored', earlier=self._current, era=told)
-        self._current = max(told, self.current)
-        return told
+        if self._current is not None and era > self._current:
+            decision('store_restored', earlier=self._current, era=era)
+        self._current = max(era, self.current)
+        return era
 
 
-def _read(text: str) -> int | None:
-    is_number = text.isdecimal() and len(text) <= _MOST_DIGITS
+def _parse_era(text: str) -> int | None:
+    is_number = text.isdecimal() and len(text) <= _MAX_DIGITS
     return int(text) if is_number else None
--- a/src/cranecart/platform/_load_headers.py
+++ b/src/cranecart/platform/_load_headers.py
@@ -1,4 +1,4 @@
-"""What targets say in their answers of the load that they take."""
+"""Headers by which targets announce limits, back-offs and their leaving."""
 
 import re
 
@@ -9,57 +9,57 @@
 
 _LIMIT = 'server-limit'
 _LEAVING = 'server-leaving'
-_REST = 'retry-after'
-_YES = '1'
-# What a target answers that is full, with which it may ask for rest.
-_FULL = 503
-# Figures with more digits say nothing that can be meant.
+_RETRY_AFTER = 'retry-after'
+_TRUE = '1'
+# An overloaded target answers with this status, and may ask for a back-off.
+_UNAVAILABLE = 503
+# Numbers with more digits cannot be intended.
 _DECIMAL = re.compile(r'[0-9]{1,9}(\.[0-9]{1,20})?', re.ASCII)
-# No target takes more, and what is reckoned from it stays finite.
-_MOST_PER_SECOND = 1_000_000.0
-# A target that is listed still is asked again after that, or one wrong figure
-# would lose it for good.
-_LONGEST_REST_SECONDS = 3600.0
-# As much of a figure that cannot be read as a log line may hold.
-_MOST_TOLD = 40
+# No target accepts a higher rate, and results computed from it stay finite.
+_MAX_PER_SECOND = 1_000_000.0
+# The maximum back-off. Without it, a single wrong value would exclude a target
+# for good.
+_MAX_BACKOFF_SECONDS = 3600.0
+# How much of an unreadable header value is logged.
+_MAX_LOGGED_CHARACTERS = 40
 
 
 def with_load_headers(facts: AnswerFacts, head: ResponseHead) -> AnswerFacts:
-    """Add what the target says of the load that it takes."""
+    """Add a target's limit, back-off and leaving from its answer."""
     if _LIMIT in head.headers:
         facts = _with_limit(facts, head)
-    if head.status == _FULL and _REST in head.headers:
-        facts = _with_rest(facts, head)
+    if head.status == _UNAVAILABLE and _RETRY_AFTER in head.headers:
+        facts = _with_backoff(facts, head)
     if _LEAVING in head.headers:
         facts = _with_leaving(facts, head)
     return facts
 
 
-def _with_rest(facts: AnswerFacts, head: ResponseHead) -> AnswerFacts:
-    rest = _figure(head, _REST)
-    if rest is None:
-        return _with_unreadable(facts, head, _REST)
-    return attrs.evolve(facts, rest_seconds=min(rest, _LONGEST_REST_SECONDS))
+def _with_backoff(facts: AnswerFacts, head: ResponseHead) -> AnswerFacts:
+    backoff = _decimal_value(head, _RETRY_AFTER)
+    if backoff is None:
+        return _with_unreadable(facts, head, _RETRY_AFTER)
+    return attrs.evolve(facts, rest_seconds=min(backoff, _MAX_BACKOFF_SECONDS))
 
 
 def _with_leaving(facts: AnswerFacts, head: ResponseHead) -> AnswerFacts:
-    if {text.strip() for text in _texts(head, _LEAVING)} != {_YES}:
+    if {value.strip() for value in _header_values(head, _LEAVING)} != {_TRUE}:
         return _with_unreadable(facts, head, _LEAVING)
     return attrs.evolve(facts, is_leaving=True)
 
 
 def _with_limit(facts: AnswerFacts, head: ResponseHead) -> AnswerFacts:
-    limit = _figure(head, _LIMIT)
+    limit = _decimal_value(head, _LIMIT)
     if limit is None:
         return _with_unreadable(facts, head, _LIMIT)
-    return attrs.evolve(facts, limit=min(limit, _MOST_PER_SECOND))
+    return attrs.evolve(facts, limit=min(limit, _MAX_PER_SECOND))
 
 
-def _figure(head: ResponseHead, name: str) -> float | None:
-    """Return the decimal number of a header, if it holds just one."""
-    texts = _texts(head, name)
-    is_one = len(texts) == 1 and _DECIMAL.fullmatch(texts[0].strip())
-    return float(texts[0]) if is_one else None
+def _decimal_value(head: ResponseHead, name: str) -> float | None:
+    """Return a header's value, if there is one and it is a decimal number."""
+    values = _header_values(head, name)
+    is_valid = len(values) == 1 and _DECIMAL.fullmatch(values[0].strip())
+    return float(values[0]) if is_valid else None
 
 
 def _with_unreadable(
@@ -67,12 +67,14 @@
     head: ResponseHead,
     name: str,
 ) -> AnswerFacts:
-    texts = ', '.join(_texts(head, name))
-    told = f'{name}: {texts[:_MOST_TOLD]}'
-    return attrs.evolve(facts, unreadable=(*facts.unreadable, told))
+    values = ', '.join(_header_values(head, name))
+    description = f'{name}: {values[:_MAX_LOGGED_CHARACTERS]}'
+    return attrs.evolve(facts, unreadable=(*facts.unreadable, description))
 
 
-def _texts(head: ResponseHead, name: str) -> list[str]:
+def _header_values(head: ResponseHead, name: str) -> list[str]:
     if not head.header_lines:
         return [head.headers[name]]
-    return [text for line_name, text in head.header_lines if line_name == name]
+    return [
+        value for line_name, value in head.header_lines if line_name == name
+    ]
--- a/src/cranecart/platform/_orders.py
+++ b/src/cranecart/platform/_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engine instances, and what their answers mean."""
+"""Send orders to engine instances and translate their answers to errors."""
 
 from collections.abc import Awaitable, Callable, Mapping, Sequence
 
@@ -19,18 +19,18 @@
 from cranecart.http import HttpConnectionPool, Request, exchange
 from cranecart.ports import ListedInstance
 
-# Orders are answered in 3 to 8 ms on a calm link, so that a longer silence
-# means a dark instance or an order that is carried out late.
-_ORDER_SECONDS = 0.4
-_TAKEN = frozenset((200, 202))
-_WRONG_INSTANCE = 421
+# Orders are answered within 3 to 8 ms on an idle link. No answer for this long
+# means that the instance is unreachable or carries the order out late.
+_ORDER_TIMEOUT_SECONDS = 0.4
+_ACCEPTED_STATUSES = frozenset((200, 202))
+_MISDIRECTED = 421
 _FENCED = 412
-_Ask = Callable[[ListedInstance, Request], Awaitable[int]]
+_SendOrder = Callable[[ListedInstance, Request], Awaitable[int]]
 
 
 @attrs.define
 class PlatformOrders:
-    """Sends orders on kept connections, one at a time to an instance."""
+    """Sends orders on persistent connections, one at a time per instance."""
 
     sent: int = attrs.field(default=0, init=False)
     _pool: HttpConnectionPool = attrs.field(
@@ -46,12 +46,12 @@
         members: Sequence[str],
         fencing: int,
     ) -> None:
-        """Make an instance a member; the first member is the head."""
+        """Make an instance a member; the first of ``members`` is the head."""
         body = {'model': model, 'members': list(members)}
-        await self._order(
+        await self._submit(
             instance,
             fencing,
-            {**_change('join', replica, epoch), **body},
+            {**_membership_order('join', replica, epoch), **body},
         )
 
     async def open(
@@ -61,8 +61,10 @@
         epoch: int,
         fencing: int,
     ) -> None:
-        """Let a ready replica serve."""
-        await self._order(head, fencing, _change('open', replica, epoch))
+        """Let a ready replica accept requests."""
+        await self._submit(
+            head, fencing, _membership_order('open', replica, epoch)
+        )
 
     async def close(
         self,
@@ -71,11 +73,11 @@
         epoch: int,
         fencing: int,
     ) -> None:
-        """Let a replica finish what it has and take nothing new."""
-        await self._order(
+        """Let a replica finish its requests and accept no new ones."""
+        await self._submit(
             head,
             fencing,
-            {**_change('close', replica, epoch), 'method': 'queue'},
+            {**_membership_order('close', replica, epoch), 'method': 'queue'},
         )
 
     async def leave(
@@ -87,12 +89,14 @@
     ) -> None:
         """End a membership at once.
 
-        Members join others on the word of this answer, and answers to orders
-        name nothing: one that comes on a connection of its own is none to an
-        earlier order.
+        The instance may join another replica as soon as this order is
+        confirmed. Answers do not identify their orders, so the order is sent on
+        a new connection, where no answer to an earlier order can arrive.
         """
-        body = _change('leave', replica, epoch)
-        await self._order(instance, fencing, body, self._ask_alone)
+        body = _membership_order('leave', replica, epoch)
+        await self._submit(
+            instance, fencing, body, self._send_on_new_connection
+        )
 
     async def stage(
         self,
@@ -100,19 +104,19 @@
         model: str,
         fencing: int,
     ) -> None:
-        """Bring a model to an instance's host beside its other work."""
-        await self._order(
+        """Stage a model on an instance's host while it does other work."""
+        await self._submit(
             instance,
             fencing,
             {'operation': 'phase', 'model': model},
         )
 
-    async def _order(
+    async def _submit(
         self,
         instance: ListedInstance,
         fencing: int,
         body: Mapping[str, object],
-        ask: _Ask | None = None,
+        send: _SendOrder | None = None,
     ) -> None:
         self.sent += 1
         request = Request(
@@ -126,18 +130,18 @@
         )
         try:
             status = await curio.timeout_after(
-                _ORDER_SECONDS,
-                ask or self._ask,
+                _ORDER_TIMEOUT_SECONDS,
+                send or self._send,
                 instance,
                 request,
             )
         except ConnectFailedError as error:
-            raise _not_reached(instance, error) from error
+            raise _connect_error(instance, error) from error
         except (HttpError, TaskTimeout) as error:
             raise OrderUnknownError(f'{instance.id}: {error!r}') from error
-        _check(instance, status)
+        _check_status(instance, status)
 
-    async def _ask(self, instance: ListedInstance, request: Request) -> int:
+    async def _send(self, instance: ListedInstance, request: Request) -> int:
         connection = await self._pool.acquire(instance.address)
         try:
             head = await connection.send_and_read_head(request)
@@ -148,33 +152,43 @@
         await self._pool.release(connection)
         return head.status
 
-    async def _ask_alone(
+    async def _send_on_new_connection(
         self,
         instance: ListedInstance,
         request: Request,
     ) -> int:
-        response = await exchange(instance.address, request, _ORDER_SECONDS)
+        response = await exchange(
+            instance.address, request, _ORDER_TIMEOUT_SECONDS
+        )
         return response.status
 
 
-def _change(operation: str, replica: str, epoch: int) -> dict[str, object]:
-    """Return an order that concerns one membership and no other."""
+def _membership_order(
+    operation: str, replica: str, epoch: int
+) -> dict[str, object]:
+    """Return the fields that limit an order to a single membership."""
     return {'operation': operation, 'group': replica, 'epoch': epoch}
 
 
-def _not_reached(
+def _connect_error(
     instance: ListedInstance,
     error: ConnectFailedError,
 ) -> OrderUnknownError | TargetClosedError:
     if isinstance(error.__cause__, ConnectionRefusedError):
-        return TargetClosedError(f'{instance.id}: its port is closed')
+        return TargetClosedError(f'{instance.id}: connection refused')
     return OrderUnknownError(f'{instance.id}: {error}')
 
 
-def _check(instance: ListedInstance, status: int) -> None:
-    if status == _WRONG_INSTANCE:
-        raise TargetGoneError(f'{instance.id}: another instance answers')
+def _check_status(instance: ListedInstance, status: int) -> None:
+    if status == _MISDIRECTED:
+        raise TargetGoneError(
+            f'{instance.id}: another instance answers at its address'
+        )
     if status == _FENCED:
-        raise OrderFencedError(f'{instance.id}: a later order was seen')
-    if status not in _TAKEN:
-        raise OrderRefusedError(f'{instance.id}: answered with {status}')
+        raise OrderFencedError(
+            f'{instance.id}: order fenced off by a higher fencing token'
+        )
+    if status not in _ACCEPTED_STATUSES:
+        raise OrderRefusedError(
+            f'{instance.id}: order refused with status {status}'
+        )
--- a/src/cranecart/platform/_store.py
+++ b/src/cranecart/platform/_store.py
@@ -1,4 +1,4 @@
-"""The one client of the platform's store: rows, transactions, changes."""
+"""The client of the platform's store: rows, transactions and changes."""
 
 import base64
 import functools
@@ -27,24 +27,28 @@
 
 Message = TypeVar('Message')
 
-# Well above the answers of a slow store; beyond it the store counts as away.
-CALL_SECONDS = 1.5
-# What a waiting call may take longer than it was asked to wait.
-_WAIT_SLACK_SECONDS = 1.5
+# Well above the response times of a slow store. A store that takes longer counts
+# as unreachable.
+CALL_TIMEOUT_SECONDS = 1.5
+# How much longer than the requested wait a long poll may take.
+_POLL_MARGIN_SECONDS = 1.5
 _PAGE_ROWS = 500
 _OK = 200
 _CONFLICT = 412
-_HISTORY_GONE = 410
-_NOT_DONE = frozenset((429, 503))
+_GONE = 410
+_NOT_EXECUTED_STATUSES = frozenset((429, 503))
 _MILLISECONDS = 1000
-_RESTORED = 'the store has come back from a copy'
-_LATE = 'the answer is of before the store came back from a copy'
+_RESTORED_STORE = 'the store was restored from a backup'
+_STALE_ANSWER = (
+    'the answer was sent before the store was restored from a backup'
+)
 
 
 class WireRow(msgspec.Struct, rename='camel'):
     """A row; ``keyFile`` is its key and ``schemaVersion`` its version.
 
-    ``StoreClient`` returns versions that rise over all eras.
+    In the rows that ``StoreClient`` returns, the version includes the era, so
+    that it never decreases.
     """
 
     key_file: str
@@ -55,19 +59,19 @@
     deleted: bool = False
 
     def decoded(self) -> bytes:
-        """Return the row's value as its writer gave it."""
+        """Return the row's value, decoded from base64."""
         return base64.b64decode(self.value)
 
 
 class WireRows(msgspec.Struct, rename='camel'):
-    """Rows read at one moment; ``schemaVersion`` is the table's newest."""
+    """Rows read at one time; ``schemaVersion`` is the table's version."""
 
     schema_version: int
     rows: list[WireRow]
     truncated: bool = False
 
     def with_era(self, era: int) -> 'WireRows':
-        """Return the same with versions that rise over all eras."""
+        """Add the era to all versions; return the rows."""
         self.schema_version = version_in(era, self.schema_version)
         for row in self.rows:
             row.schema_version = version_in(era, row.schema_version)
@@ -79,13 +83,16 @@
 
 
 def encode_value(value: bytes) -> str:
-    """Return a row's value as it is sent."""
+    """Return a row's value, encoded as base64."""
     return base64.b64encode(value).decode()
 
 
 @attrs.define
 class StoreClient:
-    """Calls of one store on kept connections, each with a bound."""
+    """Calls a store on persistent connections, with a timeout per call.
+
+    ``counts`` holds the numbers of calls by kind and the store's era.
+    """
 
     _address: Address
     counts: Counter[str] = attrs.field(factory=Counter, init=False)
@@ -97,28 +104,28 @@
 
     @property
     def era(self) -> int:
-        """Return the latest era of the store's answers."""
+        """Return the highest era of the store's answers."""
         return self._era.current
 
     async def read_part(
         self,
         table: str,
         part: str,
-        first: str = '',
+        start_key: str = '',
     ) -> WireRows:
-        """Read a part from a key on, all pages of it.
+        """Read all pages of a part, from a key on.
 
-        Raise ``HistoryLostError`` where they are of more than one era.
+        Raise ``HistoryLostError`` if the store is restored between two pages.
         """
-        page = await self._read_page(table, part, first)
+        page = await self._read_page(table, part, start_key)
         era = era_of(page.schema_version)
         rows = list(page.rows)
         while page.truncated and page.rows:
-            # The next page starts right behind the last key.
+            # Start the next page at the smallest key after the last one.
             page = await self._read_page(table, part, f'{rows[-1].key_file}\0')
             rows.extend(page.rows)
             if era_of(page.schema_version) != era:
-                raise HistoryLostError(_RESTORED)
+                raise HistoryLostError(_RESTORED_STORE)
         return WireRows(page.schema_version, rows)
 
     async def feed(
@@ -127,22 +134,25 @@
         since: int,
         wait_seconds: float,
     ) -> WireRows:
-        """Wait for a table's changes; raise ``HistoryLostError``."""
+        """Wait for changes of a table since a version.
+
+        Raise ``HistoryLostError`` if the store cannot list them any more.
+        """
         if era_of(since) < self.era:
-            raise HistoryLostError(_RESTORED)
+            raise HistoryLostError(_RESTORED_STORE)
         query = {
             'tableName': table,
             'sinceRevision': number_of(since),
             'waitMs': round(wait_seconds * _MILLISECONDS),
         }
-        seconds = wait_seconds + _WAIT_SLACK_SECONDS
+        seconds = wait_seconds + _POLL_MARGIN_SECONDS
         rows = await self._get('/rows-feed', query, seconds)
         if era_of(rows.schema_version) != era_of(since):
-            raise HistoryLostError(_RESTORED)
+            raise HistoryLostError(_RESTORED_STORE)
         return rows
 
     async def commit(self, body: Mapping[str, object]) -> int:
-        """Send a transaction; return the version that its rows got."""
+        """Commit a transaction; return the version of its rows."""
         self.counts['writes'] += 1
         request = Request(
             'POST',
@@ -151,22 +161,26 @@
             msgspec.json.encode(body),
         )
         try:
-            response = await self._exchange(request, CALL_SECONDS)
+            response = await self._exchange(request, CALL_TIMEOUT_SECONDS)
         except ConnectFailedError as error:
             raise PlatformUnavailableError(str(error)) from error
         except (HttpError, TaskTimeout) as error:
-            raise WriteUnknownError(f'no answer to a write: {error}') from error
-        _check_written(response.status)
-        era = self._era.note(response.headers)
+            raise WriteUnknownError(
+                f'no answer to a commit: {error}'
+            ) from error
+        _check_write_status(response.status)
+        era = self._era.record(response.headers)
         if era < self.era:
-            raise WriteUnknownError(_LATE)
+            raise WriteUnknownError(_STALE_ANSWER)
         return version_in(era, _decode(response, _WireCommitted).schema_version)
 
-    async def _read_page(self, table: str, part: str, first: str) -> WireRows:
+    async def _read_page(
+        self, table: str, part: str, start_key: str
+    ) -> WireRows:
         query = {'tableName': table, 'part': part, 'limit': _PAGE_ROWS}
-        if first:
-            query['fromVersion'] = first
-        return await self._get('/rows-get', query, CALL_SECONDS)
+        if start_key:
+            query['fromVersion'] = start_key
+        return await self._get('/rows-get', query, CALL_TIMEOUT_SECONDS)
 
     async def _get(
         self,
@@ -177,17 +191,22 @@
         self.counts[f'reads of {query["tableName"]}'] += 1
         request = Request('GET', f'{path}?{urlencode(query)}')
         response = await self._read(request, path, seconds)
-        if response.status == _HISTORY_GONE:
-            raise HistoryLostError(f'{path}: the history is gone')
+        if response.status == _GONE:
+            raise HistoryLostError(
+                f'{path}: the store has discarded the changes since that version'
+            )
         if response.status != _OK:
-            raise PlatformUnavailableError(f'{path}: {response.status}')
-        era = self._era.note(response.headers)
+            raise PlatformUnavailableError(
+                f'{path}: unexpected status {response.status}'
+            )
+        era = self._era.record(response.headers)
         if era < self.era:
-            raise PlatformUnavailableError(_LATE)
+            raise PlatformUnavailableError(_STALE_ANSWER)
         try:
             return _read_rows(response, str(query['tableName'])).with_era(era)
         except PlatformUnavailableError:
-            # It may answer an earlier question, and so would the next one.
+            # This may be the answer to an earlier request; then the following
+            # answers on that connection would be shifted as well.
             await self._pool.close_idle(self._address)
             raise
 
@@ -206,14 +225,14 @@
 
     async def _exchange(self, request: Request, seconds: float) -> Response:
         try:
-            return await curio.timeout_after(seconds, self._ask, request)
+            return await curio.timeout_after(seconds, self._send, request)
         except TaskTimeout:
-            # What made one silent may have made all of them so, and each
-            # would cost another call its whole bound.
+            # The other persistent connections may be dead for the same reason,
+            # and each of them would cost another call its full timeout.
             await self._pool.close_idle(self._address)
             raise
 
-    async def _ask(self, request: Request) -> Response:
+    async def _send(self, request: Request) -> Response:
         connection = await self._pool.acquire(self._address)
         try:
             head = await connection.send_and_read_head(request)
@@ -222,65 +241,80 @@
             await connection.close()
             raise
         await self._pool.release(connection)
-        self._era.note(head.headers)
+        self._era.record(head.headers)
         self.counts['store_era'] = self._era.current
         return Response(head.status, head.headers, body)
 
 
-def _check_written(status: int) -> None:
+def _check_write_status(status: int) -> None:
     if status == _CONFLICT:
-        raise WriteConflictError('a row has changed since it was read')
-    if status in _NOT_DONE:
-        raise PlatformUnavailableError(f'refused with {status}')
+        raise WriteConflictError(
+            'a row of the transaction has changed since it was read'
+        )
+    if status in _NOT_EXECUTED_STATUSES:
+        raise PlatformUnavailableError(
+            f'the store refused a commit with status {status}'
+        )
     if status != _OK:
-        raise WriteUnknownError(f'answered with {status}')
+        raise WriteUnknownError(
+            f'the store answered a commit with status {status}'
+        )
 
 
 def _read_rows(response: Response, table: str) -> WireRows:
-    """Decode rows of a table; an answer to a write has none at all."""
+    """Decode the rows of a table; reject the answer to another request.
+
+    The answer to a commit has no ``rows`` field and fails to decode.
+    """
     page = _decode(response, WireRows)
     if any(row.table_name not in {'', table} for row in page.rows):
-        raise PlatformUnavailableError(f'rows of another table than {table!r}')
+        raise PlatformUnavailableError(
+            f'expected rows of table {table!r}, got rows of another table'
+        )
     return page
 
 
-def _decode(response: Response, wanted: type[Message]) -> Message:
+def _decode(response: Response, message_type: type[Message]) -> Message:
     try:
-        return msgspec.json.decode(response.body, type=wanted)
+        return msgspec.json.decode(response.body, type=message_type)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
-        raise PlatformUnavailableError(f'unreadable answer: {error}') from error
+        raise PlatformUnavailableError(
+            f'cannot decode an answer of the store: {error}'
+        ) from error
 
 
-def decode_row(row: WireRow, wanted: Any) -> Any:
+def decode_row(row: WireRow, message_type: Any) -> Any:
     """Decode a row's value; raise ``PlatformUnavailableError``.
 
-    What is null is read like what is not there.
+    Fields that are null are treated as missing.
     """
     try:
-        return _decode_value(row.decoded(), wanted)
+        return _decode_value(row.decoded(), message_type)
     except (ValueError, RecursionError, msgspec.MsgspecError) as error:
         raise PlatformUnavailableError(
             f'row {row.key_file!r} cannot be read: {error}',
         ) from error
 
 
-def _decode_value(value: bytes, wanted: Any) -> Any:
+def _decode_value(value: bytes, message_type: Any) -> Any:
     try:
-        return msgspec.json.decode(value, type=wanted)
+        return msgspec.json.decode(value, type=message_type)
     except msgspec.ValidationError:
-        # Nulls are rare, and leaving them out takes a second reading.
-        told = _without_nulls(msgspec.json.decode(value))
-        return msgspec.convert(told, wanted)
+        # Nulls are rare, and removing them needs a second pass.
+        without_nulls = _without_nulls(msgspec.json.decode(value))
+        return msgspec.convert(without_nulls, message_type)
 
 
-def _without_nulls(node: object) -> object:
-    match node:
+def _without_nulls(value: object) -> object:
+    match value:
         case dict():
             return {
                 key: _without_nulls(inner)
-                for key, inner in node.items()
+                for key, inner in value.items()
                 if inner is not None
             }
         case list():
-            return [_without_nulls(one) for one in node if one is not None]
-    return node
+            return [
+                _without_nulls(inner) for inner in value if inner is not None
+            ]
+    return value
--- a/src/cranecart/platform/_tables.py
+++ b/src/cranecart/platform/_tables.py
@@ -1,7 +1,7 @@
-"""The product's table on the platform's rows.
+"""The ``Table`` port, implemented on the platform's rows.
 
-A key ``table/part/name`` of the product is the row ``name`` of that part of
-that table; what a transaction holds lies in one part.
+The key ``table/part/name`` is the row ``name`` in that part of that table. All
+rows of a transaction have to be in the same part.
 """
 
 from collections.abc import Iterable, Mapping
@@ -22,66 +22,70 @@
 
 @attrs.frozen
 class PlatformTable:
-    """Reads and conditional writes of the product's own rows."""
+    """Reads rows and writes them conditionally."""
 
     _store: StoreClient
 
     @property
     def era(self) -> int:
-        """Return the latest era of the store's answers."""
+        """Return the highest era of the store's answers."""
         return self._store.era
 
     async def read_keys(self, keys: Iterable[str]) -> dict[str, Row]:
         """Read rows by key; absent rows are left out."""
-        wanted = list(keys)
+        requested = list(keys)
         found: dict[str, Row] = {}
-        places = {_place(key) for key in wanted}
-        for table, part in places:
+        partitions = {_partition_of(key) for key in requested}
+        for table, part in partitions:
             rows = await self._store.read_part(table, part)
-            found.update(_rows(table, part, rows.rows))
-        return {key: found[key] for key in wanted if key in found}
+            found.update(_decode_rows(table, part, rows.rows))
+        return {key: found[key] for key in requested if key in found}
 
     async def read_prefix(self, prefix: str) -> dict[str, Row]:
         """Read all rows whose keys start with ``table/part/``."""
-        table, part = _place(prefix)
+        table, part = _partition_of(prefix)
         rows = await self._store.read_part(table, part)
-        found = _rows(table, part, rows.rows)
+        found = _decode_rows(table, part, rows.rows)
         return {
             key: row for key, row in found.items() if key.startswith(prefix)
         }
 
     async def commit(self, transaction: Transaction) -> int:
-        """Write a transaction; return the version that its rows got.
+        """Commit a transaction; return the version of its rows.
 
-        Conditions of an earlier era may be met by other rows that got the same
-        numbers since.
+        Raise ``WriteConflictError`` for checks of versions from an earlier era:
+        a restored store may have issued their numbers again for other rows.
         """
         era = self.era
-        versions = filter(None, (one.version for one in transaction.checks))
+        versions = filter(None, (check.version for check in transaction.checks))
         if any(era_of(version) != era for version in versions):
-            raise WriteConflictError('the store has come back from a copy')
-        version = await self._store.commit(_body(transaction))
+            raise WriteConflictError(
+                'the store was restored from a backup after the rows were read'
+            )
+        version = await self._store.commit(_encode_transaction(transaction))
         if transaction.checks and era_of(version) != era:
-            raise WriteUnknownError('the store came back from a copy meanwhile')
+            raise WriteUnknownError(
+                'the store was restored from a backup during the commit'
+            )
         return version
 
 
 @attrs.frozen
 class PlatformRowSource:
-    """All rows of one of the product's tables, to be followed."""
+    """The rows of some parts of a table, as a source to follow."""
 
     _store: StoreClient
     _table: str
     _parts: tuple[str, ...]
 
     async def snapshot(self) -> Snapshot[Row]:
-        """Read every part; the oldest of their versions goes with it."""
+        """Read all parts; return them with the lowest of their versions."""
         versions = []
         found: dict[str, Row] = {}
         for part in self._parts:
             rows = await self._store.read_part(self._table, part)
             versions.append(rows.schema_version)
-            found.update(_rows(self._table, part, rows.rows))
+            found.update(_decode_rows(self._table, part, rows.rows))
         return Snapshot(min(versions), found)
 
     async def changes(self, since: int, wait_seconds: float) -> Changes[Row]:
@@ -92,61 +96,61 @@
             {
                 f'{self._table}/{row.part}/{row.key_file}': None
                 if row.deleted
-                else _row(self._table, row.part, row)
+                else _decode_row(self._table, row.part, row)
                 for row in changed.rows
             },
         )
 
 
-def _body(transaction: Transaction) -> dict[str, object]:
+def _encode_transaction(transaction: Transaction) -> dict[str, object]:
     return {
         'expectedRevision': [
             {
-                **_address(check.key),
+                **_row_address(check.key),
                 'schemaVersion': number_of(check.version),
             }
             for check in transaction.checks
         ],
         'putCount': [
             {
-                **_address(put.key),
+                **_row_address(put.key),
                 'value': encode_value(put.value.encode()),
             }
             for put in transaction.puts
         ],
-        'remove': list(map(_address, transaction.deletes)),
+        'remove': list(map(_row_address, transaction.deletes)),
     }
 
 
-def _place(key: str) -> tuple[str, str]:
+def _partition_of(key: str) -> tuple[str, str]:
     table, part, _name = key.split('/', 2)
     return table, part
 
 
-def _address(key: str) -> dict[str, str]:
+def _row_address(key: str) -> dict[str, str]:
     table, part, name = key.split('/', 2)
     return {'tableName': table, 'part': part, 'keyFile': name}
 
 
-def _rows(
+def _decode_rows(
     table: str,
     part: str,
     rows: Iterable[WireRow],
 ) -> Mapping[str, Row]:
-    found = (_row(table, part, row) for row in rows)
+    found = (_decode_row(table, part, row) for row in rows)
     return {row.key: row for row in found}
 
 
-def _row(table: str, part: str, row: WireRow) -> Row:
+def _decode_row(table: str, part: str, row: WireRow) -> Row:
     return Row(
         f'{table}/{part}/{row.key_file}',
         row.schema_version,
-        _text(row),
+        _decode_text(row),
     )
 
 
-def _text(row: WireRow) -> str:
-    """Return a row's text; whatever is none says nothing to its reader."""
+def _decode_text(row: WireRow) -> str:
+    """Return a row's text, or '' if it is not valid base64 or UTF-8."""
     try:
         return row.decoded().decode()
     except ValueError:
--- a/src/cranecart/platform/_targets.py
+++ b/src/cranecart/platform/_targets.py
@@ -1,4 +1,4 @@
-"""The platform's list of instances, decoded into the product's types."""
+"""The platform's instance list, decoded into ``ListedInstance``."""
 
 import functools
 import ipaddress
@@ -21,13 +21,13 @@
 
 _TABLE = 'servers'
 _LEAVING = 'draining'
-_LAST_PORT = 65535
-# Other writers may name further states; none of them takes requests.
-_STATES = frozenset(('ready', _LEAVING))
+_MAX_PORT = 65535
+# Other writers may use further states; instances in those get no requests.
+_KNOWN_STATES = frozenset(('ready', _LEAVING))
 
 
 class WireGroup(msgspec.Struct):
-    """The platform's word for a replica that an instance belongs to."""
+    """The replica that an instance belongs to, called group by the platform."""
 
     name: str
     epoch: int
@@ -36,16 +36,16 @@
 
 
 class WireModel(msgspec.Struct):
-    """A model in the accelerators of an instance."""
+    """A model that is loaded in an instance's accelerators."""
 
     name: str = ''
 
 
 class WireInstance(msgspec.Struct):
-    """What an instance writes of itself.
+    """The list entry that an instance writes about itself.
 
-    ``domain`` is its fabric domain; ``born`` tells this start of it from
-    others under the same id, in ms.
+    ``zone`` is its failure domain and ``domain`` its fabric domain. ``born`` is
+    its start time in ms, which distinguishes incarnations with the same id.
     """
 
     address: str
@@ -62,7 +62,7 @@
 
 @attrs.frozen
 class PlatformTargetList:
-    """The list as a source that can be followed."""
+    """The instance list as a source to follow."""
 
     _store: StoreClient
     _unreadable: UnreadableRows = attrs.field(
@@ -70,12 +70,16 @@
     )
 
     async def snapshot(self) -> Snapshot[ListedInstance]:
-        """Read the whole list."""
+        """Read the complete list."""
         rows = await self._store.read_part(_TABLE, '')
-        read = {row.key_file: self._read(row) for row in rows.rows}
+        instances = {row.key_file: self._decode_entry(row) for row in rows.rows}
         return Snapshot(
             rows.schema_version,
-            {key: entry for key, entry in read.items() if entry is not None},
+            {
+                key: entry
+                for key, entry in instances.items()
+                if entry is not None
+            },
         )
 
     async def changes(
@@ -83,58 +87,58 @@
         since: int,
         wait_seconds: float,
     ) -> Changes[ListedInstance]:
-        """Wait for entries that changed or went."""
+        """Wait for changed and deleted entries."""
         changed = await self._store.feed(_TABLE, since, wait_seconds)
         return Changes(
             changed.schema_version,
             {
-                row.key_file: None if row.deleted else self._read(row)
+                row.key_file: None if row.deleted else self._decode_entry(row)
                 for row in changed.rows
             },
         )
 
-    def _read(self, row: WireRow) -> ListedInstance | None:
-        """Return an entry's instance; one that can't be read names none."""
+    def _decode_entry(self, row: WireRow) -> ListedInstance | None:
+        """Return the instance of an entry, or ``None`` if it is unreadable."""
         try:
             wire = decode_row(row, WireInstance)
-            read = _instance(row.key_file, wire)
+            instance = _decode_instance(row.key_file, wire)
         except (PlatformUnavailableError, ValueError) as error:
             self._unreadable.note(row.key_file, str(error))
             return None
         self._unreadable.forget(row.key_file)
-        return read
+        return instance
 
 
-def _instance(name: str, wire: WireInstance) -> ListedInstance:
-    if wire.state not in _STATES:
-        raise ValueError(f'its state is {wire.state!r}')
+def _decode_instance(instance_id: str, wire: WireInstance) -> ListedInstance:
+    if wire.state not in _KNOWN_STATES:
+        raise ValueError(f'unknown state {wire.state!r}')
     if not wire.service or not wire.zone:
-        raise ValueError('it names no service, or no place')
+        raise ValueError('the service or the zone is empty')
     return ListedInstance(
-        name,
+        instance_id,
         wire.service,
-        _address(wire.address),
+        _decode_address(wire.address),
         wire.zone,
-        # A place that is there in part takes no request.
+        # A fraction of a slot cannot hold a request.
         whole_number(wire.slots, 1),
         wire.state == _LEAVING,
         wire.domain,
         tuple(model.name for model in wire.models),
         tuple(wire.staged),
-        _membership(wire.group),
+        _decode_membership(wire.group),
         whole_number(wire.born),
     )
 
 
-def _address(text: str) -> Address:
+def _decode_address(text: str) -> Address:
     address = Address.from_text(text)
     ipaddress.ip_address(address.host)
-    if not 0 < address.port <= _LAST_PORT:
-        raise ValueError(f'{text!r} names no port')
+    if not 0 < address.port <= _MAX_PORT:
+        raise ValueError(f'invalid port in the address {text!r}')
     return address
 
 
-def _membership(group: WireGroup | None) -> Membership | None:
+def _decode_membership(group: WireGroup | None) -> Membership | None:
     if group is None:
         return None
     return Membership(
--- a/src/cranecart/platform/_wire_config.py
+++ b/src/cranecart/platform/_wire_config.py
@@ -1,46 +1,47 @@
-"""The operator's configuration as it is written on the platform.
+"""The operator's configuration in the format of the platform.
 
-Every figure may be a whole number or a fraction, and any may be missing: one
-that is read more narrowly makes the whole configuration unreadable.
+Each number may be an integer or a fraction, and may be missing: a stricter type
+for one of them would make the complete configuration unreadable.
 """
 
 import msgspec
 
 from cranecart.models import EngineTiming
 
-_WHOLE_WEIGHT = 1
+_DEFAULT_WEIGHT = 1
 _MILLISECONDS = 1000
 _THOUSAND_TOKENS = 1000
 _MILLION_PAIRS = 1000000
-# What holds where a target tells nothing of its engine's times.
-_TIMING = EngineTiming()
-# Where a route names no time, it is held for no longer than connections rest.
-_UNTOLD_TIMEOUT_MS = 60000
-_UNTOLD_RANK = 5
+# Applies where a service does not state the times of its engine.
+_DEFAULT_TIMING = EngineTiming()
+# The timeout of a route that states none; equal to the default idle timeout of
+# connections.
+_DEFAULT_TIMEOUT_MS = 60000
+_DEFAULT_PRIORITY = 5
 
 
-def whole_number(figure: float, least: int = 0) -> int:
-    """Return what a figure is worth where only whole ones count."""
-    return max(least, int(figure))
+def whole_number(number: float, minimum: int = 0) -> int:
+    """Round a number down to an integer, with a lower bound."""
+    return max(minimum, int(number))
 
 
 class WireShare(msgspec.Struct):
-    """One service of a split route."""
+    """The share of a service in a route that is split between services."""
 
     service: str = ''
-    weight: float = _WHOLE_WEIGHT
+    weight: float = _DEFAULT_WEIGHT
 
 
 class WireRoute(msgspec.Struct, rename='camel'):
-    """A route; ``type`` tells streams, repeatable and other requests."""
+    """A route; ``type`` is 'streaming', 'safe' for idempotent, or another."""
 
     name: str = ''
     host: str = ''
     path_prefix: str = ''
     type: str = ''
-    timeout_ms: float = _UNTOLD_TIMEOUT_MS
+    timeout_ms: float = _DEFAULT_TIMEOUT_MS
     slo_ms: float = 0
-    priority: float = _UNTOLD_RANK
+    priority: float = _DEFAULT_PRIORITY
     service: str = ''
     split: list[WireShare] = []
     attempts: float = 1
@@ -50,7 +51,7 @@
 
 
 class WireModel(msgspec.Struct, rename='camel'):
-    """A model; ``warmupS`` is the time to load it once it is staged."""
+    """A model; ``warmupS`` is the time to load it if it is staged."""
 
     name: str = ''
     size: float = 1
@@ -61,10 +62,12 @@
 
 
 class WireRuntime(msgspec.Struct, rename='camel'):
-    """How a service's engines work; ``cachedPrefixes`` counts the models
-    that an instance keeps staged. A step's cost is told for each request that
-    writes (``per_seq_ms``) and for 1,000 tokens of context, that of reading
-    for a million pairs of tokens.
+    """The properties of a service's engines.
+
+    ``cachedPrefixes`` is the number of models that an instance keeps staged.
+    The cost of a decoding step is ``step_ms``, plus ``per_seq_ms`` per request
+    that generates tokens and ``context_per_k`` per 1,000 tokens of context.
+    The cost of prefill includes ``pairs_per_m`` per million pairs of tokens.
     """
 
     slots: float = 1
@@ -73,37 +76,39 @@
     cached_prefixes: float = 1
     loads_per_s: float = 1
     stride: float = 1
-    chunk: float = _TIMING.chunk_tokens
-    # On the wire these are not in camel case.
+    chunk: float = _DEFAULT_TIMING.chunk_tokens
+    # The platform does not use camel case for the following names.
     loads_at_once: float = msgspec.field(default=1, name='loads_at_once')
     step_ms: float = msgspec.field(
-        default=_TIMING.step_seconds * _MILLISECONDS,
+        default=_DEFAULT_TIMING.step_seconds * _MILLISECONDS,
         name='step_ms',
     )
     per_seq_ms: float = msgspec.field(
-        default=_TIMING.request_seconds * _MILLISECONDS,
+        default=_DEFAULT_TIMING.request_seconds * _MILLISECONDS,
         name='per_seq_ms',
     )
     context_per_k: float = msgspec.field(
-        default=_TIMING.context_seconds * _MILLISECONDS * _THOUSAND_TOKENS,
+        default=_DEFAULT_TIMING.context_seconds
+        * _MILLISECONDS
+        * _THOUSAND_TOKENS,
         name='context_per_k',
     )
     read_per_s: float = msgspec.field(
-        default=_TIMING.prompt_rate,
+        default=_DEFAULT_TIMING.prompt_rate,
         name='read_per_s',
     )
     pairs_per_m: float = msgspec.field(
-        default=_TIMING.pair_seconds * _MILLISECONDS * _MILLION_PAIRS,
+        default=_DEFAULT_TIMING.pair_seconds * _MILLISECONDS * _MILLION_PAIRS,
         name='pairs_per_m',
     )
 
     def timing(self) -> EngineTiming:
-        """Return what the engine's passes cost."""
+        """Return the cost of the engine's steps."""
         return EngineTiming(
             self.step_ms / _MILLISECONDS,
             self.per_seq_ms / _MILLISECONDS,
             self.context_per_k / _MILLISECONDS / _THOUSAND_TOKENS,
-            self.read_per_s or _TIMING.prompt_rate,
+            self.read_per_s or _DEFAULT_TIMING.prompt_rate,
             self.pairs_per_m / _MILLISECONDS / _MILLION_PAIRS,
             whole_number(self.chunk, 1),
             self.stride or 1,
@@ -111,14 +116,14 @@
 
 
 class WireService(msgspec.Struct):
-    """A service; only model services have a runtime."""
+    """A service; only services with models have a ``runtime``."""
 
     name: str = ''
     runtime: WireRuntime | None = None
 
 
 class WireLimits(msgspec.Struct, rename='camel'):
-    """Bounds on clients' requests."""
+    """Limits on clients' requests."""
 
     max_header_bytes: float = 16384
     max_body_bytes: float = 4194304
@@ -127,7 +132,7 @@
 
 
 class WireTenant(msgspec.Struct, rename='camel'):
-    """The platform's word for an organisation, with its keys."""
+    """An organisation, called tenant by the platform, and its API keys."""
 
     name: str = ''
     api_keys: list[str] = []
@@ -135,7 +140,7 @@
 
 
 class WireConfig(msgspec.Struct):
-    """The operator's row in whole."""
+    """The complete configuration row."""
 
     version: int
     routes: list[WireRoute] = []
--- a/tests/platform/_rows.py
+++ b/tests/platform/_rows.py
@@ -7,7 +7,7 @@
 from cranecart.platform._store import WireRow, WireRows
 
 
-class RowsOf(StoreClient):
+class FixedRowsClient(StoreClient):
     """A store that holds some rows as bytes, and tells them as changes too."""
 
     def __init__(self, rows: dict[str, bytes]) -> None:
@@ -19,7 +19,7 @@
         self,
         table: str,
         part: str,
-        first: str = '',
+        start_key: str = '',
     ) -> WireRows:
         """Return the rows."""
         return self._page()
--- a/tests/platform/test_figures.py
+++ b/tests/platform/test_figures.py
@@ -24,7 +24,7 @@
     PlatformTargetList,
 )
 from cranecart.ports import ListedInstance
-from tests.platform._rows import RowsOf
+from tests.platform._rows import FixedRowsClient
 
 Path = tuple[str | int, ...]
 
@@ -125,14 +125,16 @@
 
 def _read_config(value: object) -> RouteConfig:
     source = PlatformConfigSource(
-        RowsOf({'config': json.dumps(value).encode()})
+        FixedRowsClient({'config': json.dumps(value).encode()})
     )
     config: RouteConfig = curio.run(source.snapshot).items['config']
     return config
 
 
 def _read_entry(value: object) -> ListedInstance | None:
-    source = PlatformTargetList(RowsOf({'i1': json.dumps(value).encode()}))
+    source = PlatformTargetList(
+        FixedRowsClient({'i1': json.dumps(value).encode()})
+    )
     found: ListedInstance | None = curio.run(source.snapshot).items.get('i1')
     return found
 
--- a/tests/platform/test_other_writers.py
+++ b/tests/platform/test_other_writers.py
@@ -29,7 +29,7 @@
 )
 from cranecart.ports import Changes, ListedInstance, Put, Row, Transaction
 from cranecart.serving._node_registration import peers_from_rows
-from tests.platform._rows import RowsOf
+from tests.platform._rows import FixedRowsClient
 from tests.platform._standin import StandinStore, start
 from tests.platform.test_figures import _CONFIG, _ENTRY
 
@@ -56,7 +56,7 @@
 def _entries(value: bytes) -> dict[str, ListedInstance | None]:
     """Read an entry of another writer beside a sound one, both ways."""
     good = json.dumps(dict(_ENTRY)).encode()
-    source = PlatformTargetList(RowsOf({'i1': value, 'i2': good}))
+    source = PlatformTargetList(FixedRowsClient({'i1': value, 'i2': good}))
     whole = curio.run(source.snapshot).items
     changes: Changes[ListedInstance] = curio.run(source.changes, 1, 0)
     assert whole.get('i1') == changes.items['i1']
@@ -115,7 +115,7 @@
 
     def test_one_line_a_change(self) -> None:
         """A row that is told again and again is logged once."""
-        source = PlatformTargetList(RowsOf({'i1': b'{'}))
+        source = PlatformTargetList(FixedRowsClient({'i1': b'{'}))
         with patch('cranecart.logs._unreadable.decision') as told:
             for _turn in range(5):
                 curio.run(source.changes, 1, 0)
@@ -162,7 +162,7 @@
             'replica/east/r-1': good.encoded().encode(),
             'replica/east/odd': value,
         }
-        client = RowsOf(rows)
+        client = FixedRowsClient(rows)
         source = PlatformRowSource(client, 'placement', ('all',))
         read = curio.run(source.snapshot).items
         found = {key: record_from_row(row) for key, row in read.items()}
@@ -194,7 +194,7 @@
     @given(_BYTES)
     def test_a_lease(self, value: bytes) -> None:
         """It is waited for like any other, and taken with a higher number."""
-        client = RowsOf({'east': value})
+        client = FixedRowsClient({'east': value})
         lease = Lease('all/east', 'n', PlatformTable(client))
         with self.assertRaises(PlatformError):
             curio.run(_keep_until_it_writes, lease, client)
@@ -206,7 +206,7 @@
         self.assertGreater(numbers[1], numbers[0])
 
 
-async def _keep_until_it_writes(lease: Lease, client: RowsOf) -> None:
+async def _keep_until_it_writes(lease: Lease, client: FixedRowsClient) -> None:
     """Look at a lease; raise where it isn't waited for."""
     await lease.acquire_or_renew()
     if lease.is_held:
@@ -238,7 +238,7 @@
     @given(_BYTES)
     def test_any_bytes(self, value: bytes) -> None:
         """It is an error of the platform's, or a configuration."""
-        source = PlatformConfigSource(RowsOf({'config': value}))
+        source = PlatformConfigSource(FixedRowsClient({'config': value}))
         try:
             curio.run(source.snapshot)
         except PlatformUnavailableError:
@@ -251,7 +251,7 @@
         changed: dict[str, Any] = copy.deepcopy(dict(_CONFIG))
         changed[field] = value
         row = json.dumps(changed).encode()
-        source = PlatformConfigSource(RowsOf({'config': row}))
+        source = PlatformConfigSource(FixedRowsClient({'config': row}))
         try:
             curio.run(source.snapshot)
         except PlatformUnavailableError as error:
--- a/tests/platform/test_silence.py
+++ b/tests/platform/test_silence.py
@@ -27,7 +27,7 @@
     PlatformTargetList,
     StoreClient,
 )
-from cranecart.platform._store import CALL_SECONDS
+from cranecart.platform._store import CALL_TIMEOUT_SECONDS
 from cranecart.ports import Put, Transaction
 from tests.lib.fake_engines import listed_instance
 from tests.platform._standin import StandinStore, start
@@ -144,7 +144,7 @@
         started = time.monotonic()
         with self.assertRaises(error):
             await call(calls)
-        bound = max(CALL_SECONDS, _FEED_SECONDS + _FEED_SLACK_SECONDS)
+        bound = max(CALL_TIMEOUT_SECONDS, _FEED_SECONDS + _FEED_SLACK_SECONDS)
         self.assertLess(time.monotonic() - started, bound + _SLACK_SECONDS)
         await call(calls)
 
