--- a/src/cranecart/platform/_load_headers.py
+++ b/src/cranecart/platform/_load_headers.py
@@ -10,7 +10,7 @@
 _LIMIT = 'server-limit'
 _LEAVING = 'server-leaving'
 _RETRY_AFTER = 'retry-after'
-_TRUE = '1'
+_IS_LEAVING = '1'
 # An overloaded target answers with this status, and may ask for a back-off.
 _UNAVAILABLE = 503
 # Numbers with more digits cannot be intended.
@@ -43,7 +43,7 @@
 
 
 def _with_leaving(facts: AnswerFacts, head: ResponseHead) -> AnswerFacts:
-    if {value.strip() for value in _header_values(head, _LEAVING)} != {_TRUE}:
+    if {value.strip() for value in _header_values(head, _LEAVING)} != {_IS_LEAVING}:
         return _with_unreadable(facts, head, _LEAVING)
     return attrs.evolve(facts, is_leaving=True)
 
@@ -57,9 +57,9 @@
 
 def _decimal_value(head: ResponseHead, name: str) -> float | None:
     """Return a header's value, if there is one and it is a decimal number."""
-    values = _header_values(head, name)
-    is_valid = len(values) == 1 and _DECIMAL.fullmatch(values[0].strip())
-    return float(values[0]) if is_valid else None
+    header_values = _header_values(head, name)
+    is_valid = len(header_values) == 1 and _DECIMAL.fullmatch(header_values[0].strip())
+    return float(header_values[0]) if is_valid else None
 
 
 def _with_unreadable(
@@ -67,8 +67,8 @@
     head: ResponseHead,
     name: str,
 ) -> AnswerFacts:
-    values = ', '.join(_header_values(head, name))
-    description = f'{name}: {values[:_MAX_LOGGED_CHARACTERS]}'
+    header_values = ', '.join(_header_values(head, name))
+    description = f'{name}: {header_values[:_MAX_LOGGED_CHARACTERS]}'
     return attrs.evolve(facts, unreadable=(*facts.unreadable, description))
 
 
