--- a/src/cranecart/platform/_load_headers.py
+++ b/src/cranecart/platform/_load_headers.py
@@ -43,7 +43,9 @@
 
 
 def _with_leaving(facts: AnswerFacts, head: ResponseHead) -> AnswerFacts:
-    if {value.strip() for value in _header_values(head, _LEAVING)} != {_IS_LEAVING}:
+    if {value.strip() for value in _header_values(head, _LEAVING)} != {
+        _IS_LEAVING
+    }:
         return _with_unreadable(facts, head, _LEAVING)
     return attrs.evolve(facts, is_leaving=True)
 
@@ -58,7 +60,9 @@
 def _decimal_value(head: ResponseHead, name: str) -> float | None:
     """Return a header's value, if there is one and it is a decimal number."""
     header_values = _header_values(head, name)
-    is_valid = len(header_values) == 1 and _DECIMAL.fullmatch(header_values[0].strip())
+    is_valid = len(header_values) == 1 and _DECIMAL.fullmatch(
+        header_values[0].strip()
+    )
     return float(header_values[0]) if is_valid else None
 
 
