--- a/tests/lib/return_storm.py
+++ b/tests/lib/random_restores.py
@@ -1,6 +1,6 @@
 """Returns of a store among other changes, in an order that a seed draws.
 
-Usage: python -m tests.lib.return_storm FIRST LAST [NODES]
+Usage: python -m tests.lib.random_restores FIRST LAST [NODES]
 """
 
 import random
@@ -11,10 +11,10 @@
 import attrs
 import curio
 
-from tests.lib.store_rig import (
+from tests.lib.store_testbed import (
     SERVICE,
-    RigNode,
-    StoreRig,
+    StoreTestbed,
+    TestbedNode,
     config_row,
     entry_row,
 )
@@ -61,7 +61,7 @@
 
 
 @attrs.define
-class ReturnStorm:
+class RandomRestores:
     """One drawn run; ``broken`` lists what must not have been seen."""
 
     seed: int
@@ -84,13 +84,13 @@
         self._write_config()
         for target in self._targets:
             target.write(self._store)
-        rig = await StoreRig.of(self.nodes, self._store)
-        self._since = dict.fromkeys(rig.nodes, time.monotonic())
+        testbed = await StoreTestbed.of(self.nodes, self._store)
+        self._since = dict.fromkeys(testbed.nodes, time.monotonic())
         async with curio.TaskGroup(wait=any) as tasks:
-            await tasks.spawn(self._watch, rig)
+            await tasks.spawn(self._watch, testbed)
             await tasks.spawn(self._beat)
-            await tasks.spawn(self._play, rig)
-        await rig.close()
+            await tasks.spawn(self._play, testbed)
+        await testbed.close()
         return self.broken
 
     @_draw.default
@@ -105,16 +105,16 @@
     def _make_targets(self) -> list[Target]:
         return [Target(f'i-{number}', number + 1) for number in range(_TARGETS)]
 
-    async def _play(self, rig: StoreRig) -> None:
+    async def _play(self, testbed: StoreTestbed) -> None:
         await curio.sleep(1)
         self._copies.append(self._store.copied())
         for _number in range(_ACTIONS):
-            await self._act(rig)
+            await self._act(testbed)
             await curio.sleep(self._draw.choice((0, 0.05, 0.3, 1)))
-        await self._calm(rig)
+        await self._calm(testbed)
 
-    async def _act(self, rig: StoreRig) -> None:
-        actions: tuple[Callable[[StoreRig], object], ...] = (
+    async def _act(self, testbed: StoreTestbed) -> None:
+        actions: tuple[Callable[[StoreTestbed], object], ...] = (
             self._configure,
             self._configure,
             self._leave,
@@ -126,11 +126,11 @@
         waiting = (self._restore, self._restore, self._kill, self._start)
         chosen = self._draw.randrange(len(actions) + len(waiting))
         if chosen < len(actions):
-            actions[chosen](rig)
+            actions[chosen](testbed)
         else:
-            await waiting[chosen - len(actions)](rig)
+            await waiting[chosen - len(actions)](testbed)
 
-    def _configure(self, _rig: StoreRig) -> None:
+    def _configure(self, _testbed: StoreTestbed) -> None:
         if not self._store.is_away:
             self._version += self._draw.randint(1, 3)
             self._write_config()
@@ -139,10 +139,10 @@
         self._store.put('op', '', 'config', config_row(self._version))
         self._config_acked_at = time.monotonic()
 
-    def _leave(self, _rig: StoreRig) -> None:
+    def _leave(self, _testbed: StoreTestbed) -> None:
         self._turn('ready', 'draining')
 
-    def _go(self, _rig: StoreRig) -> None:
+    def _go(self, _testbed: StoreTestbed) -> None:
         self._turn('draining', 'gone')
 
     def _turn(self, earlier: str, state: str) -> None:
@@ -152,21 +152,21 @@
             target.state = state
             target.write(self._store)
 
-    def _copy(self, _rig: StoreRig) -> None:
+    def _copy(self, _testbed: StoreTestbed) -> None:
         if not self._store.is_away:
             self._copies.append(self._store.copied())
 
-    def _cut(self, rig: StoreRig) -> None:
+    def _cut(self, testbed: StoreTestbed) -> None:
         """Cut a node from the store, or let all reach it again."""
-        cut = [node for node in rig.nodes.values() if node.gate.is_cut]
+        cut = [node for node in testbed.nodes.values() if node.client.is_cut]
         for node in cut:
-            node.gate.is_cut = False
+            node.client.is_cut = False
             self._since[node.name] = time.monotonic()
-        if not cut and len(rig.nodes) > 1:
-            node = rig.nodes[self._draw.choice(sorted(rig.nodes))]
-            node.gate.is_cut = True
+        if not cut and len(testbed.nodes) > 1:
+            node = testbed.nodes[self._draw.choice(sorted(testbed.nodes))]
+            node.client.is_cut = True
 
-    async def _restore(self, _rig: StoreRig) -> None:
+    async def _restore(self, _testbed: StoreTestbed) -> None:
         """Be away for a while and come back from a copy, maybe an old one."""
         self._store.is_away = True
         await curio.sleep(self._draw.choice((0.2, 1, 2.5)))
@@ -175,34 +175,36 @@
         await curio.sleep(self._draw.choice((0, 0.2, 0.5)))
         self._write_config()
 
-    async def _kill(self, rig: StoreRig) -> None:
-        if len(rig.nodes) > 1:
-            name = self._draw.choice(sorted(rig.nodes))
+    async def _kill(self, testbed: StoreTestbed) -> None:
+        if len(testbed.nodes) > 1:
+            name = self._draw.choice(sorted(testbed.nodes))
             self._since.pop(name)
-            await rig.kill(name)
+            await testbed.kill(name)
             self._seen.pop(name, None)
 
-    async def _start(self, rig: StoreRig) -> None:
+    async def _start(self, testbed: StoreTestbed) -> None:
         self._started += 1
         name = f'node-{50 + self._started}'
-        await rig.start(name)
+        await testbed.start(name)
         self._since[name] = time.monotonic()
 
-    async def _calm(self, rig: StoreRig) -> None:
+    async def _calm(self, testbed: StoreTestbed) -> None:
         """Let all settle; everybody then knows what the store holds."""
-        for node in rig.nodes.values():
-            node.gate.is_cut = False
+        for node in testbed.nodes.values():
+            node.client.is_cut = False
         ready = {one.name for one in self._targets if one.state == 'ready'}
         try:
-            await until(lambda: self._is_settled(rig, ready), _END_SECONDS)
+            await until(lambda: self._is_settled(testbed, ready), _END_SECONDS)
         except AssertionError:
-            self.broken.extend(self._unsettled(rig, ready))
+            self.broken.extend(self._unsettled(testbed, ready))
 
-    def _is_settled(self, rig: StoreRig, ready: set[str]) -> bool:
-        return not list(self._unsettled(rig, ready))
+    def _is_settled(self, testbed: StoreTestbed, ready: set[str]) -> bool:
+        return not list(self._unsettled(testbed, ready))
 
-    def _unsettled(self, rig: StoreRig, ready: set[str]) -> Iterator[str]:
-        for node in rig.nodes.values():
+    def _unsettled(
+        self, testbed: StoreTestbed, ready: set[str]
+    ) -> Iterator[str]:
+        for node in testbed.nodes.values():
             known = {one.id for one in node.fleet.available(SERVICE)}
             if known != ready:
                 yield f'{node.name} takes {known ^ ready} otherwise'
@@ -216,33 +218,35 @@
                 if not self._store.is_away:
                     target.write(self._store)
 
-    async def _watch(self, rig: StoreRig) -> None:
+    async def _watch(self, testbed: StoreTestbed) -> None:
         while True:
             await curio.sleep(_LOOK_SECONDS)
-            for node in rig.nodes.values():
+            for node in testbed.nodes.values():
                 seen = self._seen.get(node.name, 0)
                 if node.version < seen:
                     self.broken.append(f'{node.name} went back from {seen}')
                 self._seen[node.name] = node.version
-            self._check_bounds(rig)
+            self._check_bounds(testbed)
 
-    def _check_bounds(self, rig: StoreRig) -> None:
+    def _check_bounds(self, testbed: StoreTestbed) -> None:
         now = time.monotonic()
-        for node in self._in_touch(rig, now):
+        for node in self._in_touch(testbed, now):
             is_due = now - self._config_acked_at > _CONFIG_SECONDS
             if is_due and node.version < self._version:
                 self._break(f'{node.name} has {node.version} too long')
             self._check_leaving(node, now)
 
-    def _in_touch(self, rig: StoreRig, now: float) -> Iterator[RigNode]:
+    def _in_touch(
+        self, testbed: StoreTestbed, now: float
+    ) -> Iterator[TestbedNode]:
         if self._store.is_away or now - self._disturbed_at < _CONTACT_SECONDS:
             return
         for name, since in self._since.items():
-            node = rig.nodes[name]
-            if not node.gate.is_cut and now - since >= _CONTACT_SECONDS:
+            node = testbed.nodes[name]
+            if not node.client.is_cut and now - since >= _CONTACT_SECONDS:
                 yield node
 
-    def _check_leaving(self, node: RigNode, now: float) -> None:
+    def _check_leaving(self, node: TestbedNode, now: float) -> None:
         taking = {one.id for one in node.fleet.available(SERVICE)}
         for target in self._targets:
             is_due = now - target.acked_at > _LEAVING_SECONDS
@@ -259,8 +263,8 @@
     first, last, *rest = map(int, words)
     failed = 0
     for seed in range(first, last + 1):
-        storm = ReturnStorm(seed, *rest)
-        broken = curio.run(storm.run)
+        run_of_seed = RandomRestores(seed, *rest)
+        broken = curio.run(run_of_seed.run)
         failed += bool(broken)
         sys.stderr.write(f'seed {seed}: {broken or "nothing broken"}\n')
     return failed
--- a/tests/lib/store_rig.py
+++ b/tests/lib/store_testbed.py
@@ -47,8 +47,8 @@
 from tests.lib.waiting import until
 from tests.platform._standin import StandinStore, start
 
-_BEAT_SECONDS = 0.25
-_LINK_SECONDS = 0.002
+_HEARTBEAT_SECONDS = 0.25
+_LINK_DELAY_SECONDS = 0.002
 _DOMAINS = 3
 # Names of nodes to each other; nothing listens there.
 _FIRST_PORT = 1000
@@ -89,7 +89,7 @@
     return {**entry, **changed}
 
 
-def filled_store(instances: int) -> StandinStore:
+def populated_store(instances: int) -> StandinStore:
     """Return a store with version 10 and instances ``i-0``, ``i-1`` and so on."""
     store = StandinStore(era=1)
     store.put('op', '', 'config', config_row(10))
@@ -98,12 +98,12 @@
     return store
 
 
-class RigLink(PeerTransport[MeshMessage]):
+class TestbedLink(PeerTransport[MeshMessage]):
     """A link that hands messages to a rig instead of sockets."""
 
-    def __init__(self, rig: 'StoreRig') -> None:  # noqa: WPS612
+    def __init__(self, testbed: 'StoreTestbed') -> None:  # noqa: WPS612
         """Remember whose link it is."""
-        self._rig = rig
+        self._testbed = testbed
 
     def send_all(
         self,
@@ -112,14 +112,16 @@
     ) -> None:
         """Hand a message over, as it looks on the wire."""
         encoded = encode_mesh_message(message)
-        self._rig.wire.extend((address, encoded) for address in addresses)
+        self._testbed.in_flight.extend(
+            (address, encoded) for address in addresses
+        )
 
     def disconnect(self, address: str) -> None:
         """Do nothing, as there is no socket."""
 
 
 @attrs.define
-class GatedClient(StoreClient):
+class PartitionableClient(StoreClient):
     """A client that a test may cut from its store."""
 
     is_cut: bool = attrs.field(default=False, init=False)
@@ -131,28 +133,28 @@
 
 
 @attrs.define
-class RigNode:
+class TestbedNode:
     """What one node knows, and how it learns it."""
 
     name: str
-    gate: GatedClient
+    client: PartitionableClient
     platform_adapters: PlatformAdapters
     config: ActiveRouteConfig
     fleet: Fleet
-    held: HeldRows
+    held_rows: HeldRows
     book: CaseRegistry
     mesh: Mesh
     followers: PlatformFollowers
 
     @classmethod
-    def beside(cls, rig: 'StoreRig', name: str) -> Self:
+    def create(cls, testbed: 'StoreTestbed', name: str) -> Self:
         """Build a node that has read nothing yet."""
-        gate = GatedClient(rig.address)
-        platform_adapters = _platform_adapters(gate)
+        client = PartitionableClient(testbed.address)
+        platform_adapters = _platform_adapters(client)
         config = ActiveRouteConfig()
         fleet = Fleet()
         book = CaseRegistry()
-        held = HeldRows(name, platform_adapters.table, book)
+        held_rows = HeldRows(name, platform_adapters.table, book)
 
         def renew_own() -> None:  # noqa: WPS430
             mesh.local.source_versions = followers.announced_versions()
@@ -161,7 +163,7 @@
             lambda told: fleet.mark_stopped(
                 (told.replica, told.epoch), told.reason
             ),
-            _no_suspect,
+            _ignore_suspicion,
             lambda _told: False,
             lambda news: followers.apply_list_update(news),
             lambda news: followers.apply_record_update(news),
@@ -175,20 +177,20 @@
         )
         domain = f'd{int(name.rpartition("-")[2]) % _DOMAINS}'
         local = LocalState(name, _peer_address(name), domain)
-        mesh = Mesh(local, RigLink(rig), events)
+        mesh = Mesh(local, TestbedLink(testbed), events)
         followers = PlatformFollowers.from_adapters(
             platform_adapters,
             config,
-            RowDispatcher(mesh, fleet, held),
+            RowDispatcher(mesh, fleet, held_rows),
             random.Random(name),
         )
         return cls(
             name,
-            gate,
+            client,
             platform_adapters,
             config,
             fleet,
-            held,
+            held_rows,
             book,
             mesh,
             followers,
@@ -204,47 +206,47 @@
         """Follow the store and tell the others until cancelled."""
         async with curio.TaskGroup(wait=any) as tasks:
             await tasks.spawn(self.followers.run)
-            await tasks.spawn(self._beat)
+            await tasks.spawn(self._send_heartbeats)
 
-    async def hear(self, encoded: bytes) -> None:
+    async def receive(self, encoded: bytes) -> None:
         """Take over what another node tells."""
         await self.mesh.message_handler.handle(decode_mesh_message(encoded))
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         turn = 0
         while True:
             self.mesh.message_sender.send_beat(include_silent=turn % 8 == 0)
             self.mesh.message_sender.request_newer_config()
             self.fleet.process_timeouts()
             turn += 1
-            await curio.sleep(_BEAT_SECONDS)
+            await curio.sleep(_HEARTBEAT_SECONDS)
 
 
 @attrs.define
-class StoreRig:
+class StoreTestbed:
     """A store, nodes by name, and the messages under way between them."""
 
     store: StandinStore
     address: Address
-    wire: list[tuple[str, bytes]] = attrs.field(factory=list, init=False)
-    nodes: dict[str, RigNode] = attrs.field(factory=dict, init=False)
+    in_flight: list[tuple[str, bytes]] = attrs.field(factory=list, init=False)
+    nodes: dict[str, TestbedNode] = attrs.field(factory=dict, init=False)
     _tasks: dict[str, curio.Task] = attrs.field(factory=dict, init=False)
 
     @classmethod
     async def of(cls, count: int, store: StandinStore) -> Self:
         """Serve a store and start so many nodes; wait until all have read."""
         server, address = await start(store)
-        rig = cls(store, address)
-        rig._tasks['store'] = server
-        rig._tasks['wire'] = await curio.spawn(rig._carry)
+        testbed = cls(store, address)
+        testbed._tasks['store'] = server
+        testbed._tasks['wire'] = await curio.spawn(testbed._deliver_messages)
         for number in range(count):
-            await rig.start(f'node-{number:02}')
-        await until(rig.is_informed, _START_SECONDS)
-        return rig
+            await testbed.start(f'node-{number:02}')
+        await until(testbed.is_informed, _START_SECONDS)
+        return testbed
 
-    async def start(self, name: str) -> RigNode:
+    async def start(self, name: str) -> TestbedNode:
         """Start a node; it and the others know each other from the table."""
-        node = RigNode.beside(self, name)
+        node = TestbedNode.create(self, name)
         self.nodes[name] = node
         peers = {
             one.name: PeerNode(
@@ -290,13 +292,13 @@
             if node.mesh.local.source_versions
         )
 
-    def all_know_node(self, name: str) -> bool:
+    def all_know_peer(self, name: str) -> bool:
         """Tell whether all nodes know another one from its row."""
         return all(
             name in node.mesh.state.roster.peers for node in self.nodes.values()
         )
 
-    def all_in_force(self, version: int) -> bool:
+    def all_have_version(self, version: int) -> bool:
         """Tell whether a configuration is in force at all nodes."""
         return all(node.version == version for node in self.nodes.values())
 
@@ -309,7 +311,7 @@
             for config in configs
         )
 
-    def all_know_leaving(self, name: str) -> bool:
+    def none_uses(self, name: str) -> bool:
         """Tell whether no node would send a request to an instance."""
         return not any(
             one.id == name
@@ -317,49 +319,49 @@
             for one in node.fleet.available(SERVICE)
         )
 
-    def all_take(self, name: str) -> bool:
+    def all_use(self, name: str) -> bool:
         """Tell whether every node would send requests to an instance."""
         return all(
             name in {one.id for one in node.fleet.available(SERVICE)}
             for node in self.nodes.values()
         )
 
-    async def _carry(self) -> None:
+    async def _deliver_messages(self) -> None:
         while True:
-            under_way = self.wire
-            self.wire = []
+            messages = self.in_flight
+            self.in_flight = []
             nodes = {
                 node.mesh.local.address: node for node in self.nodes.values()
             }
-            for address, encoded in under_way:
+            for address, encoded in messages:
                 node = nodes.get(address)
                 if node is not None:
-                    await node.hear(encoded)
-            await curio.sleep(_LINK_SECONDS)
+                    await node.receive(encoded)
+            await curio.sleep(_LINK_DELAY_SECONDS)
 
 
-def play(
+def run_scenario(
     count: int,
     instances: int,
     settle_seconds: float,
-    scene: Callable[[StoreRig], Awaitable[None]],
+    scenario: Callable[[StoreTestbed], Awaitable[None]],
 ) -> None:
     """Run a scene with so many nodes that have met before."""
-    curio.run(_play, count, instances, settle_seconds, scene)
+    curio.run(_run_scenario, count, instances, settle_seconds, scenario)
 
 
-async def _play(
+async def _run_scenario(
     count: int,
     instances: int,
     settle_seconds: float,
-    scene: Callable[[StoreRig], Awaitable[None]],
+    scenario: Callable[[StoreTestbed], Awaitable[None]],
 ) -> None:
-    rig = await StoreRig.of(count, filled_store(instances))
+    testbed = await StoreTestbed.of(count, populated_store(instances))
     await curio.sleep(settle_seconds)
     try:
-        await scene(rig)
+        await scenario(testbed)
     finally:
-        await rig.close()
+        await testbed.close()
 
 
 def _peer_address(name: str) -> str:
@@ -378,5 +380,5 @@
     )
 
 
-async def _no_suspect(_message: object) -> None:
+async def _ignore_suspicion(_message: object) -> None:
     """Take evidence over, and do nothing."""
--- a/tests/platform/test_reads_of_a_return.py
+++ b/tests/platform/test_reads_after_restore.py
@@ -4,7 +4,12 @@
 
 import curio
 
-from tests.lib.store_rig import StoreRig, config_row, entry_row, play
+from tests.lib.store_testbed import (
+    StoreTestbed,
+    config_row,
+    entry_row,
+    run_scenario,
+)
 from tests.lib.waiting import until
 
 _DOMAINS = 3
@@ -20,23 +25,23 @@
 _TABLES = ('servers', 'placement')
 
 
-class ReadsOfAReturnTest(unittest.TestCase):
+class ReadsAfterRestoreTest(unittest.TestCase):
     """One node reads, and passes on what it has read."""
 
     def test_nine_nodes_read_a_forgotten_history(self) -> None:
         """Each of nine read all tables whole, 2 s after the change."""
-        play(9, _INSTANCES, _SETTLE_SECONDS, self._forget)
+        run_scenario(9, _INSTANCES, _SETTLE_SECONDS, self._forget)
 
     def test_nine_nodes_read_a_restored_store(self) -> None:
         """The list and the records are read by few."""
-        play(9, _INSTANCES, _SETTLE_SECONDS, self._return)
+        run_scenario(9, _INSTANCES, _SETTLE_SECONDS, self._return)
 
     def test_thirty_nodes_read_a_restored_store(self) -> None:
         """Also where relays tell the others."""
-        play(30, _INSTANCES, _SETTLE_SECONDS, self._return)
+        run_scenario(30, _INSTANCES, _SETTLE_SECONDS, self._return)
 
-    async def _forget(self, rig: StoreRig) -> None:
-        store = rig.store
+    async def _forget(self, testbed: StoreTestbed) -> None:
+        store = testbed.store
         store.calls.clear()
         store.is_deaf = True
         await curio.sleep(0.05)
@@ -45,14 +50,14 @@
         await curio.sleep(_DEAF_SECONDS)
         store.forget_history()
         await until(
-            lambda: rig.all_in_force(11) and rig.all_know_leaving('i-1'),
+            lambda: testbed.all_have_version(11) and testbed.none_uses('i-1'),
             _AIM_SECONDS - _DEAF_SECONDS,
         )
         await curio.sleep(1)
-        self._check_reads(rig, _LOST_READS)
+        self._check_reads(testbed, _LOST_READS)
 
-    async def _return(self, rig: StoreRig) -> None:
-        store = rig.store
+    async def _return(self, testbed: StoreTestbed) -> None:
+        store = testbed.store
         store.calls.clear()
         earlier = store.copied()
         store.put('servers', '', 'i-2', entry_row(slots=5, born=3))
@@ -62,16 +67,16 @@
         await curio.sleep(_AWAY_SECONDS)
         store.restore(earlier)
         store.put('servers', '', 'i-1', entry_row('draining', born=2))
-        await until(lambda: rig.all_know_leaving('i-1'), 1)
+        await until(lambda: testbed.none_uses('i-1'), 1)
         await curio.sleep(4)
-        self._check_reads(rig, _RESTORED_READS)
+        self._check_reads(testbed, _RESTORED_READS)
 
-    def _check_reads(self, rig: StoreRig, most: int) -> None:
+    def _check_reads(self, testbed: StoreTestbed, most: int) -> None:
         reads = {
-            table: rig.store.calls['/rows-get', table] for table in _TABLES
+            table: testbed.store.calls['/rows-get', table] for table in _TABLES
         }
         # Each node follows the configuration itself.
-        configs = rig.store.calls['/rows-get', 'op']
-        self.assertLessEqual(configs, len(rig.nodes))
+        configs = testbed.store.calls['/rows-get', 'op']
+        self.assertLessEqual(configs, len(testbed.nodes))
         for count in reads.values():
             self.assertLessEqual(count, most * _DOMAINS, reads)
--- a/tests/platform/test_restored_store.py
+++ b/tests/platform/test_restored_store.py
@@ -8,12 +8,12 @@
 
 from cranecart.leases import Lease, LeaseTimeouts
 from cranecart.platform import PlatformTable, StoreClient
-from tests.lib.store_rig import (
-    StoreRig,
+from tests.lib.store_testbed import (
+    StoreTestbed,
     config_row,
     entry_row,
-    filled_store,
-    play,
+    populated_store,
+    run_scenario,
 )
 from tests.lib.waiting import until
 from tests.platform._standin import start
@@ -67,70 +67,72 @@
         """It came after the copy was made, and writes its entry again."""
         self._play(self._keep_new)
 
-    def _play(self, scene: Callable[[StoreRig], Awaitable[None]]) -> None:
-        play(3, _INSTANCES, 1, scene)
+    def _play(
+        self, scenario: Callable[[StoreTestbed], Awaitable[None]]
+    ) -> None:
+        run_scenario(3, _INSTANCES, 1, scenario)
 
-    async def _return(self, rig: StoreRig) -> None:
+    async def _return(self, testbed: StoreTestbed) -> None:
         """Lose what is written here, and come back."""
-        store = rig.store
+        store = testbed.store
         earlier = store.copied()
         store.put('op', '', 'config', config_row(11))
         for number in range(40):
             store.put('other', '', f'k{number}', 'lost')
-        await until(lambda: rig.all_in_force(11))
+        await until(lambda: testbed.all_have_version(11))
         # Empty answers to those who wait for changes tell the newest version.
         await curio.sleep(_FEED_SECONDS)
         store.is_away = True
         await curio.sleep(_AWAY_SECONDS)
         store.restore(earlier)
 
-    async def _configure(self, rig: StoreRig) -> None:
-        await self._return(rig)
-        rig.store.put('op', '', 'config', config_row(12))
-        await until(lambda: rig.all_in_force(12), _AIM_SECONDS)
-
-    async def _keep_configuration(self, rig: StoreRig) -> None:
-        await self._return(rig)
-        await self._watch(lambda: rig.all_in_force(11))
-
-    async def _configure_again(self, rig: StoreRig) -> None:
-        await self._return(rig)
-        rig.store.put('op', '', 'config', config_row(11, attempts=7))
-        await until(lambda: rig.all_have_attempts(7), _AIM_SECONDS)
-
-    async def _start_after(self, rig: StoreRig) -> None:
-        await self._return(rig)
-        await rig.start('node-07')
-        await until(lambda: rig.all_in_force(11), _AIM_SECONDS)
-
-    async def _leave(self, rig: StoreRig) -> None:
-        await self._return(rig)
-        rig.store.put('servers', '', 'i-1', entry_row('draining', born=2))
-        await until(lambda: rig.all_know_leaving('i-1'), _AIM_SECONDS)
-
-    async def _keep_left(self, rig: StoreRig) -> None:
-        earlier = rig.store.copied()
-        rig.store.put('servers', '', 'i-1', entry_row('draining', born=2))
-        await until(lambda: rig.all_know_leaving('i-1'))
-        rig.store.restore(earlier)
-        await self._watch(lambda: rig.all_know_leaving('i-1'))
-
-    async def _keep_gone(self, rig: StoreRig) -> None:
-        earlier = rig.store.copied()
-        rig.store.drop('servers', '', 'i-1')
-        await until(lambda: rig.all_know_leaving('i-1'))
-        rig.store.restore(earlier)
-        await self._watch(lambda: rig.all_know_leaving('i-1'))
-
-    async def _keep_new(self, rig: StoreRig) -> None:
-        earlier = rig.store.copied()
+    async def _configure(self, testbed: StoreTestbed) -> None:
+        await self._return(testbed)
+        testbed.store.put('op', '', 'config', config_row(12))
+        await until(lambda: testbed.all_have_version(12), _AIM_SECONDS)
+
+    async def _keep_configuration(self, testbed: StoreTestbed) -> None:
+        await self._return(testbed)
+        await self._watch(lambda: testbed.all_have_version(11))
+
+    async def _configure_again(self, testbed: StoreTestbed) -> None:
+        await self._return(testbed)
+        testbed.store.put('op', '', 'config', config_row(11, attempts=7))
+        await until(lambda: testbed.all_have_attempts(7), _AIM_SECONDS)
+
+    async def _start_after(self, testbed: StoreTestbed) -> None:
+        await self._return(testbed)
+        await testbed.start('node-07')
+        await until(lambda: testbed.all_have_version(11), _AIM_SECONDS)
+
+    async def _leave(self, testbed: StoreTestbed) -> None:
+        await self._return(testbed)
+        testbed.store.put('servers', '', 'i-1', entry_row('draining', born=2))
+        await until(lambda: testbed.none_uses('i-1'), _AIM_SECONDS)
+
+    async def _keep_left(self, testbed: StoreTestbed) -> None:
+        earlier = testbed.store.copied()
+        testbed.store.put('servers', '', 'i-1', entry_row('draining', born=2))
+        await until(lambda: testbed.none_uses('i-1'))
+        testbed.store.restore(earlier)
+        await self._watch(lambda: testbed.none_uses('i-1'))
+
+    async def _keep_gone(self, testbed: StoreTestbed) -> None:
+        earlier = testbed.store.copied()
+        testbed.store.drop('servers', '', 'i-1')
+        await until(lambda: testbed.none_uses('i-1'))
+        testbed.store.restore(earlier)
+        await self._watch(lambda: testbed.none_uses('i-1'))
+
+    async def _keep_new(self, testbed: StoreTestbed) -> None:
+        earlier = testbed.store.copied()
         entry = entry_row(born=8)
-        rig.store.put('servers', '', 'i-7', entry)
-        await until(lambda: rig.all_take('i-7'))
-        rig.store.restore(earlier)
-        await self._watch(lambda: rig.all_take('i-7'), _AGAIN_SECONDS)
-        rig.store.put('servers', '', 'i-7', entry)
-        await self._watch(lambda: rig.all_take('i-7'))
+        testbed.store.put('servers', '', 'i-7', entry)
+        await until(lambda: testbed.all_use('i-7'))
+        testbed.store.restore(earlier)
+        await self._watch(lambda: testbed.all_use('i-7'), _AGAIN_SECONDS)
+        testbed.store.put('servers', '', 'i-7', entry)
+        await self._watch(lambda: testbed.all_use('i-7'))
 
     async def _watch(
         self,
@@ -143,7 +145,7 @@
             await curio.sleep(0.01)
 
     async def _take_lease(self) -> None:
-        store = filled_store(_INSTANCES)
+        store = populated_store(_INSTANCES)
         server, address = await start(store)
         earlier = store.copied()
         first, second = (
--- a/tests/platform/test_versions.py
+++ b/tests/platform/test_versions.py
@@ -76,12 +76,12 @@
 
     def _run(
         self,
-        scene: Callable[[_TurningStore, StoreClient], Awaitable[None]],
+        scenario: Callable[[_TurningStore, StoreClient], Awaitable[None]],
     ) -> None:
         async def play() -> None:  # noqa: WPS430
             store = _TurningStore(era=1)
             server, address = await start(store)
-            await scene(store, StoreClient(address))
+            await scenario(store, StoreClient(address))
             await server.cancel()
 
         curio.run(play)
--- a/tests/unit/test_returning_list.py
+++ b/tests/unit/test_list_after_outage.py
@@ -18,7 +18,7 @@
 from cranecart.http import Address
 from cranecart.ports import ListedInstance
 from tests.lib.fake_engines import SERVICE, listed_instance
-from tests.unit.test_follower import FakeSource, Held
+from tests.unit.test_source_follower import FakeSource, ItemRecorder
 
 _NAMES = tuple(f'i{number:02}' for number in range(40))
 _UNTIL = 2.0
@@ -93,7 +93,7 @@
         self.follower = SourceFollower(
             'a source',
             self.source,
-            Held().take,  # type: ignore[arg-type]
+            ItemRecorder().take,  # type: ignore[arg-type]
             random.Random(1),
             clock=lambda: self.now,
         )
--- a/tests/unit/test_follower.py
+++ b/tests/unit/test_source_follower.py
@@ -61,7 +61,7 @@
             raise PlatformUnavailableError('down')
 
 
-class Held(dict[str, str]):
+class ItemRecorder(dict[str, str]):
     """What a follower has told."""
 
     def take(self, items: dict[str, str | None], is_complete: bool) -> None:
@@ -81,8 +81,8 @@
     def __init__(self) -> None:
         """Build both; nothing is read yet."""
         self.source = FakeSource(items={'a': '1'})
-        self.first = Held()
-        self.second = Held()
+        self.first = ItemRecorder()
+        self.second = ItemRecorder()
         self.feeds = True
         self.loses_news = False
         self.takeover_rank = 0
@@ -104,7 +104,7 @@
     def _follower(
         self,
         source: FakeSource,
-        held: Held,
+        held: ItemRecorder,
         feeding: UpdateSharing[str],
     ) -> SourceFollower[str]:
         return SourceFollower(
@@ -167,7 +167,7 @@
 
     def test_a_whole_reading_is_the_first_of_an_era(self) -> None:
         """Whoever missed the one before keeps what a copy may lack."""
-        held = Held()
+        held = ItemRecorder()
         restored: list[dict[str, str]] = []
         follower = SourceFollower(
             'a source',
@@ -191,7 +191,7 @@
 
     def test_differences_after_first_readings_of_other_versions(self) -> None:
         """No change lies between them, so that both know the same."""
-        held = Held()
+        held = ItemRecorder()
         follower = SourceFollower(
             'a source',
             FakeSource(),
@@ -206,7 +206,7 @@
 
     def test_differences_from_something_else(self) -> None:
         """They say nothing to a node that has missed a change before."""
-        held = Held()
+        held = ItemRecorder()
         follower = SourceFollower(
             'a source',
             FakeSource(),
--- a/tests/unit/test_store_reachability.py
+++ b/tests/unit/test_store_reachability.py
@@ -16,7 +16,7 @@
 from cranecart.grouping import GroupPlacer
 from cranecart.serving._followers import _CONFIG_MIN_INTERVAL_SECONDS
 from tests.lib.waiting import until
-from tests.unit.test_follower import FakeSource, Held
+from tests.unit.test_source_follower import FakeSource, ItemRecorder
 
 _READERS = ('list', 'records', 'configuration')
 
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self.source = FakeSource(items={'a': '1'}, down=True)
         self.reachability = StoreReachability()
-        self.held = {name: Held() for name in _READERS}
+        self.held = {name: ItemRecorder() for name in _READERS}
         self.followers = [
             SourceFollower(
                 name,
@@ -64,7 +64,7 @@
 
     async def _publish_burst(self) -> None:
         source = FakeSource(items={'a': '0'})
-        held = Held()
+        held = ItemRecorder()
         follower = SourceFollower(
             'configuration',
             source,
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -260,7 +260,7 @@
         'fleet/_instance_list.py',
         'if grace_until and self._is_mass_lapse(gone):',
         'if False:',
-        'tests.unit.test_returning_list.MissingEntriesTest'
+        'tests.unit.test_list_after_outage.MissingEntriesTest'
         '.test_many_are_kept_after_the_stores_return',
     ),
     Mutation(
@@ -328,7 +328,7 @@
         'fleet/_instance_list.py',
         'if entry.leaving or entry.incarnation not in self._leaving:',
         'if entry:',
-        'tests.unit.test_said_to_leave.FleetTest',
+        'tests.unit.test_announced_leaving.FleetTest',
     ),
     Mutation(
         'versions-without-era',
@@ -385,7 +385,7 @@
         'fleet/_source_follower.py',
         'if earlier >= 0 and self._sharing is not None:',
         'if earlier < 0 and self._sharing is not None:',
-        'tests.platform.test_reads_of_a_return.ReadsOfAReturnTest'
+        'tests.platform.test_reads_after_restore.ReadsAfterRestoreTest'
         '.test_nine_nodes_read_a_forgotten_history',
     ),
 )
