--- a/src/cranecart/native/__init__.py
+++ b/src/cranecart/native/__init__.py
@@ -1,4 +1,7 @@
-"""The platform of the native protocol: table, objects, instance list."""
+"""Client of a platform with the native protocol.
+
+The platform offers a table, an object store and a list of instances.
+"""
 
 from cranecart.native._batch import WriteBatcher
 from cranecart.native._client import PlatformClient
--- a/src/cranecart/native/_batch.py
+++ b/src/cranecart/native/_batch.py
@@ -1,4 +1,4 @@
-"""Put many small transactions into one, without making the first one wait."""
+"""Combine small transactions into batches, without delaying the first one."""
 
 import attrs
 import curio
@@ -7,108 +7,117 @@
 from cranecart.native._client import PlatformClient
 from cranecart.ports import Row, Transaction
 
-_MAX_TOGETHER = 64
+_MAX_BATCH_SIZE = 64
 
 
 @attrs.define(eq=False)
-class _Waiting:
-    """A transaction, and the outcome that its caller waits for."""
+class _PendingTransaction:
+    """A queued transaction and its result, for which the caller waits."""
 
     transaction: Transaction
-    done: curio.Event = attrs.field(factory=curio.Event)
+    finished: curio.Event = attrs.field(factory=curio.Event)
     version: int = 0
     error: PlatformError | None = None
 
-    def rows(self) -> frozenset[str]:
-        """Return the keys of all rows that it reads or changes."""
-        checked = (check.key for check in self.transaction.checks)
-        put = (put.key for put in self.transaction.puts)
-        return frozenset((*checked, *put, *self.transaction.deletes))
+    def keys(self) -> frozenset[str]:
+        """Return the keys of all rows that are checked or changed."""
+        read = (check.key for check in self.transaction.checks)
+        written = (put.key for put in self.transaction.puts)
+        return frozenset((*read, *written, *self.transaction.deletes))
 
     async def finish(self, version: int, error: PlatformError | None) -> None:
         self.version = version
         self.error = error
-        await self.done.set()
+        await self.finished.set()
 
 
 @attrs.define
 class WriteBatcher:
-    """Commits what has come while the commit before was under way.
+    """Commits together all transactions queued during the previous commit.
 
-    Transactions that share rows go into batches one after the other: together
-    each would pass the checks that only the first of them may pass, as with
-    copies of one call at one node. If one of a batch meets a conflict, each
-    is committed by itself.
+    Transactions that share rows go into successive batches. In the same batch
+    all of them would pass checks that only the first may pass, for example with
+    copies of a call at one node. If a batch fails with a conflict, its
+    transactions are committed one by one.
     """
 
     _platform: PlatformClient
-    _queue: list[_Waiting] = attrs.field(factory=list, init=False)
+    _queue: list[_PendingTransaction] = attrs.field(factory=list, init=False)
     _is_running: bool = attrs.field(default=False, init=False)
 
     async def commit(self, transaction: Transaction) -> int:
-        """Write a transaction; raise what ``PlatformClient.commit`` does."""
-        waiting = _Waiting(transaction)
-        self._queue.append(waiting)
+        """Commit a transaction; raise the errors of ``PlatformClient.commit``.
+
+        Return the version of its rows.
+        """
+        pending = _PendingTransaction(transaction)
+        self._queue.append(pending)
         if not self._is_running:
             self._is_running = True
             await curio.spawn(self._run, daemon=True)
-        await waiting.done.wait()
-        if waiting.error is not None:
-            raise waiting.error
-        return waiting.version
+        await pending.finished.wait()
+        if pending.error is not None:
+            raise pending.error
+        return pending.version
 
     async def read_key(self, key: str) -> Row | None:
-        """Read one row past the batches; raise ``PlatformError``."""
+        """Read a row directly, not in a batch; raise ``PlatformError``."""
         return (await self._platform.read_keys([key])).get(key)
 
     async def _run(self) -> None:
         while self._queue:
-            await self._commit_all(self._take_together())
+            await self._commit_batch(self._next_batch())
         self._is_running = False
 
-    def _take_together(self) -> list[_Waiting]:
-        """Take what shares no row, and leave the rest in its order."""
-        together: list[_Waiting] = []
-        left: list[_Waiting] = []
-        taken: set[str] = set()
-        for waiting in self._queue:
-            rows = waiting.rows()
-            if len(together) < _MAX_TOGETHER and not taken & rows:
-                together.append(waiting)
+    def _next_batch(self) -> list[_PendingTransaction]:
+        """Dequeue transactions that share no rows; keep the others in order."""
+        batch: list[_PendingTransaction] = []
+        remaining: list[_PendingTransaction] = []
+        batch_keys: set[str] = set()
+        for pending in self._queue:
+            keys = pending.keys()
+            if len(batch) < _MAX_BATCH_SIZE and not batch_keys & keys:
+                batch.append(pending)
             else:
-                left.append(waiting)
-            taken |= rows
-        self._queue = left
-        return together
+                remaining.append(pending)
+            batch_keys |= keys
+        self._queue = remaining
+        return batch
 
-    async def _commit_all(self, together: list[_Waiting]) -> None:
+    async def _commit_batch(self, batch: list[_PendingTransaction]) -> None:
         try:
-            version = await self._platform.commit(_merge(together))
+            version = await self._platform.commit(_merge(batch))
         except WriteConflictError as error:
-            await self._commit_alone(together, error)
+            await self._commit_separately(batch, error)
         except PlatformError as error:
-            for waiting in together:
-                await waiting.finish(0, error)
+            for pending in batch:
+                await pending.finish(0, error)
         else:
-            for waiting in together:
-                await waiting.finish(version, None)
+            for pending in batch:
+                await pending.finish(version, None)
 
-    async def _commit_alone(
+    async def _commit_separately(
         self,
-        together: list[_Waiting],
+        batch: list[_PendingTransaction],
         error: WriteConflictError,
     ) -> None:
-        if len(together) == 1:
-            await together[0].finish(0, error)
+        if len(batch) == 1:
+            await batch[0].finish(0, error)
             return
-        for waiting in together:
-            await self._commit_all([waiting])
+        for pending in batch:
+            await self._commit_batch([pending])
 
 
-def _merge(together: list[_Waiting]) -> Transaction:
-    parts = [waiting.transaction for waiting in together]
+def _merge(batch: list[_PendingTransaction]) -> Transaction:
+    transactions = [pending.transaction for pending in batch]
     return Transaction(
-        tuple(check for part in parts for check in part.checks),
-        tuple(put for part in parts for put in part.puts),
-        tuple(key for part in parts for key in part.deletes),
+        tuple(
+            check
+            for transaction in transactions
+            for check in transaction.checks
+        ),
+        tuple(put for transaction in transactions for put in transaction.puts),
+        tuple(
+            key for transaction in transactions for key in transaction.deletes
+        ),
     )
--- a/src/cranecart/native/_client.py
+++ b/src/cranecart/native/_client.py
@@ -1,4 +1,4 @@
-"""Calls of the platform's services, with typed answers and errors."""
+"""Client of the platform's services, with typed responses and errors."""
 
 import hashlib
 from collections.abc import Iterable
@@ -22,9 +22,9 @@
 
 Message = TypeVar('Message')
 
-_CALL_SECONDS = 2.0
+_CALL_TIMEOUT_SECONDS = 2.0
 _CONFLICT = 409
-_TOO_MANY = 429
+_TOO_MANY_REQUESTS = 429
 
 
 @attrs.frozen
@@ -39,7 +39,7 @@
 
 @attrs.frozen
 class InstanceList:
-    """The platform's list; no instances where nothing changed since."""
+    """The instance list; ``instances`` is ``None`` if it has not changed."""
 
     version: int
     instances: tuple[Instance, ...] | None = None
@@ -47,16 +47,19 @@
 
 @attrs.define
 class PlatformClient:
-    """Asks one platform; every call has a bound of ``call_seconds``."""
+    """Calls a platform, with a timeout of ``timeout_seconds`` per call.
+
+    ``reads`` and ``writes`` count the calls.
+    """
 
     address: Address
-    call_seconds: float = _CALL_SECONDS
+    timeout_seconds: float = _CALL_TIMEOUT_SECONDS
     reads: int = attrs.field(default=0, init=False)
     writes: int = attrs.field(default=0, init=False)
 
     @property
     def era(self) -> int:
-        """Return 0: the native table never comes back from a copy."""
+        """Return 0, as the native table is never restored from a backup."""
         return 0
 
     async def read_keys(self, keys: Iterable[str]) -> dict[str, Row]:
@@ -69,10 +72,10 @@
         return await self._read_rows(urlencode({'prefix': prefix}))
 
     async def commit(self, transaction: Transaction) -> int:
-        """Write a transaction; return the version that its rows got.
+        """Commit a transaction; return the version of its rows.
 
-        Raise ``WriteConflictError`` or ``PlatformUnavailableError`` where
-        nothing was written, ``WriteUnknownError`` where nobody can tell.
+        Raise ``WriteConflictError`` or ``PlatformUnavailableError`` if nothing
+        was written, ``WriteUnknownError`` if that is unknown.
         """
         self.writes += 1
         request = Request(
@@ -81,17 +84,23 @@
             body=msgspec.json.encode(transaction),
         )
         try:
-            response = await exchange(self.address, request, self.call_seconds)
+            response = await exchange(
+                self.address, request, self.timeout_seconds
+            )
         except ConnectFailedError as error:
             raise PlatformUnavailableError(str(error)) from error
         except HttpError as error:
             raise WriteUnknownError(str(error)) from error
         if response.status == _CONFLICT:
             raise WriteConflictError(response.body.decode())
-        if response.status == _TOO_MANY:
-            raise PlatformUnavailableError('the table refuses over its rate')
+        if response.status == _TOO_MANY_REQUESTS:
+            raise PlatformUnavailableError(
+                'the table refused the commit: its rate limit is exceeded'
+            )
         if not response.is_success:
-            raise WriteUnknownError(f'the table answered {response.status}')
+            raise WriteUnknownError(
+                f'the table answered a commit with status {response.status}'
+            )
         return msgspec.json.decode(response.body, type=_Committed).version
 
     async def instances(
@@ -99,7 +108,10 @@
         failure_domain: str | None,
         since: int,
     ) -> InstanceList:
-        """Read the list of live and leaving instances, if it changed."""
+        """Read the running and leaving instances, if the list has changed.
+
+        ``since`` is the version of the list that the caller has.
+        """
         query = {'since': str(since)}
         if failure_domain is not None:
             query['failure_domain'] = failure_domain
@@ -107,25 +119,31 @@
         return _decode(response, InstanceList)
 
     async def put_object(self, body: bytes) -> str:
-        """Store bytes under the name of their checksum; return the name."""
+        """Store bytes under their SHA-256 checksum; return the checksum."""
         name = hashlib.sha256(body).hexdigest()
         self.writes += 1
         request = Request('PUT', f'/objects/{name}', body=body)
         try:
-            response = await exchange(self.address, request, self.call_seconds)
+            response = await exchange(
+                self.address, request, self.timeout_seconds
+            )
         except HttpError as error:
-            # Storing the same bytes again does no harm, so this is no
-            # unknown write: the caller may simply try once more.
+            # Storing the same bytes again is harmless, so that the caller may
+            # retry even if the object was stored.
             raise PlatformUnavailableError(str(error)) from error
         if not response.is_success:
-            raise PlatformUnavailableError(f'objects: {response.status}')
+            raise PlatformUnavailableError(
+                f'cannot store an object: status {response.status}'
+            )
         return name
 
     async def get_object(self, name: str) -> bytes:
-        """Read bytes by checksum; raise ``DamagedObjectError`` if wrong."""
+        """Read bytes by checksum; raise ``DamagedObjectError`` on mismatch."""
         response = await self._get(f'/objects/{name}')
         if hashlib.sha256(response.body).hexdigest() != name:
-            raise DamagedObjectError(f'object {name} does not match its name')
+            raise DamagedObjectError(
+                f'the content of object {name} does not match its checksum'
+            )
         return response.body
 
     async def _read_rows(self, query: str) -> dict[str, Row]:
@@ -138,19 +156,21 @@
             response = await exchange(
                 self.address,
                 Request('GET', target),
-                self.call_seconds,
+                self.timeout_seconds,
             )
         except HttpError as error:
             raise PlatformUnavailableError(str(error)) from error
         if not response.is_success:
             raise PlatformUnavailableError(
-                f'{target} was answered with {response.status}',
+                f'{target}: unexpected status {response.status}',
             )
         return response
 
 
-def _decode(response: Response, wanted: type[Message]) -> Message:
+def _decode(response: Response, message_type: type[Message]) -> Message:
     try:
-        return msgspec.json.decode(response.body, type=wanted)
+        return msgspec.json.decode(response.body, type=message_type)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
-        raise PlatformUnavailableError(f'unreadable answer: {error}') from error
+        raise PlatformUnavailableError(
+            f'cannot decode an answer of the platform: {error}'
+        ) from error
--- a/src/cranecart/node/__init__.py
+++ b/src/cranecart/node/__init__.py
@@ -1,4 +1,4 @@
-"""One node: all its parts, wired together from its settings."""
+"""A node of the native platform: builds and connects its components."""
 
 from cranecart.node._node import Node
 
--- a/src/cranecart/node/_control_plane.py
+++ b/src/cranecart/node/_control_plane.py
@@ -1,4 +1,4 @@
-"""The parts of a node that deal with configuration and placement."""
+"""The components of a node for configuration, placement and sweeping."""
 
 import random
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 
 @attrs.frozen
 class ControlPlane:
-    """Follows the configuration and holds the duties that fall to it."""
+    """Follows the configuration and carries out the duties it holds."""
 
     _settings: NodeSettings
     _config: ActiveConfig
@@ -38,7 +38,7 @@
         config: ActiveConfig,
         random_source: random.Random,
     ) -> Self:
-        """Build the parts; nothing runs until ``run``."""
+        """Build the components; nothing runs until ``run``."""
         history = ConfigHistory(platform)
         duty = f'placer/{settings.failure_domain}'
         placer = Placer(
@@ -56,7 +56,7 @@
         return cls(settings, config, history, config_poller, placer, sweeper)
 
     async def run(self) -> None:
-        """Follow and place until cancelled."""
+        """Run the poller, the placer and the sweeper until cancelled."""
         async with curio.TaskGroup(wait=any) as tasks:
             await tasks.spawn(self._config_poller.run)
             await tasks.spawn(self._placer.run, self._config.declarations)
@@ -64,14 +64,14 @@
         raise_first_error(tasks)
 
     async def hand_over(self) -> None:
-        """Give the duties up, so that other nodes take them at once."""
+        """Release the duties, so that other nodes take over at once."""
         self._placer.stop()
         self._sweeper.stop()
         await self._placer.lease.release()
         await self._sweeper.lease.release()
 
     def duties(self) -> dict[str, str]:
-        """Return who holds each duty, as this node saw last."""
+        """Return the last known holder of each duty."""
         leases = (self._placer.lease, self._sweeper.lease)
         return {lease.duty: lease.holder for lease in leases}
 
--- a/src/cranecart/node/_demand_sharing.py
+++ b/src/cranecart/node/_demand_sharing.py
@@ -1,4 +1,4 @@
-"""Tell other nodes the demand for limits, and take theirs."""
+"""Exchange the demand for limited resources with other nodes."""
 
 import attrs
 
@@ -12,14 +12,14 @@
 
 @attrs.define
 class DemandSharing:
-    """Keeps the shares of limits in step with other nodes' demand."""
+    """Updates the nodes' shares of limits from their demand."""
 
     _members: Members
     _shares: LimitShares
     _published_demand: dict[str, int] = attrs.field(factory=dict, init=False)
 
-    def publish(self, peers: GossipProtocol, ticks: int) -> None:
-        """Publish what changed, and all of it at times, as it expires."""
+    def publish(self, gossip_protocol: GossipProtocol, ticks: int) -> None:
+        """Publish changed demand, and all of it periodically, as it expires."""
         demand = self._shares.demand()
         is_due = ticks % _REPUBLISH_INTERVAL_TICKS == 0
         has_changed = (
@@ -28,25 +28,25 @@
         )
         if is_due or has_changed:
             self._published_demand = demand
-            peers.publish(Topic.DEMAND, self._members.node_id, demand)
+            gossip_protocol.publish(Topic.DEMAND, self._members.node_id, demand)
 
     def add_live_nodes(self, nodes: frozenset[str]) -> None:
-        """Count nodes that live but have told nothing yet."""
+        """Count live nodes that have not published their demand yet."""
         self._shares.add_sources(nodes - {self._members.node_id})
 
     def apply_entry(self, entry: Entry) -> None:
-        """Take over a node's demand, or that it stops."""
+        """Apply another node's demand, or its joining or stopping."""
         match entry.key.topic:
             case Topic.DEMAND if entry.key.origin != self._members.node_id:
                 self._shares.record_demand(entry.key.origin, entry.body)
             case Topic.MEMBER if entry.body['stopping']:
                 self._shares.remove_source(entry.key.subject)
             case Topic.MEMBER if entry.key.subject != self._members.node_id:
-                # Counted from the moment it is known, before it tells more.
+                # The node counts as soon as it is known, before its demand is.
                 self._shares.add_sources([entry.key.subject])
 
     def apply_summary(self, summary: DomainSummary) -> None:
-        """Take over the demand of another failure domain."""
+        """Apply the demand of another failure domain."""
         domain = summary.failure_domain
         if domain != self._members.info.failure_domain and summary.versions:
             self._shares.record_demand(
@@ -56,7 +56,7 @@
             )
 
     def domain_demand(self) -> dict[str, int]:
-        """Return the demand of this failure domain's nodes together."""
+        """Return the total demand of the nodes in this failure domain."""
         demand_of_others = self._shares.total_demand(self._members.others())
         demand_of_others.update(self._shares.demand())
         return dict(demand_of_others)
--- a/src/cranecart/node/_node.py
+++ b/src/cranecart/node/_node.py
@@ -1,4 +1,4 @@
-"""The parts of one node, and its start and stop."""
+"""A node of the native platform: start, serve and stop."""
 
 import random
 from collections.abc import Sequence
@@ -37,18 +37,18 @@
 _GUARD_REFRESH_SECONDS = 0.5
 _DRAIN_POLL_SECONDS = 0.05
 _MILLISECONDS = 1000
-# A node that cannot hear of every instance gets ready all the same.
+# After this time a node becomes ready even without reports on all instances.
 _MAX_UNINFORMED_SECONDS = 8.0
 
 
 class Node:
-    """Everything that one process does."""
+    """Builds, connects and runs the components of one node process."""
 
     def __init__(self, settings: NodeSettings) -> None:
-        """Build the parts; nothing runs until ``run``."""
+        """Build the components; nothing runs until ``run``."""
         self._settings = settings
-        self._stopping = False
-        self._informed = False
+        self._is_stopping = False
+        self._was_informed = False
         self._started_at = since_boot()
         self._metrics = Metrics()
         self._config = ActiveConfig()
@@ -114,9 +114,9 @@
         )
 
     async def run(self) -> None:
-        """Serve until told to stop, then stop without cutting anything."""
+        """Serve until a stop signal, then let running requests finish."""
         async with stop_signal() as stop, curio.TaskGroup(wait=any) as tasks:
-            for part in (
+            for component in (
                 self._client_server,
                 self._admin_server,
                 self._peering,
@@ -124,7 +124,7 @@
                 self._instances,
                 self._prober,
             ):
-                await tasks.spawn(part.run)
+                await tasks.spawn(component.run)
             await tasks.spawn(self._measure_loop_lateness)
             await tasks.spawn(self._refresh_guard)
             await tasks.spawn(self._wait_for_stop, stop)
@@ -134,11 +134,11 @@
 
     async def _wait_for_stop(self, stop: StopSignal) -> None:
         await stop.wait()
-        self._stopping = True
+        self._is_stopping = True
         decision('node_stopping', in_flight=self._admission.in_progress)
         self._peering.state.stop()
         await self._control_plane.hand_over()
-        # The balancer needs a while to see that the node is not ready.
+        # The load balancer needs some time to notice that the node is not ready.
         await curio.sleep(self._settings.ready_off_ms / _MILLISECONDS)
         self._client_server.disable_keep_alive()
         deadline = since_boot() + self._settings.stop_grace_ms / _MILLISECONDS
@@ -163,7 +163,7 @@
             for instance in instances
             if instance.kind is not InstanceKind.NODE
         )
-        self._peering.peers.replace_listed_addresses(
+        self._peering.gossip_protocol.replace_listed_addresses(
             [
                 str(instance.address)
                 for instance in instances
@@ -173,7 +173,7 @@
 
     def _publish_probe(self, instance_id: str, probe: ProbeResult) -> None:
         body = msgspec.to_builtins(probe)
-        self._peering.peers.publish(Topic.REPORT, instance_id, body)
+        self._peering.gossip_protocol.publish(Topic.REPORT, instance_id, body)
 
     def _metrics_text(self) -> bytes:
         counts = {
@@ -191,15 +191,17 @@
         return self._metrics.text()
 
     def _is_ready(self) -> bool:
-        if self._stopping or self._config.declarations() is None:
+        if self._is_stopping or self._config.declarations() is None:
             return False
-        # Once it was informed, a node stays ready and serves what it can.
+        # Once it had reports, a node stays ready and serves what it can.
         domain = self._settings.failure_domain
-        late = since_boot() - self._started_at > _MAX_UNINFORMED_SECONDS
-        self._informed = (
-            self._informed or late or self._reports.is_informed(domain)
+        is_overdue = since_boot() - self._started_at > _MAX_UNINFORMED_SECONDS
+        self._was_informed = (
+            self._was_informed
+            or is_overdue
+            or self._reports.is_informed(domain)
         )
-        return self._informed
+        return self._was_informed
 
     def _status(self) -> NodeStatus:
         return NodeStatus(
--- a/src/cranecart/node/_peering.py
+++ b/src/cranecart/node/_peering.py
@@ -1,4 +1,4 @@
-"""The parts of a node that deal with other nodes."""
+"""The components of a node that communicate with other nodes."""
 
 import functools
 import random
@@ -39,12 +39,12 @@
 
 @attrs.frozen
 class Peering:
-    """Link, members, peers and the state shared with them."""
+    """The transport, the members, the gossip protocol and shared state."""
 
     members: Members
-    peers: GossipProtocol
+    gossip_protocol: GossipProtocol
     state: SharedState
-    _link: PeerTransport[Message]
+    _transport: PeerTransport[Message]
 
     @classmethod
     def from_settings(
@@ -55,9 +55,9 @@
         shares: LimitShares,
         random_source: random.Random,
     ) -> Self:
-        """Bind the peer address and build the parts."""
+        """Bind the peer address and build the components."""
         store = EntryStore()
-        link = PeerTransport(
+        transport = PeerTransport(
             Address.from_text(settings.peer_address),
             encode_message,
             decode_message,
@@ -66,10 +66,10 @@
             settings.node_id,
             MemberInfo(settings.reached_at, settings.failure_domain),
             store,
-            # A later life of the same node outranks the earlier one.
+            # After a restart, the node has to supersede its earlier incarnation.
             int(time.time() * _MILLISECONDS),
         )
-        gossip_sender = GossipSender(members, store, link)
+        gossip_sender = GossipSender(members, store, transport)
         state = SharedState(
             members,
             store,
@@ -78,9 +78,9 @@
             config,
             DemandSharing(members, shares),
         )
-        peers = GossipProtocol(
+        gossip_protocol = GossipProtocol(
             gossip_sender,
-            link,
+            transport,
             GossipSettings(settings.peers),
             PayloadExchanges(
                 ConfigExchange(
@@ -97,10 +97,10 @@
             ),
             random_source,
         )
-        return cls(members, peers, state, link)
+        return cls(members, gossip_protocol, state, transport)
 
     def make_guard(self, reports: ReportRegistry) -> RequestGuard:
-        """Build what holds requests that end targets, told by all nodes."""
+        """Build the guard that holds crashing requests, shared by all nodes."""
 
         def is_expected(runner: Runner) -> bool:  # noqa: WPS430
             instance = reports.instances.get(runner.incarnation.id)
@@ -108,22 +108,22 @@
 
         guard = RequestGuard(
             is_expected,
-            functools.partial(self.state.publish_cases, self.peers),
+            functools.partial(self.state.publish_cases, self.gossip_protocol),
         )
         self.state.apply_case = guard.merge_remote
         return guard
 
     async def run(self) -> None:
-        """Talk to other nodes until cancelled."""
+        """Communicate with other nodes until cancelled."""
         async with curio.TaskGroup(wait=any) as tasks:
-            await tasks.spawn(self.peers.run)
-            await tasks.spawn(self.state.run, self.peers)
+            await tasks.spawn(self.gossip_protocol.run)
+            await tasks.spawn(self.state.run, self.gossip_protocol)
         raise_first_error(tasks)
 
     def counts(self) -> dict[str, int]:
-        """Return the messages and bytes of the link so far."""
-        return self._link.counts()
+        """Return the counters of the transport."""
+        return self._transport.counts()
 
     def close(self) -> None:
         """Close the sockets."""
-        self._link.close()
+        self._transport.close()
--- a/src/cranecart/node/_shared_state.py
+++ b/src/cranecart/node/_shared_state.py
@@ -1,4 +1,4 @@
-"""What this node tells others and takes from them, between its parts."""
+"""Exchange reports, summaries, demand and configuration with other nodes."""
 
 from collections.abc import Callable, Collection, Iterable
 
@@ -33,17 +33,18 @@
 _SUMMARY_INTERVAL_TICKS = 10
 _REPUBLISH_INTERVAL_TICKS = 30
 _MAX_LISTED_NODES = 8
-# How long the findings of a node that is doubted still count; by then those
-# who ask in its place have found something.
+# How long the reports of a suspected node still count. By then, the nodes that
+# probe its instances instead have reports of their own.
 _OBSERVER_GRACE_SECONDS = 1.5
 _PROBERS_PER_INSTANCE = 2
-# They go to other failure domains with each message, some 200 bytes each.
+# Cases are sent to other failure domains in each message, at about 200 bytes
+# each.
 _MAX_CASES = 64
 
 
 @attrs.define
 class SharedState:
-    """Keeps book, directory and configuration in step with other nodes."""
+    """Keeps reports, directory and configuration in sync with other nodes."""
 
     _members: Members
     _store: EntryStore
@@ -51,9 +52,9 @@
     _directory: TargetDirectory
     _config: ActiveConfig
     _demand_sharing: DemandSharing
-    # Told what other nodes know of requests that end targets, and who says so.
+    # Called with each update on a crashing request, and the node that sent it.
     apply_case: Callable[[CaseUpdate, str], object] = attrs.field(
-        default=lambda _news, _sender: None,
+        default=lambda _update, _sender: None,
         init=False,
     )
     _summary: DomainSummary | None = attrs.field(default=None, init=False)
@@ -64,20 +65,20 @@
     _last_seen_alive: dict[str, float] = attrs.field(factory=dict, init=False)
     _probed_instances: list[str] = attrs.field(factory=list, init=False)
 
-    async def run(self, peers: GossipProtocol) -> None:
-        """Follow who lives, and tell what changed here."""
+    async def run(self, gossip_protocol: GossipProtocol) -> None:
+        """Follow which nodes are alive, and publish changes of this node."""
         ticks = 0
         while True:
-            self._update_live_nodes(peers)
+            self._update_live_nodes(gossip_protocol)
             self._announce_config()
-            self._demand_sharing.publish(peers, ticks)
+            self._demand_sharing.publish(gossip_protocol, ticks)
             ticks += 1
             if ticks % _SUMMARY_INTERVAL_TICKS == 0 and self._is_relay():
-                self._publish_summary(peers, ticks)
+                self._publish_summary(gossip_protocol, ticks)
             await curio.sleep(_TICK_SECONDS)
 
     def replace_instances(self, instances: Iterable[Instance]) -> None:
-        """Take over a new list, and what was said of those new on it."""
+        """Apply a new list, and known reports on the instances new in it."""
         self._reports.replace_instances(instances)
         self._choose_probed_instances()
         self._reapply_reports(self._trusted_observers)
@@ -87,11 +88,11 @@
         return list(self._reports.instances.values())
 
     def stop(self) -> None:
-        """Tell others that this node is about to stop."""
+        """Announce to other nodes that this node is stopping."""
         self._members.announce(attrs.evolve(self._members.info, stopping=True))
 
     def apply_entry(self, entry: Entry) -> None:
-        """Take over an entry that was just accepted."""
+        """Apply an entry that was just accepted."""
         match entry.key.topic:
             case Topic.REPORT:
                 self._apply_report(entry)
@@ -107,16 +108,16 @@
                 self._demand_sharing.apply_entry(entry)
 
     def publish_cases(
-        self, peers: GossipProtocol, cases: Iterable[CaseUpdate]
+        self, gossip_protocol: GossipProtocol, cases: Iterable[CaseUpdate]
     ) -> None:
-        """Tell the other nodes of requests under which targets have ended."""
+        """Publish cases of requests that may have crashed their targets."""
         for update in cases:
             body = msgspec.to_builtins(update)
-            peers.publish(Topic.CASE, update.identity, body)
+            gossip_protocol.publish(Topic.CASE, update.identity, body)
         self._discard_old_cases()
 
     def active_config(self) -> EncodedConfig:
-        """Return the configuration in force."""
+        """Return the active configuration."""
         release = self._config.release
         return EncodedConfig(
             release.version,
@@ -124,28 +125,30 @@
             self._config.encoded,
         )
 
-    def apply_config(self, held: EncodedConfig) -> None:
-        """Put a configuration in force that a peer gave."""
-        release = Release(held.version, held.sha256)
-        self._config.activate(release, held.encoded)
+    def apply_config(self, config: EncodedConfig) -> None:
+        """Activate a configuration that a peer has sent."""
+        release = Release(config.version, config.sha256)
+        self._config.activate(release, config.encoded)
 
     def versions(self) -> DomainVersions:
-        """Return how far the nodes of this failure domain have come."""
-        held = {
-            name: info.config_version
-            for name, info in self._members.all_members()
+        """Return the configuration versions in this failure domain."""
+        versions = {
+            node_id: info.config_version
+            for node_id, info in self._members.all_members()
         }
-        newest = max(held.values(), default=0)
-        behind = sorted(name for name, one in held.items() if one < newest)
+        newest = max(versions.values(), default=0)
+        behind = sorted(
+            node_id for node_id, version in versions.items() if version < newest
+        )
         return DomainVersions(
-            len(held),
-            min(held.values(), default=0),
+            len(versions),
+            min(versions.values(), default=0),
             newest,
             tuple(behind[:_MAX_LISTED_NODES]),
         )
 
     def probed_instances(self) -> Collection[str]:
-        """Return the instances that this node answers for."""
+        """Return the instances that this node has to probe."""
         return self._probed_instances
 
     def _discard_old_cases(self) -> None:
@@ -153,26 +156,28 @@
         self._store.remove(cases[:-_MAX_CASES])
 
     def _choose_probed_instances(self) -> None:
-        # Worth doing on change only: it is a hash for each instance and node.
+        # Only called on changes: it computes a hash per instance and node.
         domain = self._members.info.failure_domain
         self._probed_instances = [
-            name
-            for name, instance in self._reports.instances.items()
+            instance_id
+            for instance_id, instance in self._reports.instances.items()
             if instance.failure_domain == domain
             and self._members.node_id
-            in choose_nodes(name, self._live_nodes, _PROBERS_PER_INSTANCE)
+            in choose_nodes(
+                instance_id, self._live_nodes, _PROBERS_PER_INSTANCE
+            )
         ]
 
-    def _update_live_nodes(self, peers: GossipProtocol) -> None:
+    def _update_live_nodes(self, gossip_protocol: GossipProtocol) -> None:
         live = frozenset(self._members.alive())
-        if peers.is_isolated:
+        if gossip_protocol.is_isolated:
             live = frozenset((self._members.node_id,))
         now = since_boot()
         self._last_seen_alive.update(dict.fromkeys(live, now))
         trusted = frozenset(
-            name
-            for name, seen in self._last_seen_alive.items()
-            if now - seen < _OBSERVER_GRACE_SECONDS
+            node_id
+            for node_id, last_seen in self._last_seen_alive.items()
+            if now - last_seen < _OBSERVER_GRACE_SECONDS
         )
         if live != self._live_nodes:
             self._live_nodes = live
@@ -182,7 +187,7 @@
             returned = trusted - self._trusted_observers
             self._trusted_observers = trusted
             self._reports.replace_live_nodes(trusted)
-            # What was found in doubtful times has to be taken in again.
+            # Reports that were ignored meanwhile have to be applied now.
             self._reapply_reports(returned)
 
     def _reapply_reports(self, origins: Collection[str]) -> None:
@@ -190,14 +195,16 @@
             if entry.key.origin in origins:
                 self._apply_report(entry)
 
-    def _publish_summary(self, peers: GossipProtocol, ticks: int) -> None:
+    def _publish_summary(
+        self, gossip_protocol: GossipProtocol, ticks: int
+    ) -> None:
         summary = self._directory.summary(
             self.versions(),
             self._demand_sharing.domain_demand(),
         )
         if summary != self._summary or ticks % _REPUBLISH_INTERVAL_TICKS == 0:
             self._summary = summary
-            peers.publish(
+            gossip_protocol.publish(
                 Topic.SUMMARY,
                 summary.failure_domain,
                 msgspec.to_builtins(summary),
@@ -219,18 +226,18 @@
         return chosen == [self._members.node_id]
 
     def _apply_report(self, entry: Entry) -> None:
-        name = entry.key.subject
-        origin = entry.key.origin
+        instance_id = entry.key.subject
+        observer = entry.key.origin
         if (
-            origin not in self._trusted_observers
-            or origin == self._members.node_id
+            observer not in self._trusted_observers
+            or observer == self._members.node_id
         ):
             return
         probe = msgspec.convert(entry.body, ProbeResult)
         match probe.reach:
             case ProbeOutcome.ANSWERED if probe.report:
-                self._reports.record_report(probe.report, origin)
+                self._reports.record_report(probe.report, observer)
             case ProbeOutcome.SILENT:
-                self._reports.record_unreachable(name, origin)
+                self._reports.record_unreachable(instance_id, observer)
             case _:
-                self._reports.remove_observation(name, origin)
+                self._reports.remove_observation(instance_id, observer)
