--- a/tests/lib/random_restores.py
+++ b/tests/lib/random_restores.py
@@ -19,7 +19,7 @@
     entry_row,
 )
 from tests.lib.waiting import until
-from tests.platform._standin import StandinStore, StoreCopy
+from tests.platform._standin import StandinStore, StoreBackup
 
 _LOOK_SECONDS = 0.02
 _HEARTBEAT_SECONDS = 1.2
@@ -70,7 +70,7 @@
     _draw: random.Random = attrs.field(init=False)
     _store: StandinStore = attrs.field(init=False)
     _targets: list[Target] = attrs.field(init=False)
-    _copies: list[StoreCopy] = attrs.field(factory=list, init=False)
+    _copies: list[StoreBackup] = attrs.field(factory=list, init=False)
     _version: int = attrs.field(default=10, init=False)
     _config_acked_at: float = attrs.field(default=0, init=False)
     _disturbed_at: float = attrs.field(default=0, init=False)
@@ -107,7 +107,7 @@
 
     async def _play(self, testbed: StoreTestbed) -> None:
         await curio.sleep(1)
-        self._copies.append(self._store.copied())
+        self._copies.append(self._store.backup())
         for _number in range(_ACTIONS):
             await self._act(testbed)
             await curio.sleep(self._draw.choice((0, 0.05, 0.3, 1)))
@@ -131,7 +131,7 @@
             await waiting[chosen - len(actions)](testbed)
 
     def _configure(self, _testbed: StoreTestbed) -> None:
-        if not self._store.is_away:
+        if not self._store.is_unavailable:
             self._version += self._draw.randint(1, 3)
             self._write_config()
 
@@ -147,14 +147,14 @@
 
     def _turn(self, earlier: str, state: str) -> None:
         found = [one for one in self._targets if one.state == earlier]
-        if found and not self._store.is_away:
+        if found and not self._store.is_unavailable:
             target = self._draw.choice(found)
             target.state = state
             target.write(self._store)
 
     def _copy(self, _testbed: StoreTestbed) -> None:
-        if not self._store.is_away:
-            self._copies.append(self._store.copied())
+        if not self._store.is_unavailable:
+            self._copies.append(self._store.backup())
 
     def _cut(self, testbed: StoreTestbed) -> None:
         """Cut a node from the store, or let all reach it again."""
@@ -168,7 +168,7 @@
 
     async def _restore(self, _testbed: StoreTestbed) -> None:
         """Be away for a while and come back from a copy, maybe an old one."""
-        self._store.is_away = True
+        self._store.is_unavailable = True
         await curio.sleep(self._draw.choice((0.2, 1, 2.5)))
         self._store.restore(self._draw.choice(self._copies[-3:]))
         self._disturbed_at = time.monotonic()
@@ -215,7 +215,7 @@
         while True:
             await curio.sleep(_HEARTBEAT_SECONDS)
             for target in self._targets:
-                if not self._store.is_away:
+                if not self._store.is_unavailable:
                     target.write(self._store)
 
     async def _watch(self, testbed: StoreTestbed) -> None:
@@ -239,7 +239,10 @@
     def _in_touch(
         self, testbed: StoreTestbed, now: float
     ) -> Iterator[TestbedNode]:
-        if self._store.is_away or now - self._disturbed_at < _CONTACT_SECONDS:
+        if (
+            self._store.is_unavailable
+            or now - self._disturbed_at < _CONTACT_SECONDS
+        ):
             return
         for name, since in self._since.items():
             node = testbed.nodes[name]
--- a/tests/platform/_standin.py
+++ b/tests/platform/_standin.py
@@ -33,7 +33,7 @@
 
 
 @attrs.frozen
-class StoreCopy:
+class StoreBackup:
     """What a store held at some moment."""
 
     version: int
@@ -54,32 +54,32 @@
     version: int = 0
     page_rows: int = 500
     faults: deque[int | str] = attrs.field(factory=deque)
-    oldest: int = 0
+    oldest_version: int = 0
     orders: list[dict[str, Any]] = attrs.field(factory=list)
     order_status: int = 202
     era: int | None = None
-    is_away: bool = False
-    is_deaf: bool = False
-    is_mute: bool = False
+    is_unavailable: bool = False
+    feeds_are_stalled: bool = False
+    is_unresponsive: bool = False
     calls: Counter[tuple[str, str]] = attrs.field(factory=Counter, init=False)
     _log: list[tuple[int, RowKey]] = attrs.field(factory=list)
     _mutes: int = attrs.field(default=0, init=False)
 
-    def forget_history(self) -> None:
+    def discard_history(self) -> None:
         """Answer no feed any more from what was before now."""
-        self.oldest = self.version
-        self.is_deaf = False
+        self.oldest_version = self.version
+        self.feeds_are_stalled = False
 
-    def be_mute(self, *, is_mute: bool) -> None:
+    def set_unresponsive(self, *, is_unresponsive: bool) -> None:
         """Answer nothing from now on, or answer again what is asked then."""
-        self.is_mute = is_mute
+        self.is_unresponsive = is_unresponsive
         self._mutes += 1
 
-    def copied(self) -> 'StoreCopy':
+    def backup(self) -> 'StoreBackup':
         """Return a copy of what the store holds now."""
-        return StoreCopy(self.version, dict(self.rows), copy.copy(self._log))
+        return StoreBackup(self.version, dict(self.rows), copy.copy(self._log))
 
-    def restore(self, earlier: 'StoreCopy') -> None:
+    def restore(self, earlier: 'StoreBackup') -> None:
         """Come back from a copy: what was written since is gone.
 
         Versions go on from the copy's, and none that it lacks can be read
@@ -89,7 +89,7 @@
         self.rows = dict(earlier.rows)
         self._log = copy.copy(earlier.log)
         self.era = (self.era or 0) + 1
-        self.is_away = False
+        self.is_unavailable = False
 
     def put(self, table: str, part: str, key: str, value: object) -> None:
         """Write a row past all conditions."""
@@ -113,17 +113,17 @@
             return
         mutes = self._mutes
         response = await self._answer(request)
-        if self.is_mute or self._mutes != mutes:
+        if self.is_unresponsive or self._mutes != mutes:
             await curio.sleep(60)
         if fault != 'lost':
             await responder.send(response)
 
     async def _answer(self, request: Request) -> Response:
-        if self.is_away:
+        if self.is_unavailable:
             return Response(_UNAVAILABLE)
         era = self.era
         response = await self._answer_now(request)
-        if self.is_away or self.era != era:
+        if self.is_unavailable or self.era != era:
             # A call that was under way when the store went away.
             return Response(_UNAVAILABLE)
         return self._of_era(response)
@@ -181,9 +181,9 @@
         turns = int(query['waitMs']) // 10 + 1
         if self._has_forgotten(since):
             return Response(_GONE)
-        while self.is_deaf or turns > 0:
+        while self.feeds_are_stalled or turns > 0:
             turns -= 1
-            if self.is_away or self._changed(query['tableName'], since):
+            if self.is_unavailable or self._changed(query['tableName'], since):
                 break
             await curio.sleep(_FEED_LOOK_SECONDS)
         if self._has_forgotten(since):
@@ -192,10 +192,10 @@
         return self._told({'rows': [self._row(key) for key in keys]})
 
     def _has_forgotten(self, since: int) -> bool:
-        return since < self.oldest or since > self.version
+        return since < self.oldest_version or since > self.version
 
     def _changed(self, table: str, since: int) -> list[RowKey]:
-        if self.is_deaf:
+        if self.feeds_are_stalled:
             return []
         return [key for at, key in self._log if at > since and key[0] == table]
 
--- a/tests/platform/test_other_writers.py
+++ b/tests/platform/test_malformed_rows.py
@@ -29,9 +29,9 @@
 )
 from cranecart.ports import Changes, ListedInstance, Put, Row, Transaction
 from cranecart.serving._node_registration import peers_from_rows
-from tests.platform._rows import FixedRowsClient
+from tests.platform._fixed_rows import FixedRowsClient
 from tests.platform._standin import StandinStore, start
-from tests.platform.test_figures import _CONFIG, _ENTRY
+from tests.platform.test_numeric_fields import _CONFIG, _ENTRY
 
 _JUNK = st.recursive(
     st.none()
--- a/tests/platform/test_figures.py
+++ b/tests/platform/test_numeric_fields.py
@@ -24,7 +24,7 @@
     PlatformTargetList,
 )
 from cranecart.ports import ListedInstance
-from tests.platform._rows import FixedRowsClient
+from tests.platform._fixed_rows import FixedRowsClient
 
 Path = tuple[str | int, ...]
 
--- a/tests/platform/test_reads_after_restore.py
+++ b/tests/platform/test_reads_after_restore.py
@@ -43,12 +43,12 @@
     async def _forget(self, testbed: StoreTestbed) -> None:
         store = testbed.store
         store.calls.clear()
-        store.is_deaf = True
+        store.feeds_are_stalled = True
         await curio.sleep(0.05)
         store.put('op', '', 'config', config_row(11))
         store.put('servers', '', 'i-1', entry_row('draining', born=2))
         await curio.sleep(_DEAF_SECONDS)
-        store.forget_history()
+        store.discard_history()
         await until(
             lambda: testbed.all_have_version(11) and testbed.none_uses('i-1'),
             _AIM_SECONDS - _DEAF_SECONDS,
@@ -59,10 +59,10 @@
     async def _return(self, testbed: StoreTestbed) -> None:
         store = testbed.store
         store.calls.clear()
-        earlier = store.copied()
+        earlier = store.backup()
         store.put('servers', '', 'i-2', entry_row(slots=5, born=3))
         await curio.sleep(0.7)
-        store.is_away = True
+        store.is_unavailable = True
         # All nodes ask for themselves by then, each at a moment of its own.
         await curio.sleep(_AWAY_SECONDS)
         store.restore(earlier)
--- a/tests/platform/test_restored_store.py
+++ b/tests/platform/test_restored_store.py
@@ -75,14 +75,14 @@
     async def _return(self, testbed: StoreTestbed) -> None:
         """Lose what is written here, and come back."""
         store = testbed.store
-        earlier = store.copied()
+        earlier = store.backup()
         store.put('op', '', 'config', config_row(11))
         for number in range(40):
             store.put('other', '', f'k{number}', 'lost')
         await until(lambda: testbed.all_have_version(11))
         # Empty answers to those who wait for changes tell the newest version.
         await curio.sleep(_FEED_SECONDS)
-        store.is_away = True
+        store.is_unavailable = True
         await curio.sleep(_AWAY_SECONDS)
         store.restore(earlier)
 
@@ -111,21 +111,21 @@
         await until(lambda: testbed.none_uses('i-1'), _AIM_SECONDS)
 
     async def _keep_left(self, testbed: StoreTestbed) -> None:
-        earlier = testbed.store.copied()
+        earlier = testbed.store.backup()
         testbed.store.put('servers', '', 'i-1', entry_row('draining', born=2))
         await until(lambda: testbed.none_uses('i-1'))
         testbed.store.restore(earlier)
         await self._watch(lambda: testbed.none_uses('i-1'))
 
     async def _keep_gone(self, testbed: StoreTestbed) -> None:
-        earlier = testbed.store.copied()
+        earlier = testbed.store.backup()
         testbed.store.drop('servers', '', 'i-1')
         await until(lambda: testbed.none_uses('i-1'))
         testbed.store.restore(earlier)
         await self._watch(lambda: testbed.none_uses('i-1'))
 
     async def _keep_new(self, testbed: StoreTestbed) -> None:
-        earlier = testbed.store.copied()
+        earlier = testbed.store.backup()
         entry = entry_row(born=8)
         testbed.store.put('servers', '', 'i-7', entry)
         await until(lambda: testbed.all_use('i-7'))
@@ -147,7 +147,7 @@
     async def _take_lease(self) -> None:
         store = populated_store(_INSTANCES)
         server, address = await start(store)
-        earlier = store.copied()
+        earlier = store.backup()
         first, second = (
             Lease('x/y', name, PlatformTable(StoreClient(address)), _TIMES)
             for name in ('first', 'second')
--- a/tests/platform/test_versions.py
+++ b/tests/platform/test_row_versions.py
@@ -30,7 +30,7 @@
         """Answer one call, perhaps in another era than the last."""
         if self.turns:
             self.turns -= 1
-            self.restore(self.copied())
+            self.restore(self.backup())
         await super().handle(request, responder)
 
 
@@ -39,7 +39,7 @@
     return await table.commit(Transaction(checks, (Put(_KEY, 'x'),)))
 
 
-class VersionsTest(unittest.TestCase):
+class RowVersionsTest(unittest.TestCase):
     """What is newer has the greater version, in whatever era."""
 
     @given(
@@ -91,7 +91,7 @@
         store: _TurningStore,
         client: StoreClient,
     ) -> None:
-        earlier = store.copied()
+        earlier = store.backup()
         for _turn in range(5):
             store.put('t', '', 'k', 'x')
         before = await client.read_part('t', '')
@@ -107,7 +107,7 @@
     async def _feed(self, store: _TurningStore, client: StoreClient) -> None:
         store.put('t', '', 'k', 'x')
         seen = (await client.read_part('t', '')).schema_version
-        store.restore(store.copied())
+        store.restore(store.backup())
         with self.assertRaises(HistoryLostError):
             await client.feed('t', seen, 0)
         self.assertEqual(client.era, 2)
@@ -122,7 +122,7 @@
         client: StoreClient,
     ) -> None:
         table = PlatformTable(client)
-        earlier = store.copied()
+        earlier = store.backup()
         version = await _write(table)
         store.restore(earlier)
         await _write(table)
--- a/tests/platform/test_stalled_feeds.py
+++ b/tests/platform/test_stalled_feeds.py
@@ -35,9 +35,9 @@
         run_scenario(3, _INSTANCES, _SETTLE_SECONDS, self._succeed)
 
     async def _fall_silent(self, testbed: StoreTestbed) -> None:
-        testbed.store.be_mute(is_mute=True)
+        testbed.store.set_unresponsive(is_unresponsive=True)
         await curio.sleep(_MUTE_SECONDS)
-        testbed.store.be_mute(is_mute=False)
+        testbed.store.set_unresponsive(is_unresponsive=False)
         await curio.sleep(_CONTACT_SECONDS)
 
     async def _configure(self, testbed: StoreTestbed) -> None:
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -119,7 +119,7 @@
 
     def test_history_gone(self) -> None:
         """A feed from before the history's start says so."""
-        self.store.oldest = 5
+        self.store.oldest_version = 5
         with self.assertRaises(HistoryLostError):
             self._run(lambda one: PlatformTargetList(one).changes(1, 0))
 
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -42,7 +42,7 @@
 _LIMIT_SHARES = 'tests.unit.test_limit_shares'
 _RESTORED = 'tests.platform.test_restored_store.RestoredStoreTest'
 _RESTORED_RECORDS = 'tests.unit.test_restored_records.RestoredRecordsTest'
-_VERSIONS = 'tests.platform.test_versions.VersionsTest'
+_VERSIONS = 'tests.platform.test_row_versions.RowVersionsTest'
 _BUFFERED_RESPONSES = 'tests.unit.test_forwarding.BufferedResponseTest'
 
 MUTATIONS = (
