--- a/src/cranecart/clients/_attempts.py
+++ b/src/cranecart/client_api/_attempts.py
@@ -7,7 +7,7 @@
 import curio
 from curio.errors import TaskTimeout
 
-from cranecart.clients._errors import client_error_from
+from cranecart.client_api._errors import client_error_from
 from cranecart.exceptions import (
     DeadlineError,
     Execution,
@@ -22,8 +22,8 @@
 from cranecart.retries import RetryBudget
 from cranecart.targets import Call
 
-Answer = TypeVar('Answer')
-Attempt = Callable[[], Awaitable[Answer]]
+AnswerT = TypeVar('AnswerT')
+Attempt = Callable[[], Awaitable[AnswerT]]
 
 _MAX_ATTEMPTS = 4
 
@@ -38,7 +38,7 @@
     _attempt_count: int = attrs.field(default=0, init=False)
     _last_error: TargetError | None = attrs.field(default=None, init=False)
 
-    async def run(self, attempt: Attempt[Answer]) -> Answer:
+    async def run(self, attempt: Attempt[AnswerT]) -> AnswerT:
         """Return the first answer; raise ``RequestError`` if none came.
 
         A call that may have run is retried only if it is repeatable.
@@ -99,9 +99,9 @@
 
 async def within_deadline(
     call: Call,
-    function: Callable[..., Awaitable[Answer]],
+    function: Callable[..., Awaitable[AnswerT]],
     *arguments: object,
-) -> Answer:
+) -> AnswerT:
     """Await until the call's deadline; raise ``TargetTimeoutError`` then."""
     try:
         return await curio.timeout_after(
--- a/src/cranecart/clients/_gateway.py
+++ b/src/cranecart/client_api/_gateway.py
@@ -6,10 +6,10 @@
 import attrs
 
 from cranecart.claims import AcquiredClaim, ClaimStore, RecordedResponse
-from cranecart.clients._attempts import CallAttempts, within_deadline
-from cranecart.clients._errors import error_response
-from cranecart.clients._relay import StreamRelay, leader_runner
-from cranecart.clients._request_parsing import authenticate, parse_call
+from cranecart.client_api._attempts import CallAttempts, within_deadline
+from cranecart.client_api._errors import error_response
+from cranecart.client_api._relay import StreamRelay, leader_runner
+from cranecart.client_api._request_parsing import authenticate, parse_call
 from cranecart.clocks import since_boot
 from cranecart.declarations import Declarations
 from cranecart.exceptions import (
--- a/src/cranecart/clients/_relay.py
+++ b/src/cranecart/client_api/_relay.py
@@ -1,8 +1,8 @@
 """Relay a stream; resume it at another replica where that is safe."""
 
-from cranecart.clients._attempts import within_deadline
-from cranecart.clients._errors import ErrorBody
-from cranecart.clients._sse import EventCounter, error_event
+from cranecart.client_api._attempts import within_deadline
+from cranecart.client_api._errors import ErrorBody
+from cranecart.client_api._sse import EventCounter, error_event
 from cranecart.exceptions import (
     ConnectionBrokenError,
     RequestError,
--- a/src/cranecart/forwarding/_sender.py
+++ b/src/cranecart/forwarding/_sender.py
@@ -25,7 +25,7 @@
 from cranecart.ports import AnswerFacts, CallForm, Dispatch
 from cranecart.routing import Target, TargetRouter
 
-Answer = TypeVar('Answer')
+AnswerT = TypeVar('AnswerT')
 
 # Called with a replica that may have stopped, and the evidence for it.
 SuspicionReporter = Callable[[tuple[str, int], str], Awaitable[None]]
@@ -118,8 +118,8 @@
         call: RoutedCall,
         target: Target,
         limits: SilenceLimits,
-        read: Callable[[], Awaitable[Answer]],
-    ) -> Answer:
+        read: Callable[[], Awaitable[AnswerT]],
+    ) -> AnswerT:
         """Await ``read`` while checking the target against the limits.
 
         Raise ``TargetTimeoutError`` at the call's deadline and
--- a/src/cranecart/node/_node.py
+++ b/src/cranecart/node/_node.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from cranecart.claims import ClaimStore
-from cranecart.clients import Gateway
+from cranecart.client_api import Gateway
 from cranecart.clocks import awake, since_boot
 from cranecart.gossip import Topic
 from cranecart.http import HttpServer
--- a/src/cranecart/targets/_directory.py
+++ b/src/cranecart/targets/_directory.py
@@ -13,7 +13,7 @@
 from cranecart.targets._complete_replicas import ServingReplica
 from cranecart.targets._report_registry import ReportRegistry
 
-Target = TypeVar('Target', ServingReplica, Instance)
+TargetT = TypeVar('TargetT', ServingReplica, Instance)
 
 SUMMARY_TTL_SECONDS = 8.0
 _MAX_TARGETS_PER_NAME = 4
@@ -123,9 +123,9 @@
 
 
 def _first_per_name(
-    targets: Iterable[Target],
-    name: Callable[[Target], str],
-) -> Iterator[Target]:
+    targets: Iterable[TargetT],
+    name: Callable[[TargetT], str],
+) -> Iterator[TargetT]:
     groups = itertools.groupby(sorted(targets, key=name), name)
     for _name, group in groups:
         yield from itertools.islice(group, _MAX_TARGETS_PER_NAME)
--- a/tests/unit/test_native_crashing_requests.py
+++ b/tests/unit/test_native_crashing_requests.py
@@ -14,7 +14,7 @@
 import attrs
 import curio
 
-from cranecart.clients import Gateway
+from cranecart.client_api import Gateway
 from cranecart.exceptions import HeldError, RequestError
 from cranecart.instances import Instance, InstanceKind
 from cranecart.quarantine import CaseUpdate, RequestGuard
--- a/tests/unit/test_sse.py
+++ b/tests/unit/test_sse.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cranecart.clients._sse import EventCounter
+from cranecart.client_api._sse import EventCounter
 
 _EVENT = b'data: {"x": 1}\n\n'
 _DONE = b'data: [DONE]\n\n'
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -48,7 +48,7 @@
 MUTATIONS = (
     Mutation(
         'claims-not-made',
-        'clients/_gateway.py',
+        'client_api/_gateway.py',
         'if call.repeatable or not call.idempotency_key:',
         'if call:',
         'tests.functional.test_at_most_once.AtMostOnceTest'
@@ -64,7 +64,7 @@
     ),
     Mutation(
         'claims-released-when-unknown',
-        'clients/_gateway.py',
+        'client_api/_gateway.py',
         'error.execution is Execution.NOT_RUN',
         'error.execution is not None',
         'tests.functional.test_at_most_once.AtMostOnceTest'
