--- a/src/cranecart/client_api/_relay.py
+++ b/src/cranecart/client_api/_relay.py
@@ -73,7 +73,7 @@
                 await self._relay(replica, progress)
 
     async def finish_with_error(self, error: RequestError) -> None:
-        """End a stream that has started with an error event."""
+        """Send an error event and end the stream, which has started already."""
         body = ErrorBody.from_error(error, self._call.request_id)
         decision(
             'stream_cut_short',
--- a/src/cranecart/targets/_complete_replicas.py
+++ b/src/cranecart/targets/_complete_replicas.py
@@ -45,10 +45,10 @@
     As an instance reports one replica only, no instance can be in two.
     """
     ready_members: dict[_Group, set[str]] = defaultdict(set)
-    for name, report in reports.items():
-        if _can_serve(instances.get(name), report):
+    for instance_id, report in reports.items():
+        if _can_serve(instances.get(instance_id), report):
             group = (report.replica, report.generation, report.members)
-            ready_members[group].add(name)
+            ready_members[group].add(instance_id)
     for (_replica, _generation, members), ready in ready_members.items():
         if members and ready == set(members):
             yield _serving_replica(instances[members[0]], reports[members[0]])
--- a/src/cranecart/targets/_loss_detector.py
+++ b/src/cranecart/targets/_loss_detector.py
@@ -16,10 +16,11 @@
     _reached_at: dict[str, float] = attrs.field(factory=dict, init=False)
     _updated_at: float = attrs.field(default=float('-inf'), init=False)
 
-    def keep_only(self, names: Iterable[str], now: float) -> None:
+    def keep_only(self, instance_ids: Iterable[str], now: float) -> None:
         """Replace the set of instances; the timers of new ones start now."""
         self._reached_at = {
-            name: self._reached_at.get(name, now) for name in names
+            instance_id: self._reached_at.get(instance_id, now)
+            for instance_id in instance_ids
         }
 
     def restart_timers(self, now: float) -> None:
@@ -42,7 +43,8 @@
     ) -> frozenset[str]:
         """Return the instances that count as lost."""
         return frozenset(
-            name
-            for name, reached_at in self._reached_at.items()
-            if now - reached_at > LOST_AFTER_SECONDS and not is_reached(name)
+            instance_id
+            for instance_id, reached_at in self._reached_at.items()
+            if now - reached_at > LOST_AFTER_SECONDS
+            and not is_reached(instance_id)
         )
--- a/src/cranecart/targets/_observations.py
+++ b/src/cranecart/targets/_observations.py
@@ -48,10 +48,8 @@
 
     def keep_only(self, nodes: frozenset[str]) -> None:
         """Forget the observations of all but these nodes and this one."""
-        for stale_node in (
-            self._observations.keys() - nodes - {self._own_node_id}
-        ):
-            self._observations.pop(stale_node)
+        for node_id in self._observations.keys() - nodes - {self._own_node_id}:
+            self._observations.pop(node_id)
 
     @property
     def valid_until(self) -> float:
@@ -89,10 +87,10 @@
         """Return the observations of the nodes that reach the instance."""
         return [
             observation
-            for node, observation in self._observations.items()
+            for node_id, observation in self._observations.items()
             if observation.report is not None
             and (
-                node != self._own_node_id
+                node_id != self._own_node_id
                 or now - observation.at <= FRESH_SECONDS
             )
         ]
--- a/src/cranecart/targets/_replica_index.py
+++ b/src/cranecart/targets/_replica_index.py
@@ -43,22 +43,22 @@
 
     def update(
         self,
-        name: str,
+        instance_id: str,
         report: MemberReport | None,
         instances: Mapping[str, Instance],
     ) -> None:
         """Replace an instance's report; ``None`` means that none is valid."""
-        previous = self._reports.pop(name, None)
+        previous = self._reports.pop(instance_id, None)
         if report is not None:
-            self._reports[name] = report
+            self._reports[instance_id] = report
         changed = {
             _group_of(one) for one in (previous, report) if one is not None
         }
         for group in changed:
             if report is not None and _group_of(report) == group:
-                self._groups[group].add(name)
+                self._groups[group].add(instance_id)
             else:
-                self._groups[group].discard(name)
+                self._groups[group].discard(instance_id)
             self._refresh_group(group, instances)
 
     def _refresh_group(
@@ -69,7 +69,9 @@
         present = self._groups[group]
         if not present:
             self._groups.pop(group)
-        reports = {name: self._reports[name] for name in present}
+        reports = {
+            instance_id: self._reports[instance_id] for instance_id in present
+        }
         found = list(complete_replicas(instances, reports))
         if found:
             self._complete[group] = found[0]
--- a/src/cranecart/targets/_report_registry.py
+++ b/src/cranecart/targets/_report_registry.py
@@ -40,21 +40,21 @@
     def is_informed(self, failure_domain: str) -> bool:
         """Return whether every instance of a domain was observed at all."""
         return bool(self._instances) and all(
-            self._observations[name].is_known
-            for name, instance in self._instances.items()
+            self._observations[instance_id].is_known
+            for instance_id, instance in self._instances.items()
             if instance.failure_domain == failure_domain
         )
 
     def replace_instances(self, instances: Iterable[Instance]) -> None:
         """Replace the list; forget instances that are no longer on it."""
-        previous_names = self._instances.keys()
+        previous_ids = self._instances.keys()
         self._instances = {instance.id: instance for instance in instances}
-        for name in previous_names - self._instances.keys():
-            self._replica_index.update(name, None, self._instances)
+        for instance_id in previous_ids - self._instances.keys():
+            self._replica_index.update(instance_id, None, self._instances)
         self._observations = {
-            name: self._observations.get(name)
+            instance_id: self._observations.get(instance_id)
             or InstanceObservations(self.node_id)
-            for name in self._instances
+            for instance_id in self._instances
         }
         self._loss_detector.keep_only(self._instances, self._clock())
         self._refresh_all()
@@ -83,9 +83,9 @@
             self.discard_remote_observations()
             self._loss_detector.restart_timers(now)
         self._last_tick_at = now
-        for name, expires_at in self._valid_until.items():
+        for instance_id, expires_at in self._valid_until.items():
             if expires_at <= now:
-                self._refresh(name)
+                self._refresh(instance_id)
         self._loss_detector.update(self._is_reached, now)
         return was_process_paused
 
@@ -122,24 +122,24 @@
         """Return the replicas that can take new requests."""
         return [] if self._is_stale() else self._replica_index.complete()
 
-    def service_instances(self, name: str) -> list[Instance]:
+    def service_instances(self, service: str) -> list[Instance]:
         """Return the instances of a plain service that take requests."""
         return [
             self._instances[instance_id]
             for instance_id in self.open_service_ids()
-            if self._instances[instance_id].service == name
+            if self._instances[instance_id].service == service
         ]
 
     def open_service_ids(self) -> list[str]:
         """Return the ids of the service instances that take requests."""
         reports = self.fresh_reports()
         return [
-            name
-            for name, instance in self._instances.items()
+            instance_id
+            for instance_id, instance in self._instances.items()
             if instance.kind is InstanceKind.SERVICE
             and not instance.leaving
-            and name in reports
-            and not reports[name].draining
+            and instance_id in reports
+            and not reports[instance_id].draining
         ]
 
     def _was_process_paused(self, now: float) -> bool:
@@ -168,14 +168,14 @@
 
     def _refresh_all(self) -> None:
         self._valid_until = dict.fromkeys(self._instances, 0)
-        for name in self._instances:
-            self._refresh(name)
+        for instance_id in self._instances:
+            self._refresh(instance_id)
 
-    def _refresh(self, name: str) -> None:
-        observations = self._observations[name]
+    def _refresh(self, instance_id: str) -> None:
+        observations = self._observations[instance_id]
         report = observations.agreed_report(self._clock())
-        self._valid_until[name] = observations.valid_until
-        self._replica_index.update(name, report, self._instances)
+        self._valid_until[instance_id] = observations.valid_until
+        self._replica_index.update(instance_id, report, self._instances)
 
     def _is_reached(self, instance_id: str) -> bool:
         return bool(self._observations[instance_id].reachable(self._clock()))
