--- a/tests/platform/_fixed_rows.py
+++ b/tests/platform/_fixed_rows.py
@@ -1,4 +1,4 @@
-"""A store whose rows a test writes as bytes."""
+"""A store client that returns fixed rows, for malformed row values."""
 
 import base64
 
@@ -8,10 +8,10 @@
 
 
 class FixedRowsClient(StoreClient):
-    """A store that holds some rows as bytes, and tells them as changes too."""
+    """Returns the same rows for each read and as changes, without a store."""
 
     def __init__(self, rows: dict[str, bytes]) -> None:
-        """Keep the rows; nothing is asked of any address."""
+        """Keep the values of the rows by key."""
         super().__init__(Address('127.0.0.1', 1))
         self.written = rows
 
--- a/tests/platform/_standin.py
+++ b/tests/platform/_standin.py
@@ -1,4 +1,4 @@
-"""A small stand-in of the users' platform, as its pages describe the wire."""
+"""A small stand-in for the users' platform with the documented protocol."""
 
 import base64
 import copy
@@ -28,13 +28,13 @@
 
 
 def encoded(value: object) -> str:
-    """Return a row's value as the platform keeps it."""
+    """Return a row's value, encoded as the platform stores it."""
     return base64.b64encode(json.dumps(value).encode()).decode()
 
 
 @attrs.frozen
 class StoreBackup:
-    """What a store held at some moment."""
+    """The contents of a store at some time."""
 
     version: int
     rows: dict[RowKey, tuple[int, str]]
@@ -43,11 +43,14 @@
 
 @attrs.define
 class StandinStore:
-    """Rows, transactions and a feed; faults are queued by a test.
-
-    While it ``is_deaf``, feeds wait and hear nothing; connections on which it
-    was asked while it ``is_mute`` hear nothing ever after. A fault is a status to answer with, ``'lost'`` for a write that is done
-    and not answered, or ``'silent'`` for a call that is not answered.
+    """A store with rows, transactions and a feed, and a queue of faults.
+
+    While ``feeds_are_stalled``, feeds wait and see no changes. A request that
+    arrives while ``is_unresponsive`` is never answered, so that its connection
+    stays dead even afterwards. A fault applies to one
+    call: a status to answer with, ``'lost'`` for a commit that is executed but
+    not answered, or ``'silent'`` for a call that is not answered. ``orders``
+    holds the orders to the engine that it also stands in for.
     """
 
     rows: dict[RowKey, tuple[int, str]] = attrs.field(factory=dict)
@@ -66,24 +69,27 @@
     _mutes: int = attrs.field(default=0, init=False)
 
     def discard_history(self) -> None:
-        """Answer no feed any more from what was before now."""
+        """Reject feeds from earlier versions, and resume stalled feeds."""
         self.oldest_version = self.version
         self.feeds_are_stalled = False
 
     def set_unresponsive(self, *, is_unresponsive: bool) -> None:
-        """Answer nothing from now on, or answer again what is asked then."""
+        """Stop answering requests, or answer those that arrive from now on.
+
+        Requests that are in progress at this time are not answered either way.
+        """
         self.is_unresponsive = is_unresponsive
         self._mutes += 1
 
     def backup(self) -> 'StoreBackup':
-        """Return a copy of what the store holds now."""
+        """Return a backup of the contents."""
         return StoreBackup(self.version, dict(self.rows), copy.copy(self._log))
 
     def restore(self, earlier: 'StoreBackup') -> None:
-        """Come back from a copy: what was written since is gone.
+        """Restore a backup in a new era, losing everything written since.
 
-        Versions go on from the copy's, and none that it lacks can be read
-        from.
+        Versions continue from that of the backup, so that they are issued
+        again. Feeds from higher versions are rejected.
         """
         self.version = earlier.version
         self.rows = dict(earlier.rows)
@@ -92,12 +98,12 @@
         self.is_unavailable = False
 
     def put(self, table: str, part: str, key: str, value: object) -> None:
-        """Write a row past all conditions."""
+        """Write a row unconditionally."""
         self.version += 1
         self._set((table, part, key), encoded(value))
 
     def drop(self, table: str, part: str, key: str) -> None:
-        """Drop a row."""
+        """Delete a row."""
         self.version += 1
         self.rows.pop((table, part, key))
         self._log.append((self.version, (table, part, key)))
@@ -124,7 +130,7 @@
         era = self.era
         response = await self._answer_now(request)
         if self.is_unavailable or self.era != era:
-            # A call that was under way when the store went away.
+            # The store became unavailable during the call.
             return Response(_UNAVAILABLE)
         return self._of_era(response)
 
@@ -220,7 +226,7 @@
 
 
 async def start(store: StandinStore) -> tuple[curio.Task, Address]:
-    """Run a stand-in; return its task and where it listens."""
+    """Run a stand-in; return its task and its address."""
     server = HttpServer(Address('127.0.0.1', 0), store.handle)
     server.open()
     return await curio.spawn(server.run), server.address
--- a/tests/platform/test_malformed_rows.py
+++ b/tests/platform/test_malformed_rows.py
@@ -1,9 +1,8 @@
-"""Rows that other writers have written: no reader ends, and the others hold.
+"""Malformed rows must not stop a reader or affect other rows.
 
-The store's tables have other writers. An entry with a state that is not on the
-users' pages counted as ready, so that requests went to it; a row of replicas, of
-nodes or of a lease that was no text of this project's ended the whole process,
-on every node that read it, as often as it started again.
+Other programs write to the store's tables too. An instance with an undocumented
+state counted as ready and got requests. A malformed row of a replica, a node or
+a lease stopped the process on every node that read it, again after each restart.
 """
 
 import copy
@@ -33,7 +32,7 @@
 from tests.platform._standin import StandinStore, start
 from tests.platform.test_numeric_fields import _CONFIG, _ENTRY
 
-_JUNK = st.recursive(
+_JSON_VALUES = st.recursive(
     st.none()
     | st.booleans()
     | st.integers()
@@ -45,98 +44,108 @@
     ),
     max_leaves=6,
 )
-_BYTES = st.binary(max_size=40) | _JUNK.map(
+_ROW_VALUES = st.binary(max_size=40) | _JSON_VALUES.map(
     lambda value: json.dumps(value).encode(),
 )
-_NEEDED = ('service', 'zone', 'state', 'address')
-_USED_STATES = frozenset(('ready', 'draining'))
-_DEEP = b'[' * 100000
+_REQUIRED_FIELDS = ('service', 'zone', 'state', 'address')
+_KNOWN_STATES = frozenset(('ready', 'draining'))
+_DEEPLY_NESTED = b'[' * 100000
 
 
-def _entries(value: bytes) -> dict[str, ListedInstance | None]:
-    """Read an entry of another writer beside a sound one, both ways."""
-    good = json.dumps(dict(_ENTRY)).encode()
-    source = PlatformTargetList(FixedRowsClient({'i1': value, 'i2': good}))
-    whole = curio.run(source.snapshot).items
+def _read_entries(value: bytes) -> dict[str, ListedInstance | None]:
+    """Read an entry and a valid one, in a snapshot and as changes."""
+    valid = json.dumps(dict(_ENTRY)).encode()
+    source = PlatformTargetList(FixedRowsClient({'i1': value, 'i2': valid}))
+    snapshot = curio.run(source.snapshot).items
     changes: Changes[ListedInstance] = curio.run(source.changes, 1, 0)
-    assert whole.get('i1') == changes.items['i1']
+    assert snapshot.get('i1') == changes.items['i1']
     return dict(changes.items)
 
 
-def _changed(field: str, value: object) -> bytes:
+def _entry_with(field: str, value: object) -> bytes:
     return json.dumps({**_ENTRY, field: value}).encode()
 
 
-class ListEntriesTest(unittest.TestCase):
-    """Entries of the list."""
+class MalformedListEntriesTest(unittest.TestCase):
+    """Malformed entries of the instance list."""
 
-    @given(_BYTES)
-    def test_any_bytes(self, value: bytes) -> None:
-        """They name no instance, and the next entry holds."""
-        found = _entries(value)
-        self.assertIsNone(found['i1'])
-        self.assertIsNotNone(found['i2'])
+    @given(_ROW_VALUES)
+    def test_arbitrary_bytes(self, value: bytes) -> None:
+        """They are skipped, and the next entry is read."""
+        decoded = _read_entries(value)
+        self.assertIsNone(decoded['i1'])
+        self.assertIsNotNone(decoded['i2'])
 
-    @given(st.sampled_from(sorted({*_ENTRY, 'born', 'group'})), _JUNK)
-    def test_any_value_of_a_field(self, field: str, value: object) -> None:
-        """Whatever it is, it is read or it is not; the next entry holds."""
-        self.assertIsNotNone(_entries(_changed(field, value))['i2'])
+    @given(st.sampled_from(sorted({*_ENTRY, 'born', 'group'})), _JSON_VALUES)
+    def test_arbitrary_field_values(self, field: str, value: object) -> None:
+        """Whether the entry is read or skipped, the next entry is read."""
+        self.assertIsNotNone(_read_entries(_entry_with(field, value))['i2'])
 
-    @given(st.text(max_size=12).filter(lambda one: one not in _USED_STATES))
-    def test_unnamed_states(self, state: str) -> None:
-        """No request may go to an instance that does not say it is ready."""
-        self.assertIsNone(_entries(_changed('state', state))['i1'])
+    @given(
+        st.text(max_size=12).filter(lambda state: state not in _KNOWN_STATES)
+    )
+    def test_unknown_states(self, state: str) -> None:
+        """Instances in unknown states must not get requests."""
+        self.assertIsNone(_read_entries(_entry_with('state', state))['i1'])
 
     def test_missing_fields(self) -> None:
-        """Without these it can't be told what an instance is, or where."""
-        for field in _NEEDED:
-            entry = {key: one for key, one in _ENTRY.items() if key != field}
-            found = _entries(json.dumps(entry).encode())
-            self.assertIsNone(found['i1'], field)
-            self.assertIsNone(_entries(_changed(field, None))['i1'], field)
-
-    def test_odd_addresses(self) -> None:
-        """Only numbers that can be connected to."""
+        """Entries without a required field are skipped."""
+        for field in _REQUIRED_FIELDS:
+            entry = {
+                key: value for key, value in _ENTRY.items() if key != field
+            }
+            decoded = _read_entries(json.dumps(entry).encode())
+            self.assertIsNone(decoded['i1'], field)
+            self.assertIsNone(
+                _read_entries(_entry_with(field, None))['i1'], field
+            )
+
+    def test_invalid_addresses(self) -> None:
+        """Only IP addresses with a valid port are accepted."""
         for text in ('a.example:80', '10.0.0.1:0', '10.0.0.1:70000', ':80'):
-            self.assertIsNone(_entries(_changed('address', text))['i1'], text)
-
-    def test_too_deep(self) -> None:
-        """Whatever nests without an end."""
-        self.assertIsNone(_entries(_DEEP)['i1'])
-
-    def test_births(self) -> None:
-        """Each start of an instance tells its own, as a whole number."""
-        found = _entries(_changed('born', 1764720000123))['i1']
-        assert found is not None
-        self.assertEqual(found.born, 1764720000123)
-        odds: tuple[object, ...] = ('soon', [], {})
-        for odd in odds:
-            self.assertIsNone(_entries(_changed('born', odd))['i1'])
-
-    def test_one_line_a_change(self) -> None:
-        """A row that is told again and again is logged once."""
+            self.assertIsNone(
+                _read_entries(_entry_with('address', text))['i1'], text
+            )
+
+    def test_deep_nesting(self) -> None:
+        """JSON too deep for the decoder is skipped."""
+        self.assertIsNone(_read_entries(_DEEPLY_NESTED)['i1'])
+
+    def test_birth_times(self) -> None:
+        """The birth time is read as an integer; other types are rejected."""
+        decoded = _read_entries(_entry_with('born', 1764720000123))['i1']
+        assert decoded is not None
+        self.assertEqual(decoded.born, 1764720000123)
+        invalid_births: tuple[object, ...] = ('soon', [], {})
+        for invalid_birth in invalid_births:
+            self.assertIsNone(
+                _read_entries(_entry_with('born', invalid_birth))['i1']
+            )
+
+    def test_row_is_logged_once(self) -> None:
+        """A malformed row that is read repeatedly is logged once."""
         source = PlatformTargetList(FixedRowsClient({'i1': b'{'}))
-        with patch('cranecart.logs._unreadable.decision') as told:
+        with patch('cranecart.logs._unreadable.decision') as decision:
             for _turn in range(5):
                 curio.run(source.changes, 1, 0)
-        self.assertEqual(told.call_count, 1)
+        self.assertEqual(decision.call_count, 1)
 
-    def test_no_storm_of_lines(self) -> None:
-        """What many rows say within a second is counted."""
+    def test_log_rate_is_limited(self) -> None:
+        """Only a few of many malformed rows are logged per second."""
         rows = UnreadableRows('odd', lambda: 7.5)
-        with patch('cranecart.logs._unreadable.decision') as told:
+        with patch('cranecart.logs._unreadable.decision') as decision:
             for number in range(1000):
                 rows.note(f'row {number}', 'it is no JSON')
-        self.assertLessEqual(told.call_count, 5)
+        self.assertLessEqual(decision.call_count, 5)
 
-    def test_a_replica_beside_them(self) -> None:
-        """Followed from a store, the sound instances serve on."""
+    def test_valid_entries_beside_malformed_ones(self) -> None:
+        """Valid instances stay in the fleet."""
         fleet = Fleet()
-        curio.run(_follow_odd_entries, fleet)
+        curio.run(_follow_malformed_entries, fleet)
         self.assertEqual(set(fleet.instances), {'i1'})
 
 
-async def _follow_odd_entries(fleet: Fleet) -> None:
+async def _follow_malformed_entries(fleet: Fleet) -> None:
     store = StandinStore()
     task, address = await start(store)
     source = PlatformTargetList(StoreClient(address))
@@ -151,71 +160,73 @@
     await task.cancel()
 
 
-class OwnRowsTest(unittest.TestCase):
-    """Rows where this project keeps its own."""
+class MalformedOwnRowsTest(unittest.TestCase):
+    """Malformed rows among the nodes' own rows."""
 
-    @given(_BYTES)
-    def test_records(self, value: bytes) -> None:
-        """Replicas that can be read hold; the others are none."""
-        good = ReplicaRecord('r-1', 1, 's', 'm', 'east', 'e-0', ('i1',))
+    @given(_ROW_VALUES)
+    def test_replica_records(self, value: bytes) -> None:
+        """Malformed records are skipped, and valid ones are read."""
+        valid = ReplicaRecord('r-1', 1, 's', 'm', 'east', 'e-0', ('i1',))
         rows = {
-            'replica/east/r-1': good.encoded().encode(),
+            'replica/east/r-1': valid.encoded().encode(),
             'replica/east/odd': value,
         }
         client = FixedRowsClient(rows)
         source = PlatformRowSource(client, 'placement', ('all',))
         read = curio.run(source.snapshot).items
-        found = {key: record_from_row(row) for key, row in read.items()}
-        self.assertIsNone(found['placement/all/replica/east/odd'])
-        self.assertIsNotNone(found['placement/all/replica/east/r-1'])
-
-    def test_a_record_under_another_key(self) -> None:
-        """It would stand for a replica that nobody could end."""
-        good = ReplicaRecord('r-1', 1, 's', 'm', 'east', 'e-0', ('i1',))
-        row = Row('placement/all/replica/east/r-2', 3, good.encoded())
+        decoded = {key: record_from_row(row) for key, row in read.items()}
+        self.assertIsNone(decoded['placement/all/replica/east/odd'])
+        self.assertIsNotNone(decoded['placement/all/replica/east/r-1'])
+
+    def test_record_under_another_key(self) -> None:
+        """It would stand for a replica that could never be removed."""
+        valid = ReplicaRecord('r-1', 1, 's', 'm', 'east', 'e-0', ('i1',))
+        row = Row('placement/all/replica/east/r-2', 3, valid.encoded())
         self.assertIsNone(record_from_row(row))
 
-    @given(_BYTES)
-    def test_nodes(self, value: bytes) -> None:
-        """What is known of a node stays, and others are read."""
+    @given(_ROW_VALUES)
+    def test_node_rows(self, value: bytes) -> None:
+        """Malformed rows change nothing, and other nodes are read."""
         text = value.decode(errors='replace')
-        good = '{"address":"10.0.0.1:7340","failure_domain":"east"}'
-        found = peers_from_rows(
+        valid = '{"address":"10.0.0.1:7340","failure_domain":"east"}'
+        decoded = peers_from_rows(
             {
                 'placement/all/node/odd': Row(
                     'placement/all/node/odd', 3, text
                 ),
-                'placement/all/node/n': Row('placement/all/node/n', 3, good),
+                'placement/all/node/n': Row('placement/all/node/n', 3, valid),
                 'placement/all/node/gone': None,
             },
         )
-        self.assertEqual(set(found), {'n', 'gone'})
+        self.assertEqual(set(decoded), {'n', 'gone'})
 
-    @given(_BYTES)
-    def test_a_lease(self, value: bytes) -> None:
-        """It is waited for like any other, and taken with a higher number."""
+    @given(_ROW_VALUES)
+    def test_lease_row(self, value: bytes) -> None:
+        """A malformed lease is waited for like that of another holder."""
         client = FixedRowsClient({'east': value})
         lease = Lease('all/east', 'n', PlatformTable(client))
         with self.assertRaises(PlatformError):
-            curio.run(_keep_until_it_writes, lease, client)
+            curio.run(_wait_for_lease, lease, client)
         self.assertEqual(lease.holder, '?')
 
-    def test_the_number_after_a_lease_that_was_spoilt(self) -> None:
-        """It rises above every one that was used: the row's version does."""
-        numbers = curio.run(_take_a_spoilt_lease)
-        self.assertGreater(numbers[1], numbers[0])
+    def test_fencing_rises_after_an_overwritten_lease(self) -> None:
+        """The number still rises after a malformed value was written."""
+        fencing_numbers = curio.run(_take_over_overwritten_lease)
+        self.assertGreater(fencing_numbers[1], fencing_numbers[0])
 
 
-async def _keep_until_it_writes(lease: Lease, client: FixedRowsClient) -> None:
-    """Look at a lease; raise where it isn't waited for."""
+async def _wait_for_lease(lease: Lease, client: FixedRowsClient) -> None:
+    """Try to take a lease; raise ``AssertionError`` if it is not waited for."""
     await lease.acquire_or_renew()
     if lease.is_held:
-        raise AssertionError('it was taken at once')
+        raise AssertionError(
+            'the lease was taken at once, expected to wait for its timeout'
+        )
     client.written = {}
     raise PlatformUnavailableError('the test ends here')
 
 
-async def _take_a_spoilt_lease() -> tuple[int, int]:
+async def _take_over_overwritten_lease() -> tuple[int, int]:
     store = StandinStore()
     task, address = await start(store)
     now = [100.0]
@@ -232,12 +243,12 @@
     return first.fencing, second.fencing
 
 
-class ConfigurationTest(unittest.TestCase):
-    """The operator's row."""
+class MalformedConfigurationTest(unittest.TestCase):
+    """Malformed configurations."""
 
-    @given(_BYTES)
-    def test_any_bytes(self, value: bytes) -> None:
-        """It is an error of the platform's, or a configuration."""
+    @given(_ROW_VALUES)
+    def test_arbitrary_bytes(self, value: bytes) -> None:
+        """They raise ``PlatformUnavailableError`` or are a configuration."""
         source = PlatformConfigSource(FixedRowsClient({'config': value}))
         try:
             curio.run(source.snapshot)
@@ -245,9 +256,9 @@
             return
         self.assertIn(b'version', value)
 
-    @given(st.sampled_from(sorted(_CONFIG)), _JUNK)
-    def test_any_value_of_a_field(self, field: str, value: object) -> None:
-        """Whatever it is, no other error comes of it."""
+    @given(st.sampled_from(sorted(_CONFIG)), _JSON_VALUES)
+    def test_arbitrary_field_values(self, field: str, value: object) -> None:
+        """No value raises another error."""
         changed: dict[str, Any] = copy.deepcopy(dict(_CONFIG))
         changed[field] = value
         row = json.dumps(changed).encode()
--- a/tests/platform/test_numeric_fields.py
+++ b/tests/platform/test_numeric_fields.py
@@ -1,10 +1,10 @@
-"""Figures that the platform names are whole numbers or fractions, or missing.
+"""Numbers from the platform may be integers, fractions, null or missing.
 
-A deployment's own figures came as fractions where they had always been whole,
-and every process ended with ``retry_slack: invalid value for type, expected
-int``. What the operator declares and what instances tell of themselves was
-read with the same narrowness: one fraction, or one figure given as null, made
-a whole configuration unreadable, and a node without one answers nothing.
+The settings of a deployment contained fractions where they had always been
+integers, and every process exited with ``retry_slack: invalid value for type,
+expected int``. The configuration and the instance list had the same fault: one
+fraction or null made the complete configuration unreadable, and a node without
+a configuration serves no requests.
 """
 
 import copy
@@ -116,11 +116,11 @@
         'staged': ['m'],
     },
 )
-# Without these an entry says nothing: which version, which instance, where.
-_NEEDED = frozenset((('version',), ('address',)))
+# Required in both; without them nothing is decoded.
+_ALWAYS_REQUIRED = frozenset((('version',), ('address',)))
 
 
-_NEEDED_OF_ENTRY = frozenset((('service',), ('zone',), ('state',)))
+_REQUIRED_ENTRY_FIELDS = frozenset((('service',), ('zone',), ('state',)))
 
 
 def _read_config(value: object) -> RouteConfig:
@@ -135,29 +135,33 @@
     source = PlatformTargetList(
         FixedRowsClient({'i1': json.dumps(value).encode()})
     )
-    found: ListedInstance | None = curio.run(source.snapshot).items.get('i1')
-    return found
+    instance: ListedInstance | None = curio.run(source.snapshot).items.get('i1')
+    return instance
 
 
-def _places(node: Any, path: Path = ()) -> Iterator[Path]:
-    """Yield the paths of all fields of an object and of those inside it."""
-    entries = node.items() if isinstance(node, dict) else enumerate(node)
-    for key, inner in entries:
-        if isinstance(node, dict) and (*path, key) not in _NEEDED:
+def _field_paths(container: Any, path: Path = ()) -> Iterator[Path]:
+    """Yield the paths of all fields of an object and its nested objects."""
+    entries = (
+        container.items()
+        if isinstance(container, dict)
+        else enumerate(container)
+    )
+    for key, child in entries:
+        if isinstance(container, dict) and (*path, key) not in _ALWAYS_REQUIRED:
             yield (*path, key)
-        if isinstance(inner, dict | list):
-            yield from _places(inner, (*path, key))
+        if isinstance(child, dict | list):
+            yield from _field_paths(child, (*path, key))
 
 
-def _at(node: Any, path: Path) -> Any:
-    for step in path:
-        node = node[step]
-    return node
+def _value_at(container: Any, path: Path) -> Any:
+    for key in path:
+        container = container[key]
+    return container
 
 
-def _changed(base: Any, path: Path, value: object) -> dict[str, Any]:
+def _with_value(base: Any, path: Path, value: object) -> dict[str, Any]:
     changed: dict[str, Any] = copy.deepcopy(dict(base))
-    parent = _at(changed, path[:-1])
+    parent = _value_at(changed, path[:-1])
     if value is _MISSING:
         parent.pop(path[-1])
     else:
@@ -165,45 +169,49 @@
     return changed
 
 
-def _numbers(base: Any) -> Sequence[Path]:
+def _number_paths(base: Any) -> Sequence[Path]:
     return [
         path
-        for path in _places(dict(base))
-        if isinstance(_at(base, path), int | float)
-        and not isinstance(_at(base, path), bool)
+        for path in _field_paths(dict(base))
+        if isinstance(_value_at(base, path), int | float)
+        and not isinstance(_value_at(base, path), bool)
     ]
 
 
-_FIGURES = st.one_of(
+_NUMBERS = st.one_of(
     st.integers(0, 1000000),
     st.floats(0, 1000000, allow_nan=False),
 )
 
 
-class ConfigurationFiguresTest(unittest.TestCase):
-    """The operator's configuration."""
+class ConfigurationNumbersTest(unittest.TestCase):
+    """Numbers in the operator's configuration."""
 
-    @given(path=st.sampled_from(_numbers(_CONFIG)), figure=_FIGURES)
-    def test_numbers(self, path: Path, figure: float) -> None:
-        """Whole or not, a figure leaves everything else as it was."""
-        self._check(_read_config(_changed(_CONFIG, path, figure)))
+    @given(path=st.sampled_from(_number_paths(_CONFIG)), number=_NUMBERS)
+    def test_integers_and_fractions_are_accepted(
+        self, path: Path, number: float
+    ) -> None:
+        """Any number is accepted, and all other fields are still read."""
+        self._check(_read_config(_with_value(_CONFIG, path, number)))
 
-    @given(path=st.sampled_from(list(_places(dict(_CONFIG)))))
-    def test_missing(self, path: Path) -> None:
+    @given(path=st.sampled_from(list(_field_paths(dict(_CONFIG)))))
+    def test_null_equals_missing(self, path: Path) -> None:
         """What is null is read like what is not there."""
-        missing = _read_config(_changed(_CONFIG, path, _MISSING))
-        null = _read_config(_changed(_CONFIG, path, None))
+        missing = _read_config(_with_value(_CONFIG, path, _MISSING))
+        null = _read_config(_with_value(_CONFIG, path, None))
         self.assertEqual(missing, null)
 
-    @given(path=st.sampled_from(list(_places(dict(_CONFIG)))))
-    def test_unknown(self, path: Path) -> None:
-        """A field that is not known changes nothing, wherever it is."""
-        place = (*path[:-1], 'aLaterField')
-        later = _read_config(_changed(_CONFIG, place, {'x': [1.5, None]}))
-        self.assertEqual(later, _read_config(dict(_CONFIG)))
+    @given(path=st.sampled_from(list(_field_paths(dict(_CONFIG)))))
+    def test_unknown_fields_are_ignored(self, path: Path) -> None:
+        """Unknown fields are ignored at any level."""
+        later_path = (*path[:-1], 'aLaterField')
+        config_with_field = _read_config(
+            _with_value(_CONFIG, later_path, {'x': [1.5, None]})
+        )
+        self.assertEqual(config_with_field, _read_config(dict(_CONFIG)))
 
-    def test_parts_of_whole_things(self) -> None:
-        """Where only whole ones can be counted, the part is left out."""
+    def test_fractions_are_rounded_down(self) -> None:
+        """Fractions of countable things are rounded down."""
         config = _read_config(
             {
                 **_CONFIG,
@@ -251,33 +259,33 @@
         self.assertEqual(config.limits.body_bytes, 100)
         self.assertEqual(config.limits.idle_seconds, 1.5005)
 
-    def test_nothing_is_divided_by(self) -> None:
-        """Figures of zero leave what a request costs a number."""
+    def test_zeros_keep_costs_finite(self) -> None:
+        """Numbers that are zero cause no division by zero in costs."""
         for name in ('slots', 'stride', 'read_per_s', 'chunk'):
             path = ('services', 0, 'runtime', name)
-            engine = _read_config(_changed(_CONFIG, path, 0)).engine('s1')
+            engine = _read_config(_with_value(_CONFIG, path, 0)).engine('s1')
             assert engine is not None
             work = engine.timing.work_seconds(10, 1000, engine.slots)
             self.assertGreater(work, 0)
             self.assertLess(work, 1)
 
-    def test_a_route_without_an_objective(self) -> None:
-        """It is content with its whole time; nothing is hurried."""
+    def test_route_without_objective(self) -> None:
+        """The timeout is used as the objective."""
         path = ('routes', 0, 'sloMs')
-        route = _read_config(_changed(_CONFIG, path, _MISSING)).routes[0]
+        route = _read_config(_with_value(_CONFIG, path, _MISSING)).routes[0]
         self.assertEqual(route.objective_seconds, route.timeout_seconds)
 
-    def test_a_route_without_a_time(self) -> None:
-        """It is held to some time still."""
+    def test_route_without_timeout(self) -> None:
+        """A default timeout is used."""
         path = ('routes', 0, 'timeoutMs')
-        route = _read_config(_changed(_CONFIG, path, _MISSING)).routes[0]
+        route = _read_config(_with_value(_CONFIG, path, _MISSING)).routes[0]
         self.assertGreater(route.timeout_seconds, 10)
         self.assertLess(route.timeout_seconds, float('inf'))
 
-    def test_a_route_without_a_type(self) -> None:
-        """Nothing says that it may run twice, so that it does not."""
+    def test_route_without_type(self) -> None:
+        """The requests are not assumed to be idempotent."""
         path = ('routes', 0, 'type')
-        route = _read_config(_changed(_CONFIG, path, _MISSING)).routes[0]
+        route = _read_config(_with_value(_CONFIG, path, _MISSING)).routes[0]
         self.assertFalse(route.is_idempotent)
 
     def _check(self, config: RouteConfig) -> None:
@@ -287,38 +295,40 @@
         assert engine is not None
         model = engine.model('m1')
         assert model is not None
-        whole = (engine.slots, engine.loads_at_once, model.size)
-        for number in (*whole, config.routes[0].attempts):
+        integers = (engine.slots, engine.loads_at_once, model.size)
+        for number in (*integers, config.routes[0].attempts):
             self.assertIsInstance(number, int)
             self.assertGreaterEqual(number, 1)
         self.assertIsNotNone(config.holder('k1'))
 
 
-class ListFiguresTest(unittest.TestCase):
-    """What an instance tells of itself."""
+class ListEntryNumbersTest(unittest.TestCase):
+    """Numbers in entries of the instance list."""
 
-    @given(path=st.sampled_from(_numbers(_ENTRY)), figure=_FIGURES)
-    def test_numbers(self, path: Path, figure: float) -> None:
-        """Whole or not, the instance stays listed."""
-        found = _read_entry(_changed(_ENTRY, path, figure))
-        assert found is not None
-        self.assertIsInstance(found.slots, int)
-        self.assertGreaterEqual(found.slots, 1)
+    @given(path=st.sampled_from(_number_paths(_ENTRY)), number=_NUMBERS)
+    def test_integers_and_fractions_are_accepted(
+        self, path: Path, number: float
+    ) -> None:
+        """Any number is accepted, and the instance stays listed."""
+        instance = _read_entry(_with_value(_ENTRY, path, number))
+        assert instance is not None
+        self.assertIsInstance(instance.slots, int)
+        self.assertGreaterEqual(instance.slots, 1)
 
-    @given(path=st.sampled_from(list(_places(dict(_ENTRY)))))
-    def test_missing(self, path: Path) -> None:
-        """What is null is read like what is not there.
+    @given(path=st.sampled_from(list(_field_paths(dict(_ENTRY)))))
+    def test_null_equals_missing(self, path: Path) -> None:
+        """Fields that are null are treated as missing.
 
-        It stays listed, unless it can't be told any more what it is, whether
-        it takes requests, or where: then it must not be.
+        The instance stays listed, unless its service, state or zone is missing:
+        then it must not be.
         """
-        missing = _read_entry(_changed(_ENTRY, path, _MISSING))
-        null = _read_entry(_changed(_ENTRY, path, None))
-        self.assertEqual(missing is None, path in _NEEDED_OF_ENTRY)
+        missing = _read_entry(_with_value(_ENTRY, path, _MISSING))
+        null = _read_entry(_with_value(_ENTRY, path, None))
+        self.assertEqual(missing is None, path in _REQUIRED_ENTRY_FIELDS)
         self.assertEqual(missing, null)
 
-    def test_no_group(self) -> None:
-        """Null says that it belongs to none."""
-        found = _read_entry({**_ENTRY, 'group': None})
-        assert found is not None
-        self.assertIsNone(found.membership)
+    def test_null_group(self) -> None:
+        """An instance with a null group belongs to no replica."""
+        instance = _read_entry({**_ENTRY, 'group': None})
+        assert instance is not None
+        self.assertIsNone(instance.membership)
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders on the wire, and what the engines' answers mean."""
+"""The format of orders, and the errors for the engines' answers."""
 
 import unittest
 
@@ -28,14 +28,14 @@
 
 
 class OrdersTest(unittest.TestCase):
-    """Each status becomes one of the product's errors, or none."""
+    """Orders and their outcomes."""
 
     def setUp(self) -> None:
-        """Start with an engine that takes everything."""
+        """Start with an engine that accepts all orders."""
         self.engine = StandinStore()
 
     def test_join(self) -> None:
-        """All that a member must know is sent."""
+        """A join contains everything that a member needs."""
         self.assertIsNone(self._join())
         self.assertEqual(
             self.engine.orders,
@@ -51,37 +51,43 @@
             ],
         )
 
-    def test_statuses(self) -> None:
-        """Refused, fenced, and answered by another life."""
-        wanted = {
+    def test_status_becomes_error(self) -> None:
+        """Statuses mean accepted, refused, fenced, or another incarnation."""
+        expected = {
             200: type(None),
             409: OrderRefusedError,
             400: OrderRefusedError,
             412: OrderFencedError,
             421: TargetGoneError,
         }
-        for status, kind in wanted.items():
+        for status, error_type in expected.items():
             with self.subTest(status):
                 self.engine.order_status = status
-                self.assertIsInstance(self._join(), kind)
+                self.assertIsInstance(self._join(), error_type)
 
-    def test_no_answer(self) -> None:
-        """The order may have been taken."""
+    def test_no_answer_means_unknown(self) -> None:
+        """Without an answer, the order may have been executed."""
         self.engine.faults.append('silent')
         self.assertIsInstance(self._join(), OrderUnknownError)
 
-    def test_closed_port(self) -> None:
-        """It may have crashed, or be finishing what it has."""
+    def test_refused_connection(self) -> None:
+        """A refused connection is told apart from a missing answer.
+
+        The instance may have crashed, or may be finishing its requests.
+        """
         error = curio.run(self._order, Address('127.0.0.1', 1))
         self.assertIsInstance(error, TargetClosedError)
 
-    def test_the_answer_to_an_earlier_order(self) -> None:
-        """It frees nobody: members join others on the word of a leave."""
-        late = ExtraAnswer(Naming.NOTHING, Moment.NEXT, 202)
+    def test_late_answer_confirms_no_leave(self) -> None:
+        """A late answer to another order is not taken for that to a leave.
+
+        Otherwise the instance would join another replica too early.
+        """
+        late_answer = ExtraAnswer(Naming.NOTHING, Moment.NEXT, 202)
         engine = StutteringService(
             Address('127.0.0.1', 0),
             AnswerStyle('expect-replica'),
-            (Turn((late,)), Turn(status=409)),
+            (Turn((late_answer,)), Turn(status=409)),
         )
         with self.assertRaises(OrderRefusedError):
             curio.run(_close_then_leave, engine)
--- a/tests/platform/test_restored_store.py
+++ b/tests/platform/test_restored_store.py
@@ -1,4 +1,7 @@
-"""A store that comes back from a copy: versions are given out again."""
+"""A store that is restored from a backup issues versions again.
+
+Nodes that remembered the higher versions took new rows for old ones.
+"""
 
 import time
 import unittest
@@ -18,144 +21,152 @@
 from tests.lib.waiting import until
 from tests.platform._standin import start
 
-_AIM_SECONDS = 1.0
-_AWAY_SECONDS = 0.5
+_MAX_DELAY_SECONDS = 1.0
+_OUTAGE_SECONDS = 0.5
 _INSTANCES = 6
-_FEED_SECONDS = 1.0
-# Longer than until all is read once more; entries are back sooner.
+_POLL_SECONDS = 1.0
+# Longer than the time until nodes read everything once more after a restore.
+# Entries are written again sooner than that.
 _WATCH_SECONDS = 3.0
-_AGAIN_SECONDS = 1.5
-_TIMES = LeaseTimeouts(5.0, 1.2, 3.5)
+_REWRITE_DELAY_SECONDS = 1.5
+_LEASE_TIMEOUTS = LeaseTimeouts(5.0, 1.2, 3.5)
 
 
 class RestoredStoreTest(unittest.TestCase):
-    """Nodes follow a store that lost what it had acknowledged."""
+    """Nodes follow a store that has lost acknowledged writes."""
 
-    def test_configuration_not_in_force_after_restore(self) -> None:
-        """A version written after the return is in force in time."""
-        self._play(self._configure)
+    def test_new_configuration_ignored_after_restore(self) -> None:
+        """A version written after the restore becomes active in time."""
+        self._run_scenario(self._write_new_version)
 
-    def test_configuration_goes_back_with_a_copy(self) -> None:
-        """What is in force stays until the operator has written again."""
-        self._play(self._keep_configuration)
+    def test_old_configuration_is_active_after_restore(self) -> None:
+        """The active configuration stays until the operator writes again."""
+        self._run_scenario(self._watch_active_version)
 
-    def test_configuration_of_the_same_version_is_ignored(self) -> None:
-        """Its version was given out again after the return."""
-        self._play(self._configure_again)
+    def test_rewritten_configuration_ignored_after_restore(self) -> None:
+        """A changed configuration with a reissued version becomes active."""
+        self._run_scenario(self._write_same_version)
 
     def test_node_started_after_restore_has_an_old_configuration(self) -> None:
-        """It hears of the one in force from the others."""
-        self._play(self._start_after)
+        """A new node gets the active configuration from other nodes."""
+        self._run_scenario(self._start_node_after_restore)
 
-    def test_leaving_target_not_heard_after_restore(self) -> None:
-        """An instance that leaves after the return is left alone in time."""
-        self._play(self._leave)
+    def test_leaving_not_noticed_after_restore(self) -> None:
+        """An instance that leaves after the restore gets no more requests."""
+        self._run_scenario(self._announce_leaving)
 
-    def test_fence_given_out_again_after_restore(self) -> None:
-        """A lease taken after the return gets a fence of its own."""
-        curio.run(self._take_lease)
+    def test_fencing_number_reused_after_restore(self) -> None:
+        """A lease taken after the restore gets a higher fencing number."""
+        curio.run(self._take_lease_after_restore)
 
-    def test_leaving_target_taken_again_from_a_copy(self) -> None:
-        """It had said that it leaves after the copy was made."""
-        self._play(self._keep_left)
+    def test_leaving_target_used_after_restore(self) -> None:
+        """An instance announced its leaving after the backup was made."""
+        self._run_scenario(self._restore_before_leaving)
 
-    def test_gone_target_taken_again_from_a_copy(self) -> None:
-        """It serves on without an entry, and gets nothing new."""
-        self._play(self._keep_gone)
+    def test_deleted_target_used_after_restore(self) -> None:
+        """An instance was deleted after the backup, and gets no requests."""
+        self._run_scenario(self._restore_before_deletion)
 
-    def test_new_target_lost_with_a_copy(self) -> None:
-        """It came after the copy was made, and writes its entry again."""
-        self._play(self._keep_new)
+    def test_new_target_lost_after_restore(self) -> None:
+        """An instance created after the backup writes its entry again."""
+        self._run_scenario(self._restore_before_creation)
 
-    def _play(
+    def _run_scenario(
         self, scenario: Callable[[StoreTestbed], Awaitable[None]]
     ) -> None:
         run_scenario(3, _INSTANCES, 1, scenario)
 
-    async def _return(self, testbed: StoreTestbed) -> None:
-        """Lose what is written here, and come back."""
+    async def _lose_writes_and_restore(self, testbed: StoreTestbed) -> None:
+        """Write rows, then restore the store to its state before that."""
         store = testbed.store
         earlier = store.backup()
         store.put('op', '', 'config', config_row(11))
         for number in range(40):
             store.put('other', '', f'k{number}', 'lost')
         await until(lambda: testbed.all_have_version(11))
-        # Empty answers to those who wait for changes tell the newest version.
-        await curio.sleep(_FEED_SECONDS)
+        # Until then, all long polls have ended with the newest version.
+        await curio.sleep(_POLL_SECONDS)
         store.is_unavailable = True
-        await curio.sleep(_AWAY_SECONDS)
+        await curio.sleep(_OUTAGE_SECONDS)
         store.restore(earlier)
 
-    async def _configure(self, testbed: StoreTestbed) -> None:
-        await self._return(testbed)
+    async def _write_new_version(self, testbed: StoreTestbed) -> None:
+        await self._lose_writes_and_restore(testbed)
         testbed.store.put('op', '', 'config', config_row(12))
-        await until(lambda: testbed.all_have_version(12), _AIM_SECONDS)
+        await until(lambda: testbed.all_have_version(12), _MAX_DELAY_SECONDS)
 
-    async def _keep_configuration(self, testbed: StoreTestbed) -> None:
-        await self._return(testbed)
-        await self._watch(lambda: testbed.all_have_version(11))
+    async def _watch_active_version(self, testbed: StoreTestbed) -> None:
+        await self._lose_writes_and_restore(testbed)
+        await self._assert_holds(lambda: testbed.all_have_version(11))
 
-    async def _configure_again(self, testbed: StoreTestbed) -> None:
-        await self._return(testbed)
+    async def _write_same_version(self, testbed: StoreTestbed) -> None:
+        await self._lose_writes_and_restore(testbed)
         testbed.store.put('op', '', 'config', config_row(11, attempts=7))
-        await until(lambda: testbed.all_have_attempts(7), _AIM_SECONDS)
+        await until(lambda: testbed.all_have_attempts(7), _MAX_DELAY_SECONDS)
 
-    async def _start_after(self, testbed: StoreTestbed) -> None:
-        await self._return(testbed)
+    async def _start_node_after_restore(self, testbed: StoreTestbed) -> None:
+        await self._lose_writes_and_restore(testbed)
         await testbed.start('node-07')
-        await until(lambda: testbed.all_have_version(11), _AIM_SECONDS)
+        await until(lambda: testbed.all_have_version(11), _MAX_DELAY_SECONDS)
 
-    async def _leave(self, testbed: StoreTestbed) -> None:
-        await self._return(testbed)
+    async def _announce_leaving(self, testbed: StoreTestbed) -> None:
+        await self._lose_writes_and_restore(testbed)
         testbed.store.put('servers', '', 'i-1', entry_row('draining', born=2))
-        await until(lambda: testbed.none_uses('i-1'), _AIM_SECONDS)
+        await until(lambda: testbed.none_uses('i-1'), _MAX_DELAY_SECONDS)
 
-    async def _keep_left(self, testbed: StoreTestbed) -> None:
+    async def _restore_before_leaving(self, testbed: StoreTestbed) -> None:
         earlier = testbed.store.backup()
         testbed.store.put('servers', '', 'i-1', entry_row('draining', born=2))
         await until(lambda: testbed.none_uses('i-1'))
         testbed.store.restore(earlier)
-        await self._watch(lambda: testbed.none_uses('i-1'))
+        await self._assert_holds(lambda: testbed.none_uses('i-1'))
 
-    async def _keep_gone(self, testbed: StoreTestbed) -> None:
+    async def _restore_before_deletion(self, testbed: StoreTestbed) -> None:
         earlier = testbed.store.backup()
         testbed.store.drop('servers', '', 'i-1')
         await until(lambda: testbed.none_uses('i-1'))
         testbed.store.restore(earlier)
-        await self._watch(lambda: testbed.none_uses('i-1'))
+        await self._assert_holds(lambda: testbed.none_uses('i-1'))
 
-    async def _keep_new(self, testbed: StoreTestbed) -> None:
+    async def _restore_before_creation(self, testbed: StoreTestbed) -> None:
         earlier = testbed.store.backup()
         entry = entry_row(born=8)
         testbed.store.put('servers', '', 'i-7', entry)
         await until(lambda: testbed.all_use('i-7'))
         testbed.store.restore(earlier)
-        await self._watch(lambda: testbed.all_use('i-7'), _AGAIN_SECONDS)
+        await self._assert_holds(
+            lambda: testbed.all_use('i-7'), _REWRITE_DELAY_SECONDS
+        )
         testbed.store.put('servers', '', 'i-7', entry)
-        await self._watch(lambda: testbed.all_use('i-7'))
+        await self._assert_holds(lambda: testbed.all_use('i-7'))
 
-    async def _watch(
+    async def _assert_holds(
         self,
-        holds: Callable[[], bool],
+        condition: Callable[[], bool],
         seconds: float = _WATCH_SECONDS,
     ) -> None:
-        ends = time.monotonic() + seconds
-        while time.monotonic() < ends:
-            self.assertTrue(holds())
+        deadline = time.monotonic() + seconds
+        while time.monotonic() < deadline:
+            self.assertTrue(condition())
             await curio.sleep(0.01)
 
-    async def _take_lease(self) -> None:
+    async def _take_lease_after_restore(self) -> None:
         store = populated_store(_INSTANCES)
         server, address = await start(store)
         earlier = store.backup()
         first, second = (
-            Lease('x/y', name, PlatformTable(StoreClient(address)), _TIMES)
+            Lease(
+                'x/y',
+                name,
+                PlatformTable(StoreClient(address)),
+                _LEASE_TIMEOUTS,
+            )
             for name in ('first', 'second')
         )
         self.assertTrue(await first.acquire_or_renew())
         store.restore(earlier)
         await second.acquire_or_renew()
-        await curio.sleep(_TIMES.takeover_seconds + 0.1)
+        await curio.sleep(_LEASE_TIMEOUTS.takeover_seconds + 0.1)
         self.assertTrue(await second.acquire_or_renew())
         self.assertGreater(second.fencing, first.fencing)
         await server.cancel()
--- a/tests/platform/test_row_versions.py
+++ b/tests/platform/test_row_versions.py
@@ -1,4 +1,4 @@
-"""Versions and conditions of a store that comes back from a copy."""
+"""Versions and checks of rows in a store that is restored from a backup."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -21,15 +21,15 @@
 _KEY = 'placement/all/k'
 
 
-class _TurningStore(StandinStore):
-    """A stand-in that comes back while it answers."""
+class _RestoringStore(StandinStore):
+    """A stand-in that is restored while it answers."""
 
-    turns: int = 0
+    pending_restores: int = 0
 
     async def handle(self, request: Request, responder: Responder) -> None:
-        """Answer one call, perhaps in another era than the last."""
-        if self.turns:
-            self.turns -= 1
+        """Answer a call, after a restore if one is pending."""
+        if self.pending_restores:
+            self.pending_restores -= 1
             self.restore(self.backup())
         await super().handle(request, responder)
 
@@ -40,55 +40,57 @@
 
 
 class RowVersionsTest(unittest.TestCase):
-    """What is newer has the greater version, in whatever era."""
+    """Newer rows have higher versions, also across restores."""
 
     @given(
         st.tuples(st.integers(0, 9000), st.integers(0, 10**12 - 1)),
         st.tuples(st.integers(0, 9000), st.integers(0, 10**12 - 1)),
     )
-    def test_order(self, one: tuple[int, int], other: tuple[int, int]) -> None:
+    def test_versions_are_ordered_by_era(
+        self, one: tuple[int, int], other: tuple[int, int]
+    ) -> None:
         """Versions are ordered by era, then by number."""
         self.assertEqual(version_in(*one) < version_in(*other), one < other)
 
-    def test_versions_rise_over_a_return(self) -> None:
-        """Also where the store gives lower numbers out again."""
-        self._run(self._read_twice)
+    def test_versions_rise_over_a_restore(self) -> None:
+        """Versions rise even if the store issues lower numbers again."""
+        self._run(self._read_before_and_after)
 
-    def test_feed_from_an_earlier_era_reads_nothing(self) -> None:
-        """Its version may have been given out again."""
+    def test_feed_from_an_earlier_era(self) -> None:
+        """It raises an error, as its version may have been issued again."""
         self._run(self._feed)
 
-    def test_a_condition_of_an_earlier_era_never_holds(self) -> None:
-        """Another row may have got its number since."""
-        self._run(self._commit_old)
+    def test_check_of_an_earlier_era_fails(self) -> None:
+        """Another row may have the same number since."""
+        self._run(self._commit_with_old_check)
 
-    def test_a_write_that_passes_a_return_is_unknown(self) -> None:
-        """It was judged by another row than the one that was read."""
-        self._run(self._commit_meanwhile)
+    def test_commit_during_a_restore_is_unknown(self) -> None:
+        """Its checks were compared with other rows than those read."""
+        self._run(self._commit_during_restore)
 
-    def test_pages_of_two_eras_are_no_whole(self) -> None:
-        """A list that was read across a return mixes two."""
-        self._run(self._read_across)
+    def test_pages_of_two_eras_are_rejected(self) -> None:
+        """A list that is read during a restore would mix two states."""
+        self._run(self._read_during_restore)
 
-    def test_a_late_answer_says_nothing(self) -> None:
-        """It was made before another that has come."""
-        self._run(self._answer_late)
+    def test_late_answer_is_rejected(self) -> None:
+        """An answer from an earlier era arrives after one of a later era."""
+        self._run(self._read_late_answer)
 
     def _run(
         self,
-        scenario: Callable[[_TurningStore, StoreClient], Awaitable[None]],
+        scenario: Callable[[_RestoringStore, StoreClient], Awaitable[None]],
     ) -> None:
-        async def play() -> None:  # noqa: WPS430
-            store = _TurningStore(era=1)
+        async def run_with_store() -> None:  # noqa: WPS430
+            store = _RestoringStore(era=1)
             server, address = await start(store)
             await scenario(store, StoreClient(address))
             await server.cancel()
 
-        curio.run(play)
+        curio.run(run_with_store)
 
-    async def _read_twice(
+    async def _read_before_and_after(
         self,
-        store: _TurningStore,
+        store: _RestoringStore,
         client: StoreClient,
     ) -> None:
         earlier = store.backup()
@@ -104,21 +106,21 @@
             before.rows[0].schema_version,
         )
 
-    async def _feed(self, store: _TurningStore, client: StoreClient) -> None:
+    async def _feed(self, store: _RestoringStore, client: StoreClient) -> None:
         store.put('t', '', 'k', 'x')
-        seen = (await client.read_part('t', '')).schema_version
+        seen_version = (await client.read_part('t', '')).schema_version
         store.restore(store.backup())
         with self.assertRaises(HistoryLostError):
-            await client.feed('t', seen, 0)
+            await client.feed('t', seen_version, 0)
         self.assertEqual(client.era, 2)
         calls = store.calls.total()
         with self.assertRaises(HistoryLostError):
-            await client.feed('t', seen, 0)
+            await client.feed('t', seen_version, 0)
         self.assertEqual(store.calls.total(), calls)
 
-    async def _commit_old(
+    async def _commit_with_old_check(
         self,
-        store: _TurningStore,
+        store: _RestoringStore,
         client: StoreClient,
     ) -> None:
         table = PlatformTable(client)
@@ -129,34 +131,34 @@
         with self.assertRaises(WriteConflictError):
             await _write(table, version)
 
-    async def _commit_meanwhile(
+    async def _commit_during_restore(
         self,
-        store: _TurningStore,
+        store: _RestoringStore,
         client: StoreClient,
     ) -> None:
         table = PlatformTable(client)
         version = await _write(table)
-        store.turns = 1
+        store.pending_restores = 1
         with self.assertRaises(WriteUnknownError):
             await _write(table, version)
         self.assertEqual(era_of(await _write(table)), 2)
 
-    async def _read_across(
+    async def _read_during_restore(
         self,
-        store: _TurningStore,
+        store: _RestoringStore,
         client: StoreClient,
     ) -> None:
         store.page_rows = 2
         for number in range(5):
             store.put('t', '', f'k{number}', 'x')
         await client.read_part('t', '')
-        store.turns = 2
+        store.pending_restores = 2
         with self.assertRaises(HistoryLostError):
             await client.read_part('t', '')
 
-    async def _answer_late(
+    async def _read_late_answer(
         self,
-        store: _TurningStore,
+        store: _RestoringStore,
         client: StoreClient,
     ) -> None:
         store.put('t', '', 'k', 'x')
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""The adapter's store client against a stand-in of the wire."""
+"""The platform adapter's client and sources against a stand-in store."""
 
 import socket
 import unittest
@@ -25,7 +25,7 @@
 from cranecart.ports import Check, MemberPhase, Put, Transaction
 from tests.platform._standin import StandinStore, start
 
-Answer = TypeVar('Answer')
+Result = TypeVar('Result')
 
 _ENTRY = MappingProxyType(
     {
@@ -81,35 +81,37 @@
 )
 
 
-class StoreTest(unittest.TestCase):
-    """What the product's ports say of the platform's answers."""
+class StoreClientTest(unittest.TestCase):
+    """Results and errors of the ports for the store's answers."""
 
     def setUp(self) -> None:
         """Start with an empty store."""
         self.store = StandinStore()
 
     def test_transactions(self) -> None:
-        """A check that fails changes nothing; one that holds does."""
-        curio.run(self._with_client, self._transactions)
+        """A transaction changes rows only if its checks pass."""
+        curio.run(self._call_with_client, self._commit_with_checks)
 
     def test_pages(self) -> None:
-        """A part over several pages is read whole."""
+        """All pages of a part are read."""
         self.store.page_rows = 3
         for number in range(8):
             self.store.put('t', 'p', f'k{number}', number)
-        rows = self._run(lambda one: PlatformTable(one).read_prefix('t/p/'))
+        rows = self._run(
+            lambda client: PlatformTable(client).read_prefix('t/p/')
+        )
         self.assertEqual(len(rows), 8)
 
-    def test_a_lost_answer_is_unknown(self) -> None:
-        """The write may have been done, and here it was."""
+    def test_lost_answer_to_a_commit(self) -> None:
+        """Without an answer, the commit may have been executed."""
         self.store.faults.append('lost')
         put = Transaction((), (Put('t/p/k', 'v'),))
         with self.assertRaises(WriteUnknownError):
             self._commit(put)
         self.assertIn(('t', 'p', 'k'), self.store.rows)
 
-    def test_refusals_did_nothing(self) -> None:
-        """A 429 or 503 says that nothing was done."""
+    def test_refused_commits(self) -> None:
+        """A status of 429 or 503 means that nothing was written."""
         put = Transaction((), (Put('t/p/k', 'v'),))
         for status in (429, 503):
             self.store.faults.append(status)
@@ -117,17 +119,17 @@
                 self._commit(put)
         self.assertEqual(self.store.rows, {})
 
-    def test_history_gone(self) -> None:
-        """A feed from before the history's start says so."""
+    def test_lost_history(self) -> None:
+        """A feed from a discarded version raises an error."""
         self.store.oldest_version = 5
         with self.assertRaises(HistoryLostError):
-            self._run(lambda one: PlatformTargetList(one).changes(1, 0))
+            self._run(lambda client: PlatformTargetList(client).changes(1, 0))
 
     def test_list(self) -> None:
-        """An entry becomes an instance, also one with a strange neighbour."""
+        """An entry is read as an instance, even beside a malformed one."""
         self.store.put('servers', '', 'i1', dict(_ENTRY))
         self.store.put('servers', '', 'i2', {'service': 3})
-        found = self._run(lambda one: PlatformTargetList(one).snapshot())
+        found = self._run(lambda client: PlatformTargetList(client).snapshot())
         self.assertEqual(list(found.items), ['i1'])
         instance = found.items['i1']
         self.assertTrue(instance.leaving)
@@ -136,26 +138,30 @@
         self.assertIsNone(instance.phase_in('g', 6))
 
     def test_list_changes(self) -> None:
-        """Entries that went come without an instance."""
+        """Deleted entries are reported as ``None``."""
         self.store.put('servers', '', 'i1', dict(_ENTRY))
         since = self.store.version
         self.store.drop('servers', '', 'i1')
-        found = self._run(lambda one: PlatformTargetList(one).changes(since, 1))
+        found = self._run(
+            lambda client: PlatformTargetList(client).changes(since, 1)
+        )
         self.assertEqual(found.items, {'i1': None})
 
     def test_own_rows(self) -> None:
-        """The product's tables are followed by the keys it wrote."""
+        """Committed rows are read again under the same keys."""
         put = Transaction((), (Put('t/p/k', 'v'),))
         self._commit(put)
         found = self._run(
-            lambda one: PlatformRowSource(one, 't', ('p',)).snapshot(),
+            lambda client: PlatformRowSource(client, 't', ('p',)).snapshot(),
         )
         self.assertEqual(found.items['t/p/k'].value, 'v')
 
     def test_configuration(self) -> None:
-        """Routes, keys and limits come in the product's units."""
+        """Routes, keys and limits are decoded and converted."""
         self.store.put('op', '', 'config', dict(_CONFIG))
-        found = self._run(lambda one: PlatformConfigSource(one).snapshot())
+        found = self._run(
+            lambda client: PlatformConfigSource(client).snapshot()
+        )
         config = found.items['config']
         route = config.route('A.example:80', '/x/z')
         assert route is not None
@@ -172,33 +178,35 @@
         self.assertIsNone(config.holder('k3'))
         self.assertEqual(config.limits.body_bytes, 100)
 
-    def test_an_unreadable_configuration_changes_nothing(self) -> None:
-        """It is an error of the platform's, told as one."""
+    def test_unreadable_configuration(self) -> None:
+        """A malformed configuration raises an error of the platform."""
         self.store.put('op', '', 'config', {'version': 'seven'})
         with self.assertRaises(PlatformUnavailableError):
-            self._run(lambda one: PlatformConfigSource(one).snapshot())
+            self._run(lambda client: PlatformConfigSource(client).snapshot())
 
     def _commit(self, transaction: Transaction) -> int:
-        return self._run(lambda one: PlatformTable(one).commit(transaction))
+        return self._run(
+            lambda client: PlatformTable(client).commit(transaction)
+        )
 
     def _run(
         self,
-        call: Callable[[StoreClient], Awaitable[Answer]],
-    ) -> Answer:
-        answer: Answer = curio.run(self._with_client, call)
-        return answer
+        call: Callable[[StoreClient], Awaitable[Result]],
+    ) -> Result:
+        result: Result = curio.run(self._call_with_client, call)
+        return result
 
-    async def _with_client(
+    async def _call_with_client(
         self,
-        call: Callable[[StoreClient], Awaitable[Answer]],
-    ) -> Answer:
+        call: Callable[[StoreClient], Awaitable[Result]],
+    ) -> Result:
         task, address = await start(self.store)
         try:
             return await call(StoreClient(address))
         finally:
             await task.cancel()
 
-    async def _transactions(self, client: StoreClient) -> None:
+    async def _commit_with_checks(self, client: StoreClient) -> None:
         table = PlatformTable(client)
         version = await table.commit(
             Transaction((Check('t/p/k', 0),), (Put('t/p/k', 'one'),)),
@@ -216,39 +224,39 @@
         self.assertEqual(await table.read_keys(['t/p/k']), {})
 
 
-class AwayTest(unittest.TestCase):
-    """A store that cannot be reached at all."""
+class UnreachableStoreTest(unittest.TestCase):
+    """A store that cannot be reached."""
 
-    def test_nothing_was_written(self) -> None:
-        """A write that found no listener is known not to be done."""
+    def test_commit_without_connection(self) -> None:
+        """If the connection is refused, nothing was written."""
         client = StoreClient(Address('127.0.0.1', 1))
         put = Transaction((), (Put('t/p/k', 'v'),))
         with self.assertRaises(PlatformUnavailableError):
             curio.run(PlatformTable(client).commit, put)
 
 
-class AnsweredLateTest(unittest.TestCase):
-    """An answer of the store that belongs to an earlier question."""
+class LateAnswerTest(unittest.TestCase):
+    """An answer of the store that belongs to an earlier request."""
 
-    def test_a_writes_answer_is_no_empty_part(self) -> None:
-        """A part without rows would end all that is known of it."""
+    def test_commit_answer_taken_for_empty_part(self) -> None:
+        """An empty part would delete everything that is known of it."""
         with self.assertRaises(PlatformUnavailableError):
-            curio.run(_read_behind, b'{"schemaVersion":9,"nowMs":1}')
+            curio.run(_read_after_late_answer, b'{"schemaVersion":9,"nowMs":1}')
 
-    def test_rows_of_another_table(self) -> None:
-        """They are not taken for those that were asked for."""
+    def test_rows_of_another_table_taken(self) -> None:
+        """Rows of another table are not taken for the requested ones."""
         with self.assertRaises(PlatformUnavailableError):
             curio.run(
-                _read_behind,
+                _read_after_late_answer,
                 b'{"schemaVersion":9,"rows":[{"keyFile":"k","tableName":"u"}]}',
             )
 
 
-async def _read_behind(late: bytes) -> None:
-    """Read a part on a connection that still owes an answer."""
+async def _read_after_late_answer(late_answer: bytes) -> None:
+    """Read a part on a connection where the answer is another one."""
     listener = curio.io.Socket(socket.create_server(('127.0.0.1', 0)))
     store = StoreClient(Address(*listener.getsockname()[:2]))
-    serving = await curio.spawn(_answer_late, listener, late)
+    serving = await curio.spawn(_send_late_answer, listener, late_answer)
     try:
         await store.commit({})
         await store.read_part('t', 'p')
@@ -256,15 +264,17 @@
         await serving.cancel()
 
 
-async def _answer_late(listener: curio.io.Socket, late: bytes) -> None:
-    written = b'{"schemaVersion":9,"nowMs":1}'
+async def _send_late_answer(
+    listener: curio.io.Socket, late_answer: bytes
+) -> None:
+    commit_answer = b'{"schemaVersion":9,"nowMs":1}'
     async with listener:
         sock, _ = await listener.accept()
         async with sock:
             await sock.recv(65536)
-            await sock.sendall(_answer(written))
+            await sock.sendall(_answer(commit_answer))
             await sock.recv(65536)
-            await sock.sendall(_answer(late))
+            await sock.sendall(_answer(late_answer))
             await curio.sleep(5)
 
 
--- a/tests/platform/test_unresponsive_connections.py
+++ b/tests/platform/test_unresponsive_connections.py
@@ -1,7 +1,8 @@
-"""Connections that go silent for good, to the store and to instances.
+"""Connections to the store and to instances that stop answering for good.
 
-Nothing resets them, and new ones work: only a bound of the caller's own ends
-the wait, and only keep-alive probes find one that nobody is asking on.
+They are not reset, and new connections work. Only a timeout of the caller ends
+the wait, and only TCP keep-alive probes detect a dead connection that is waiting
+for changes.
 """
 
 import functools
@@ -32,49 +33,50 @@
 from tests.lib.fake_engines import listed_instance
 from tests.platform._standin import StandinStore, start
 
-# What a busy machine may add to a bound; without one it would be a minute.
+# How much longer than its timeout a call may take on a busy machine. Without a
+# timeout it would take a minute.
 _SLACK_SECONDS = 6.0
-_FEED_SECONDS = 0.2
-_FEED_SLACK_SECONDS = 1.5
-_PUT = Transaction((), (Put('t/p/k', 'v'),))
+_POLL_SECONDS = 0.2
+_POLL_MARGIN_SECONDS = 1.5
+_TRANSACTION = Transaction((), (Put('t/p/k', 'v'),))
 
 
-class MuteStore(StandinStore):
-    """Answers; once mute, nothing on the connections that there are."""
+class UnresponsiveStore(StandinStore):
+    """Stops answering on its existing connections when told to."""
 
     def __init__(self) -> None:
-        """Answer everything at first."""
+        """Answer all requests until told otherwise."""
         super().__init__()
-        self.known: WeakSet[h11.Connection] = WeakSet()
-        self.mute: WeakSet[h11.Connection] = WeakSet()
-        self.drips = False
+        self.connections: WeakSet[h11.Connection] = WeakSet()
+        self.dead_connections: WeakSet[h11.Connection] = WeakSet()
+        self.answers_slowly = False
 
     async def handle(self, request: Request, responder: Responder) -> None:
-        """Answer one call, or never."""
-        place = responder._connection
-        self.known.add(place)
-        if place in self.mute and self.drips:
-            await self._drip(responder)
-        if place in self.mute:
+        """Answer a call, unless its connection is dead."""
+        connection = responder._connection
+        self.connections.add(connection)
+        if connection in self.dead_connections and self.answers_slowly:
+            await self._answer_slowly(responder)
+        if connection in self.dead_connections:
             await curio.sleep(60)
-        # Calls that come together need a connection each.
+        # The delay makes concurrent calls use a connection each.
         await curio.sleep(0.02)
         await super().handle(request, responder)
 
-    def fall_silent(self) -> None:
-        """Say nothing more on the connections that were used."""
-        self.mute.update(self.known)
+    def stop_answering(self) -> None:
+        """Stop answering on all connections used so far."""
+        self.dead_connections.update(self.connections)
 
-    async def _drip(self, responder: Responder) -> None:
+    async def _answer_slowly(self, responder: Responder) -> None:
         await responder.start(200, {'content-length': '1000'})
-        for _byte in range(999):
+        for _number in range(999):
             await responder.write(b'[')
             await curio.sleep(0.05)
 
 
 @attrs.define
 class Calls:
-    """The calls of one client."""
+    """The kinds of calls of a store client."""
 
     client: StoreClient
 
@@ -84,55 +86,55 @@
 
     async def write(self) -> object:
         """Write a row."""
-        return await PlatformTable(self.client).commit(_PUT)
+        return await PlatformTable(self.client).commit(_TRANSACTION)
 
     async def follow(self) -> object:
         """Wait for changes."""
         listing = PlatformTargetList(self.client)
-        return await listing.changes(0, _FEED_SECONDS)
+        return await listing.changes(0, _POLL_SECONDS)
 
 
-class SilentStoreTest(unittest.TestCase):
-    """Every call ends, and the next one is made on a new connection."""
+class UnresponsiveStoreTest(unittest.TestCase):
+    """Each call times out, and the next one uses a new connection."""
 
     def setUp(self) -> None:
-        """Start with a store that answers."""
-        self.store = MuteStore()
+        """Start with a store that answers all requests."""
+        self.store = UnresponsiveStore()
 
     def test_read(self) -> None:
-        """Nothing was read, and the store counts as away."""
-        self._play(Calls.read, PlatformUnavailableError)
+        """The store counts as unavailable."""
+        self._assert_call_fails(Calls.read, PlatformUnavailableError)
 
     def test_write(self) -> None:
-        """It may have been written."""
-        self._play(Calls.write, WriteUnknownError)
+        """Whether the row was written is unknown."""
+        self._assert_call_fails(Calls.write, WriteUnknownError)
 
     def test_feed(self) -> None:
-        """It may wait for as long as it asked to, and no more."""
-        self._play(Calls.follow, PlatformUnavailableError)
+        """A long poll ends soon after the requested wait."""
+        self._assert_call_fails(Calls.follow, PlatformUnavailableError)
 
-    def test_an_answer_that_drips(self) -> None:
-        """The bound is one for the whole answer."""
-        self.store.drips = True
-        self._play(Calls.read, PlatformUnavailableError)
+    def test_slow_answer(self) -> None:
+        """The timeout applies to the complete answer, not to each part."""
+        self.store.answers_slowly = True
+        self._assert_call_fails(Calls.read, PlatformUnavailableError)
 
-    def test_all_kept_connections(self) -> None:
-        """One that is silent tells of the others that were kept with it."""
-        curio.run(self._with_client, self._several)
+    def test_all_persistent_connections(self) -> None:
+        """After one timeout, no other persistent connection is reused."""
+        curio.run(self._with_client, self._call_on_dead_connections)
 
-    def test_a_dark_path_is_noticed_while_waiting(self) -> None:
-        """Waiting for changes ends by probes, long before its own bound."""
-        curio.run(self._with_client, self._options)
+    def test_keepalive_ends_a_long_poll(self) -> None:
+        """Keep-alive probes fail long before the timeout of a long poll."""
+        curio.run(self._with_client, self._check_socket_options)
 
-    def _play(
+    def _assert_call_fails(
         self,
         call: Callable[[Calls], Awaitable[object]],
         error: type[Exception],
     ) -> None:
-        play = functools.partial(self._once, call, error)
-        curio.run(self._with_client, play)
+        scenario = functools.partial(self._call_before_and_after, call, error)
+        curio.run(self._with_client, scenario)
 
-    async def _once(
+    async def _call_before_and_after(
         self,
         call: Callable[[Calls], Awaitable[object]],
         error: type[Exception],
@@ -140,29 +142,31 @@
     ) -> None:
         calls = Calls(client)
         await call(calls)
-        self.store.fall_silent()
+        self.store.stop_answering()
         started = time.monotonic()
         with self.assertRaises(error):
             await call(calls)
-        bound = max(CALL_TIMEOUT_SECONDS, _FEED_SECONDS + _FEED_SLACK_SECONDS)
-        self.assertLess(time.monotonic() - started, bound + _SLACK_SECONDS)
+        time_limit = max(
+            CALL_TIMEOUT_SECONDS, _POLL_SECONDS + _POLL_MARGIN_SECONDS
+        )
+        self.assertLess(time.monotonic() - started, time_limit + _SLACK_SECONDS)
         await call(calls)
 
-    async def _several(self, client: StoreClient) -> None:
+    async def _call_on_dead_connections(self, client: StoreClient) -> None:
         calls = Calls(client)
         async with curio.TaskGroup() as tasks:
             for _number in range(4):
                 await tasks.spawn(calls.read)
-        self.assertEqual(len(self.store.known), 4)
-        self.store.fall_silent()
+        self.assertEqual(len(self.store.connections), 4)
+        self.store.stop_answering()
         with self.assertRaises(PlatformUnavailableError):
             await calls.read()
         self.assertEqual(await calls.read(), {})
 
-    async def _options(self, client: StoreClient) -> None:
+    async def _check_socket_options(self, client: StoreClient) -> None:
         await Calls(client).read()
         connection = await client._pool.acquire(client._address)
-        found = {
+        option_values = {
             option: connection._sock.getsockopt(level, option)
             for level, option in (
                 (socket.SOL_SOCKET, socket.SO_KEEPALIVE),
@@ -173,36 +177,41 @@
             )
         }
         await connection.close()
-        self.assertEqual(found[socket.SO_KEEPALIVE], 1)
-        probed = found[socket.TCP_KEEPINTVL] * found[socket.TCP_KEEPCNT]
-        self.assertLessEqual(found[socket.TCP_KEEPIDLE] + probed, 3)
-        self.assertLessEqual(found[socket.TCP_USER_TIMEOUT], 3000)
-        self.assertGreater(found[socket.TCP_USER_TIMEOUT], 0)
+        self.assertEqual(option_values[socket.SO_KEEPALIVE], 1)
+        probe_seconds = (
+            option_values[socket.TCP_KEEPINTVL]
+            * option_values[socket.TCP_KEEPCNT]
+        )
+        self.assertLessEqual(
+            option_values[socket.TCP_KEEPIDLE] + probe_seconds, 3
+        )
+        self.assertLessEqual(option_values[socket.TCP_USER_TIMEOUT], 3000)
+        self.assertGreater(option_values[socket.TCP_USER_TIMEOUT], 0)
 
     async def _with_client(
         self,
-        play: Callable[[StoreClient], Awaitable[None]],
+        scenario: Callable[[StoreClient], Awaitable[None]],
     ) -> None:
         task, address = await start(self.store)
         try:
-            await play(StoreClient(address))
+            await scenario(StoreClient(address))
         finally:
             await task.cancel()
 
 
-class SilentInstanceTest(unittest.TestCase):
-    """An order ends soon, and the next one is sent anew."""
+class UnresponsiveInstanceTest(unittest.TestCase):
+    """An order times out, and the next one uses a new connection."""
 
     def test_order(self) -> None:
-        """It may have been taken."""
-        curio.run(self._order)
+        """Whether the order was executed is unknown."""
+        curio.run(self._order_before_and_after)
 
-    async def _order(self) -> None:
-        engine = MuteStore()
+    async def _order_before_and_after(self) -> None:
+        engine = UnresponsiveStore()
         task, address = await start(engine)
         orders = PlatformOrders()
         await self._open(orders, address)
-        engine.fall_silent()
+        engine.stop_answering()
         started = time.monotonic()
         with self.assertRaises(OrderUnknownError):
             await self._open(orders, address)
--- a/tests/unit/test_batch.py
+++ b/tests/unit/test_batch.py
@@ -1,4 +1,4 @@
-"""Transactions that are committed together."""
+"""Transactions that are committed in batches."""
 
 import unittest
 
@@ -13,10 +13,10 @@
 
 @attrs.define
 class _SlowPlatform(FakePlatform):
-    """Takes so long that others queue while the first one is written."""
+    """Is so slow that others are queued during the first commit."""
 
     async def commit(self, transaction: Transaction) -> int:
-        """Write a transaction after a while."""
+        """Commit a transaction after a delay."""
         await curio.sleep(0.02)
         return await FakePlatform.commit(self, transaction)
 
@@ -25,16 +25,16 @@
     return Transaction((Check(key, 0),), (Put(key, text),))
 
 
-class BatchTest(unittest.TestCase):
-    """Inserts that come while another is under way."""
+class WriteBatcherTest(unittest.TestCase):
+    """Inserts that are queued during another commit."""
 
-    def test_copies_of_one_row(self) -> None:
-        """Only one of them may think that it was the first."""
+    def test_conflicting_inserts(self) -> None:
+        """Only one of several inserts of the same row succeeds."""
         outcomes = curio.run(self._insert_copies)
         self.assertEqual(outcomes.count(True), 1)
 
-    def test_rows_of_their_own(self) -> None:
-        """They all succeed, in few commits."""
+    def test_independent_inserts(self) -> None:
+        """Inserts of different rows all succeed, in few commits."""
         platform = _SlowPlatform()
         outcomes = curio.run(self._insert_all, platform, 'abcdef')
         self.assertTrue(all(outcomes))
@@ -51,12 +51,14 @@
         batcher = WriteBatcher(platform)  # type: ignore[arg-type]
         async with curio.TaskGroup(wait=all) as tasks:
             for number, key in enumerate(keys):
-                await tasks.spawn(_try, batcher, _insert(key, str(number)))
-        succeeded: list[bool] = list(tasks.results)
-        return succeeded if len(set(keys)) == len(keys) else succeeded[1:]
+                await tasks.spawn(
+                    _try_commit, batcher, _insert(key, str(number))
+                )
+        successes: list[bool] = list(tasks.results)
+        return successes if len(set(keys)) == len(keys) else successes[1:]
 
 
-async def _try(batcher: WriteBatcher, transaction: Transaction) -> bool:
+async def _try_commit(batcher: WriteBatcher, transaction: Transaction) -> bool:
     try:
         await batcher.commit(transaction)
     except WriteConflictError:
--- a/tests/unit/test_readiness.py
+++ b/tests/unit/test_readiness.py
@@ -1,4 +1,4 @@
-"""When a node tells its balancer that it is ready."""
+"""When a node reports to its load balancer that it is ready."""
 
 import tempfile
 import unittest
@@ -36,13 +36,13 @@
 
 
 class ReadinessTest(unittest.TestCase):
-    """Each of the things without which a node must not be sent to."""
+    """Each condition without which a node must not get connections."""
 
     def setUp(self) -> None:
-        """Build a node that has all of them; nothing runs."""
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.file = Path(folder.name) / 'node.json'
+        """Build a node that meets all conditions; nothing runs."""
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        self.file = Path(directory.name) / 'node.json'
         self.file.write_bytes(_settings(max_descriptors=1200.5))
         self.node = _node(self.file)
         self.node._active_config._config = CONFIG
@@ -53,20 +53,20 @@
         self.node._client_server = SimpleNamespace(is_full=False, limits=None)
 
     def tearDown(self) -> None:
-        """Free the addresses."""
+        """Close the sockets."""
         self.node._mesh.close()
 
     def test_ready(self) -> None:
-        """It has all."""
+        """A node that meets all conditions is ready."""
         self.assertTrue(self.node._is_ready())
 
     def test_full(self) -> None:
-        """Connections wait that it cannot serve."""
+        """A node at its connection limit is not ready."""
         self.node._client_server.is_full = True
         self.assertFalse(self.node._is_ready())
 
-    def test_uninformed(self) -> None:
-        """It knows no configuration, or no targets."""
+    def test_missing_data(self) -> None:
+        """A node without configuration or targets is not ready."""
         self.node._followers.is_informed = False
         self.assertFalse(self.node._is_ready())
         self.node._followers.is_informed = True
@@ -74,20 +74,20 @@
         self.assertFalse(self.node._is_ready())
 
     def test_stopping(self) -> None:
-        """It was told to stop."""
+        """A stopping node is not ready."""
         self.node._is_stopping = True
         self.assertFalse(self.node._is_ready())
 
     def test_descriptors_are_left_for_targets(self) -> None:
-        """A new configuration keeps the bound that the machine gives."""
+        """A new configuration keeps the limit from the file descriptors."""
         self.assertLessEqual(self._connections(), 600)
         self.assertGreaterEqual(self._connections(), 500)
         self.file.write_bytes(_settings(max_descriptors=100))
         settings = ServingSettings.from_file(self.file)
-        few = server_limits(settings, ClientLimits())
-        self.assertGreater(few.connections, 0)
+        limits = server_limits(settings, ClientLimits())
+        self.assertGreater(limits.connections, 0)
 
     def _connections(self) -> int:
         self.node._apply_client_limits(CONFIG)
-        bound: int = self.node._client_server.limits.connections
-        return bound
+        limit: int = self.node._client_server.limits.connections
+        return limit
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -335,14 +335,14 @@
         'platform/_store.py',
         'self.schema_version = version_in(era, self.schema_version)',
         'self.schema_version = version_in(0, self.schema_version)',
-        f'{_VERSIONS}.test_versions_rise_over_a_return',
+        f'{_VERSIONS}.test_versions_rise_over_a_restore',
     ),
     Mutation(
         'conditions-of-an-earlier-era-hold',
         'platform/_tables.py',
         'if any(era_of(version) != era for version in versions):',
         'if not versions:',
-        f'{_VERSIONS}.test_a_condition_of_an_earlier_era_never_holds',
+        f'{_VERSIONS}.test_check_of_an_earlier_era_fails',
     ),
     Mutation(
         'fences-start-anew',
@@ -356,7 +356,7 @@
         'fleet/_source_follower.py',
         'self._apply_restored(items)',
         'self._take(items, True)',
-        f'{_RESTORED}.test_new_target_lost_with_a_copy',
+        f'{_RESTORED}.test_new_target_lost_after_restore',
     ),
     Mutation(
         'what-had-gone-is-not-awaited',
@@ -364,7 +364,7 @@
         'if name not in self.instances\n'
         '            and item.incarnation in self._lapsed_incarnations',
         'if not name',
-        f'{_RESTORED}.test_gone_target_taken_again_from_a_copy',
+        f'{_RESTORED}.test_deleted_target_used_after_restore',
     ),
     Mutation(
         'records-are-not-written-again',
