--- a/src/cranecart/platform/_store.py
+++ b/src/cranecart/platform/_store.py
@@ -70,7 +70,7 @@
     rows: list[WireRow]
     truncated: bool = False
 
-    def with_era(self, era: int) -> 'WireRows':
+    def add_era(self, era: int) -> 'WireRows':
         """Add the era to all versions; return the rows."""
         self.schema_version = version_in(era, self.schema_version)
         for row in self.rows:
@@ -145,8 +145,8 @@
             'sinceRevision': number_of(since),
             'waitMs': round(wait_seconds * _MILLISECONDS),
         }
-        seconds = wait_seconds + _POLL_MARGIN_SECONDS
-        rows = await self._get('/rows-feed', query, seconds)
+        timeout_seconds = wait_seconds + _POLL_MARGIN_SECONDS
+        rows = await self._get('/rows-feed', query, timeout_seconds)
         if era_of(rows.schema_version) != era_of(since):
             raise HistoryLostError(_RESTORED_STORE)
         return rows
@@ -186,14 +186,14 @@
         self,
         path: str,
         query: Mapping[str, object],
-        seconds: float,
+        timeout_seconds: float,
     ) -> WireRows:
         self.counts[f'reads of {query["tableName"]}'] += 1
         request = Request('GET', f'{path}?{urlencode(query)}')
-        response = await self._read(request, path, seconds)
+        response = await self._read(request, path, timeout_seconds)
         if response.status == _GONE:
             raise HistoryLostError(
-                f'{path}: the store has discarded the changes since that version'
+                f'{path}: the store cannot list the changes since that version'
             )
         if response.status != _OK:
             raise PlatformUnavailableError(
@@ -203,7 +203,7 @@
         if era < self.era:
             raise PlatformUnavailableError(_STALE_ANSWER)
         try:
-            return _read_rows(response, str(query['tableName'])).with_era(era)
+            return _read_rows(response, str(query['tableName'])).add_era(era)
         except PlatformUnavailableError:
             # This may be the answer to an earlier request; then the following
             # answers on that connection would be shifted as well.
@@ -214,18 +214,22 @@
         self,
         request: Request,
         path: str,
-        seconds: float,
+        timeout_seconds: float,
     ) -> Response:
         try:
-            return await self._exchange(request, seconds)
+            return await self._exchange(request, timeout_seconds)
         except TaskTimeout as error:
             raise PlatformSilentError(f'{path}: {error!r}') from error
         except HttpError as error:
             raise PlatformUnavailableError(f'{path}: {error!r}') from error
 
-    async def _exchange(self, request: Request, seconds: float) -> Response:
+    async def _exchange(
+        self, request: Request, timeout_seconds: float
+    ) -> Response:
         try:
-            return await curio.timeout_after(seconds, self._send, request)
+            return await curio.timeout_after(
+                timeout_seconds, self._send, request
+            )
         except TaskTimeout:
             # The other persistent connections may be dead for the same reason,
             # and each of them would cost another call its full timeout.
--- a/src/cranecart/platform/_tables.py
+++ b/src/cranecart/platform/_tables.py
@@ -34,20 +34,24 @@
     async def read_keys(self, keys: Iterable[str]) -> dict[str, Row]:
         """Read rows by key; absent rows are left out."""
         requested = list(keys)
-        found: dict[str, Row] = {}
+        rows_by_key: dict[str, Row] = {}
         partitions = {_partition_of(key) for key in requested}
         for table, part in partitions:
             rows = await self._store.read_part(table, part)
-            found.update(_decode_rows(table, part, rows.rows))
-        return {key: found[key] for key in requested if key in found}
+            rows_by_key.update(_decode_rows(table, part, rows.rows))
+        return {
+            key: rows_by_key[key] for key in requested if key in rows_by_key
+        }
 
     async def read_prefix(self, prefix: str) -> dict[str, Row]:
         """Read all rows whose keys start with ``table/part/``."""
         table, part = _partition_of(prefix)
         rows = await self._store.read_part(table, part)
-        found = _decode_rows(table, part, rows.rows)
+        rows_by_key = _decode_rows(table, part, rows.rows)
         return {
-            key: row for key, row in found.items() if key.startswith(prefix)
+            key: row
+            for key, row in rows_by_key.items()
+            if key.startswith(prefix)
         }
 
     async def commit(self, transaction: Transaction) -> int:
@@ -81,12 +85,12 @@
     async def snapshot(self) -> Snapshot[Row]:
         """Read all parts; return them with the lowest of their versions."""
         versions = []
-        found: dict[str, Row] = {}
+        rows_by_key: dict[str, Row] = {}
         for part in self._parts:
             rows = await self._store.read_part(self._table, part)
             versions.append(rows.schema_version)
-            found.update(_decode_rows(self._table, part, rows.rows))
-        return Snapshot(min(versions), found)
+            rows_by_key.update(_decode_rows(self._table, part, rows.rows))
+        return Snapshot(min(versions), rows_by_key)
 
     async def changes(self, since: int, wait_seconds: float) -> Changes[Row]:
         """Wait for changed rows."""
@@ -137,8 +141,8 @@
     part: str,
     rows: Iterable[WireRow],
 ) -> Mapping[str, Row]:
-    found = (_decode_row(table, part, row) for row in rows)
-    return {row.key: row for row in found}
+    rows_by_key = (_decode_row(table, part, row) for row in rows)
+    return {row.key: row for row in rows_by_key}
 
 
 def _decode_row(table: str, part: str, row: WireRow) -> Row:
--- a/src/cranecart/serving/_endpoints.py
+++ b/src/cranecart/serving/_endpoints.py
@@ -63,11 +63,11 @@
     def metrics(self) -> 'Metrics':
         """Return the node's metrics, including everything recorded so far."""
         if self._metrics is None:
-            made: Metrics = importlib.import_module(
+            new_metrics: Metrics = importlib.import_module(
                 'cranecart.metrics'
             ).Metrics()
-            made.take_over(self._outcomes, self._first_byte_seconds)
-            self._metrics = made
+            new_metrics.take_over(self._outcomes, self._first_byte_seconds)
+            self._metrics = new_metrics
         return self._metrics
 
 
--- a/src/cranecart/serving/_factories.py
+++ b/src/cranecart/serving/_factories.py
@@ -30,7 +30,7 @@
 _MIN_CONNECTIONS = 16
 
 
-def make_mesh(settings: ServingSettings, events: MeshCallbacks) -> Mesh:
+def make_mesh(settings: ServingSettings, callbacks: MeshCallbacks) -> Mesh:
     """Bind the peer address and return the mesh."""
     transport: PeerTransport[MeshMessage] = PeerTransport(
         Address.from_text(settings.peer_address),
@@ -42,7 +42,7 @@
         settings.peer_address,
         settings.failure_domain,
     )
-    return Mesh(local_state, transport, events)
+    return Mesh(local_state, transport, callbacks)
 
 
 def server_limits(
@@ -55,13 +55,15 @@
     descriptors too. A node that runs out of them answers neither clients nor
     the load balancer.
     """
-    free = settings.max_descriptors - _RESERVED_DESCRIPTORS
+    available_descriptors = settings.max_descriptors - _RESERVED_DESCRIPTORS
     return ServerLimits(
         head_bytes=limits.head_bytes,
         body_bytes=limits.body_bytes,
         receive_seconds=limits.receive_seconds,
         idle_seconds=limits.idle_seconds,
-        connections=max(_MIN_CONNECTIONS, int(free * _CLIENT_FRACTION)),
+        connections=max(
+            _MIN_CONNECTIONS, int(available_descriptors * _CLIENT_FRACTION)
+        ),
     )
 
 
--- a/src/cranecart/serving/_followers.py
+++ b/src/cranecart/serving/_followers.py
@@ -160,7 +160,7 @@
     mesh: Mesh
     fleet: Fleet
     held: HeldRows
-    registry: NodeRegistration | None = None
+    registration: NodeRegistration | None = None
 
     def restore(self, items: Mapping[str, Row]) -> None:
         """Apply the rows of a table that was restored from a backup.
@@ -171,8 +171,8 @@
         self.mesh.update_peers(peers_from_rows(items), False)
         self.fleet.apply_records(_decode_records(items), False)
         self.held.restore(items)
-        if self.registry is not None:
-            self.registry.restore(items)
+        if self.registration is not None:
+            self.registration.restore(items)
 
     def apply(self, items: Mapping[str, Row | None], is_complete: bool) -> None:
         """Apply changed rows, or all rows if ``is_complete``."""
@@ -221,11 +221,11 @@
 
 def _sharing(
     mesh: Mesh,
-    random_source: str,
+    source_name: str,
     message: Callable[[str, SourceUpdate[Item]], SourceUpdateMessage],
 ) -> UpdateSharing[Item]:
     return UpdateSharing(
-        lambda: mesh.announced_version(random_source),
+        lambda: mesh.announced_version(source_name),
         lambda update: mesh.publish_update(message(mesh.local.node_id, update)),
         LONG_POLL_SECONDS,
         takeover_rank=mesh.state.roster.takeover_rank,
@@ -235,12 +235,12 @@
 def _decode_records(
     items: Mapping[str, Row | None],
 ) -> dict[str, ReplicaRecord | None]:
-    read = {
+    decoded = {
         key: None if row is None else record_from_row(row)
         for key, row in items.items()
     }
     return {
         key: record
-        for key, record in read.items()
+        for key, record in decoded.items()
         if record is not None or items[key] is None
     }
--- a/src/cranecart/serving/_node.py
+++ b/src/cranecart/serving/_node.py
@@ -54,8 +54,8 @@
 _DRAIN_POLL_SECONDS = 0.05
 _HOUSEKEEPING_SECONDS = 0.5
 _MILLISECONDS = 1000
-# Counters are logged every ten seconds, that is every 20 housekeeping rounds.
-_COUNTER_LOG_TURNS = 20
+# Counters are logged every ten seconds, that is every 20 housekeeping iterations.
+_COUNTER_LOG_ITERATIONS = 20
 
 
 class ServingNode:
@@ -176,12 +176,12 @@
         self._log_queue.write_now()
 
     def _make_mesh(self) -> Mesh:
-        events = MeshCallbacks(
+        callbacks = MeshCallbacks(
             self._apply_stopped,
             self._apply_suspect,
             lambda message: self._quarantine.merge_remote(message),
-            lambda news: self._followers.apply_list_update(news),
-            lambda news: self._followers.apply_record_update(news),
+            lambda update: self._followers.apply_list_update(update),
+            lambda update: self._followers.apply_record_update(update),
             self._router.in_flight_counts,
             self._active_config.current,
             self._active_config.apply_from_peer,
@@ -194,7 +194,7 @@
                 self._fleet, message.incarnation, message.sender
             ),
         )
-        return make_mesh(self._live_settings.current, events)
+        return make_mesh(self._live_settings.current, callbacks)
 
     def _make_gateway(self) -> RoutedGateway:
         sender = Sender(
@@ -245,7 +245,7 @@
             await curio.sleep(_HOUSEKEEPING_SECONDS)
             if self._live_settings.look():
                 self._apply_settings()
-            if iteration % _COUNTER_LOG_TURNS == 0:
+            if iteration % _COUNTER_LOG_ITERATIONS == 0:
                 decision('figures', **self._counters())
             self._fleet.process_timeouts()
             listed_incarnations = self._fleet.instance_list.incarnations()
@@ -280,7 +280,7 @@
 
     async def _wait_for_stop(self, stop: StopSignal) -> None:
         await stop.wait()
-        started = since_boot()
+        stopping_since = since_boot()
         self._is_stopping = True
         self._mesh.local.stopping = True
         decision('node_stopping', in_flight=self._gateway.in_flight)
@@ -288,16 +288,16 @@
         await self._placer_host.hand_over()
         self._mesh.broadcast(self._mesh.message_sender.build_beat())
         await self._registration.withdraw()
-        await self._drain(started)
+        await self._drain(stopping_since)
 
-    async def _drain(self, started: float) -> None:
+    async def _drain(self, stopping_since: float) -> None:
         grace = (
             self._live_settings.current.stop_grace_seconds
             - _ABORT_RESERVE_SECONDS
         )
-        while since_boot() - started < grace:
+        while since_boot() - stopping_since < grace:
             await curio.sleep(_DRAIN_POLL_SECONDS)
-            if since_boot() - started < _LISTEN_WHILE_STOPPING_SECONDS:
+            if since_boot() - stopping_since < _LISTEN_WHILE_STOPPING_SECONDS:
                 continue
             # With too few ready nodes, a load balancer keeps sending to all of
             # them; requests that arrive from now on could not be finished.
--- a/src/cranecart/serving/_placer_host.py
+++ b/src/cranecart/serving/_placer_host.py
@@ -48,7 +48,7 @@
 
     _dependencies: PlacerDependencies
     _placer: 'GroupPlacer | None' = attrs.field(default=None, init=False)
-    _stopped: bool = attrs.field(default=False, init=False)
+    _is_stopped: bool = attrs.field(default=False, init=False)
 
     @property
     def held_failure_domain(self) -> str:
@@ -64,12 +64,12 @@
 
     async def run(self) -> None:
         """Load the placer and run it, until cancelled."""
-        started = since_boot()
-        await self._wait_until_serving()
+        started_at = since_boot()
+        await self._wait_until_informed()
         decision(
             'node_informed',
             informed=self._dependencies.followers.is_informed,
-            after=round(since_boot() - started, 3),
+            after=round(since_boot() - started_at, 3),
         )
         # Import in a thread, so that requests are served meanwhile.
         placement_module = await curio.run_in_thread(
@@ -78,13 +78,13 @@
         )
         placer: GroupPlacer = placement_module.make_placer(self._dependencies)
         self._placer = placer
-        if self._stopped:
+        if self._is_stopped:
             await placer.hand_over()
         await placer.run()
 
     async def hand_over(self) -> None:
         """Release the duty, so that another node takes it over at once."""
-        self._stopped = True
+        self._is_stopped = True
         if self._placer is not None:
             await self._placer.hand_over()
 
@@ -95,7 +95,7 @@
         if self._placer is not None:
             await self._placer.suspect(replica_epoch, evidence)
 
-    async def _wait_until_serving(self) -> None:
+    async def _wait_until_informed(self) -> None:
         deadline = since_boot() + _MAX_WAIT_SECONDS
         while (
             not self._dependencies.followers.is_informed
--- a/tests/platform/_standin.py
+++ b/tests/platform/_standin.py
@@ -22,7 +22,7 @@
 _GONE = 410
 _CONFLICT = 412
 _UNAVAILABLE = 503
-_FEED_LOOK_SECONDS = 0.01
+_FEED_POLL_SECONDS = 0.01
 
 RowKey = tuple[str, str, str]
 
@@ -66,7 +66,7 @@
     is_unresponsive: bool = False
     calls: Counter[tuple[str, str]] = attrs.field(factory=Counter, init=False)
     _log: list[tuple[int, RowKey]] = attrs.field(factory=list)
-    _mutes: int = attrs.field(default=0, init=False)
+    _unresponsive_changes: int = attrs.field(default=0, init=False)
 
     def discard_history(self) -> None:
         """Reject feeds from earlier versions, and resume stalled feeds."""
@@ -79,7 +79,7 @@
         Requests that are in progress at this time are not answered either way.
         """
         self.is_unresponsive = is_unresponsive
-        self._mutes += 1
+        self._unresponsive_changes += 1
 
     def backup(self) -> 'StoreBackup':
         """Return a backup of the contents."""
@@ -115,11 +115,11 @@
         if fault == 'silent':
             await curio.sleep(60)
         if isinstance(fault, int):
-            await responder.send(self._of_era(Response(fault)))
+            await responder.send(self._with_era(Response(fault)))
             return
-        mutes = self._mutes
+        changes_before = self._unresponsive_changes
         response = await self._answer(request)
-        if self.is_unresponsive or self._mutes != mutes:
+        if self.is_unresponsive or self._unresponsive_changes != changes_before:
             await curio.sleep(60)
         if fault != 'lost':
             await responder.send(response)
@@ -128,19 +128,19 @@
         if self.is_unavailable:
             return Response(_UNAVAILABLE)
         era = self.era
-        response = await self._answer_now(request)
+        response = await self._answer_available(request)
         if self.is_unavailable or self.era != era:
             # The store became unavailable during the call.
             return Response(_UNAVAILABLE)
-        return self._of_era(response)
+        return self._with_era(response)
 
-    def _of_era(self, response: Response) -> Response:
+    def _with_era(self, response: Response) -> Response:
         if self.era is None:
             return response
         headers = {**response.headers, 'store-era': str(self.era)}
         return attrs.evolve(response, headers=headers)
 
-    async def _answer_now(self, request: Request) -> Response:
+    async def _answer_available(self, request: Request) -> Response:
         match request.path:
             case '/rows-tx':
                 return self._commit(json.loads(request.body))
@@ -161,43 +161,45 @@
         self.version += 1
         for put in body['putCount']:
             self._set(_key(put), put['value'])
-        for gone in body['remove']:
-            self.rows.pop(_key(gone), None)
-            self._log.append((self.version, _key(gone)))
-        return self._told({})
+        for deleted in body['remove']:
+            self.rows.pop(_key(deleted), None)
+            self._log.append((self.version, _key(deleted)))
+        return self._versioned_response({})
 
     def _read(self, query: dict[str, str]) -> Response:
-        first = query.get('fromVersion', '')
-        wanted = sorted(
+        start_key = query.get('fromVersion', '')
+        matching = sorted(
             key
             for key in self.rows
             if key[:2] == (query['tableName'], query.get('part', ''))
-            and key[2] >= first
+            and key[2] >= start_key
         )
-        page = wanted[: self.page_rows]
-        return self._told(
+        page = matching[: self.page_rows]
+        return self._versioned_response(
             {
                 'rows': [self._row(key) for key in page],
-                'truncated': len(page) < len(wanted),
+                'truncated': len(page) < len(matching),
             },
         )
 
     async def _feed(self, query: dict[str, str]) -> Response:
         since = int(query['sinceRevision'])
-        turns = int(query['waitMs']) // 10 + 1
-        if self._has_forgotten(since):
+        remaining_polls = int(query['waitMs']) // 10 + 1
+        if self._has_discarded(since):
             return Response(_GONE)
-        while self.feeds_are_stalled or turns > 0:
-            turns -= 1
+        while self.feeds_are_stalled or remaining_polls > 0:
+            remaining_polls -= 1
             if self.is_unavailable or self._changed(query['tableName'], since):
                 break
-            await curio.sleep(_FEED_LOOK_SECONDS)
-        if self._has_forgotten(since):
+            await curio.sleep(_FEED_POLL_SECONDS)
+        if self._has_discarded(since):
             return Response(_GONE)
         keys = dict.fromkeys(self._changed(query['tableName'], since))
-        return self._told({'rows': [self._row(key) for key in keys]})
+        return self._versioned_response(
+            {'rows': [self._row(key) for key in keys]}
+        )
 
-    def _has_forgotten(self, since: int) -> bool:
+    def _has_discarded(self, since: int) -> bool:
         return since < self.oldest_version or since > self.version
 
     def _changed(self, table: str, since: int) -> list[RowKey]:
@@ -210,15 +212,23 @@
         self._log.append((self.version, key))
 
     def _row(self, key: RowKey) -> dict[str, Any]:
-        place = {'tableName': key[0], 'part': key[1], 'keyFile': key[2]}
+        address_fields = {
+            'tableName': key[0],
+            'part': key[1],
+            'keyFile': key[2],
+        }
         if key not in self.rows:
-            return {**place, 'deleted': True, 'schemaVersion': self.version}
+            return {
+                **address_fields,
+                'deleted': True,
+                'schemaVersion': self.version,
+            }
         version, value = self.rows[key]
-        return {**place, 'value': value, 'schemaVersion': version}
+        return {**address_fields, 'value': value, 'schemaVersion': version}
 
-    def _told(self, body: dict[str, Any]) -> Response:
-        told = {'schemaVersion': self.version, 'nowMs': 1}
-        return json_response(_OK, {**body, **told})
+    def _versioned_response(self, body: dict[str, Any]) -> Response:
+        version_fields = {'schemaVersion': self.version, 'nowMs': 1}
+        return json_response(_OK, {**body, **version_fields})
 
 
 def _key(entry: dict[str, Any]) -> RowKey:
