--- a/tests/lib/random_restores.py
+++ b/tests/lib/random_restores.py
@@ -1,4 +1,4 @@
-"""Returns of a store among other changes, in an order that a seed draws.
+"""Random restores of a store among other changes, reproducible by seed.
 
 Usage: python -m tests.lib.random_restores FIRST LAST [NODES]
 """
@@ -21,39 +21,40 @@
 from tests.lib.waiting import until
 from tests.platform._standin import StandinStore, StoreBackup
 
-_LOOK_SECONDS = 0.02
+_CHECK_INTERVAL_SECONDS = 0.02
 _HEARTBEAT_SECONDS = 1.2
-# The bounds of the service, for nodes that reach a store that answers.
+# Time limits of the service for nodes that can reach the store.
 _LEAVING_SECONDS = 2.0
 _CONFIG_SECONDS = 2.0
-# What was lost is back two seconds after a return, and dropped entries lapse.
-_END_SECONDS = 8.0
+# Lost entries are written again within two seconds after a restore, and deleted
+# entries lapse.
+_CONVERGENCE_SECONDS = 8.0
 _CONTACT_SECONDS = 3.0
-_ACTIONS = 14
+_ACTION_COUNT = 14
 _TARGETS = 12
 
 
 @attrs.define
 class Target:
-    """An instance that writes its own entry, and writes lost ones again."""
+    """An instance that keeps its own entry in the store up to date."""
 
     name: str
     born: int
     state: str = 'ready'
-    acked_at: float = 0
+    written_at: float = 0
 
     def write(self, store: StandinStore) -> None:
-        """Make the store's row what it should be, unless it is."""
+        """Write or delete the entry unless the store's row is as it should be."""
         key = ('servers', '', self.name)
         if self.state == 'gone':
             if key in store.rows:
                 store.drop(*key)
             return
-        if key not in store.rows or self._is_behind(store):
+        if key not in store.rows or self._is_outdated(store):
             store.put(*key, entry_row(self.state, born=self.born))
-            self.acked_at = time.monotonic()
+            self.written_at = time.monotonic()
 
-    def _is_behind(self, store: StandinStore) -> bool:
+    def _is_outdated(self, store: StandinStore) -> bool:
         earlier = StandinStore()
         key = ('servers', '', self.name)
         earlier.put(*key, entry_row(self.state, born=self.born))
@@ -62,214 +63,237 @@
 
 @attrs.define
 class RandomRestores:
-    """One drawn run; ``broken`` lists what must not have been seen."""
+    """One random run; ``violations`` lists what must not have happened."""
 
     seed: int
     nodes: int = 3
-    broken: list[str] = attrs.field(factory=list, init=False)
-    _draw: random.Random = attrs.field(init=False)
+    violations: list[str] = attrs.field(factory=list, init=False)
+    _random: random.Random = attrs.field(init=False)
     _store: StandinStore = attrs.field(init=False)
     _targets: list[Target] = attrs.field(init=False)
-    _copies: list[StoreBackup] = attrs.field(factory=list, init=False)
+    _backups: list[StoreBackup] = attrs.field(factory=list, init=False)
     _version: int = attrs.field(default=10, init=False)
-    _config_acked_at: float = attrs.field(default=0, init=False)
-    _disturbed_at: float = attrs.field(default=0, init=False)
-    # Since when nodes are in touch, and the newest version each had in force.
-    _since: dict[str, float] = attrs.field(factory=dict, init=False)
-    _seen: dict[str, int] = attrs.field(factory=dict, init=False)
-    _started: int = attrs.field(default=0, init=False)
+    _config_written_at: float = attrs.field(default=0, init=False)
+    _restored_at: float = attrs.field(default=0, init=False)
+    # Since when each node reaches the store, and its newest active version.
+    _in_contact_since: dict[str, float] = attrs.field(factory=dict, init=False)
+    _seen_versions: dict[str, int] = attrs.field(factory=dict, init=False)
+    _started_count: int = attrs.field(default=0, init=False)
 
     async def run(self) -> list[str]:
-        """Play it; return what was broken."""
+        """Run the random actions; return the violations."""
         self._write_config()
         for target in self._targets:
             target.write(self._store)
         testbed = await StoreTestbed.of(self.nodes, self._store)
-        self._since = dict.fromkeys(testbed.nodes, time.monotonic())
+        self._in_contact_since = dict.fromkeys(testbed.nodes, time.monotonic())
         async with curio.TaskGroup(wait=any) as tasks:
-            await tasks.spawn(self._watch, testbed)
-            await tasks.spawn(self._beat)
-            await tasks.spawn(self._play, testbed)
+            await tasks.spawn(self._monitor, testbed)
+            await tasks.spawn(self._send_heartbeats)
+            await tasks.spawn(self._run_actions, testbed)
         await testbed.close()
-        return self.broken
+        return self.violations
 
-    @_draw.default
-    def _make_draw(self) -> random.Random:
+    @_random.default
+    def _make_random(self) -> random.Random:
         return random.Random(self.seed)
 
     @_store.default
     def _make_store(self) -> StandinStore:
-        return StandinStore(era=self._draw.randint(0, 3))
+        return StandinStore(era=self._random.randint(0, 3))
 
     @_targets.default
     def _make_targets(self) -> list[Target]:
         return [Target(f'i-{number}', number + 1) for number in range(_TARGETS)]
 
-    async def _play(self, testbed: StoreTestbed) -> None:
+    async def _run_actions(self, testbed: StoreTestbed) -> None:
         await curio.sleep(1)
-        self._copies.append(self._store.backup())
-        for _number in range(_ACTIONS):
-            await self._act(testbed)
-            await curio.sleep(self._draw.choice((0, 0.05, 0.3, 1)))
-        await self._calm(testbed)
-
-    async def _act(self, testbed: StoreTestbed) -> None:
-        actions: tuple[Callable[[StoreTestbed], object], ...] = (
+        self._backups.append(self._store.backup())
+        for _number in range(_ACTION_COUNT):
+            await self._run_random_action(testbed)
+            await curio.sleep(self._random.choice((0, 0.05, 0.3, 1)))
+        await self._check_convergence(testbed)
+
+    async def _run_random_action(self, testbed: StoreTestbed) -> None:
+        sync_actions: tuple[Callable[[StoreTestbed], object], ...] = (
             self._configure,
             self._configure,
-            self._leave,
-            self._leave,
-            self._go,
-            self._copy,
-            self._cut,
+            self._drain,
+            self._drain,
+            self._remove,
+            self._back_up,
+            self._partition,
         )
-        waiting = (self._restore, self._restore, self._kill, self._start)
-        chosen = self._draw.randrange(len(actions) + len(waiting))
-        if chosen < len(actions):
-            actions[chosen](testbed)
+        async_actions = (
+            self._restore,
+            self._restore,
+            self._kill_node,
+            self._start_node,
+        )
+        chosen = self._random.randrange(len(sync_actions) + len(async_actions))
+        if chosen < len(sync_actions):
+            sync_actions[chosen](testbed)
         else:
-            await waiting[chosen - len(actions)](testbed)
+            await async_actions[chosen - len(sync_actions)](testbed)
 
     def _configure(self, _testbed: StoreTestbed) -> None:
         if not self._store.is_unavailable:
-            self._version += self._draw.randint(1, 3)
+            self._version += self._random.randint(1, 3)
             self._write_config()
 
     def _write_config(self) -> None:
         self._store.put('op', '', 'config', config_row(self._version))
-        self._config_acked_at = time.monotonic()
+        self._config_written_at = time.monotonic()
 
-    def _leave(self, _testbed: StoreTestbed) -> None:
-        self._turn('ready', 'draining')
+    def _drain(self, _testbed: StoreTestbed) -> None:
+        self._change_state('ready', 'draining')
 
-    def _go(self, _testbed: StoreTestbed) -> None:
-        self._turn('draining', 'gone')
+    def _remove(self, _testbed: StoreTestbed) -> None:
+        self._change_state('draining', 'gone')
 
-    def _turn(self, earlier: str, state: str) -> None:
+    def _change_state(self, earlier: str, state: str) -> None:
         found = [one for one in self._targets if one.state == earlier]
         if found and not self._store.is_unavailable:
-            target = self._draw.choice(found)
+            target = self._random.choice(found)
             target.state = state
             target.write(self._store)
 
-    def _copy(self, _testbed: StoreTestbed) -> None:
+    def _back_up(self, _testbed: StoreTestbed) -> None:
         if not self._store.is_unavailable:
-            self._copies.append(self._store.backup())
-
-    def _cut(self, testbed: StoreTestbed) -> None:
-        """Cut a node from the store, or let all reach it again."""
-        cut = [node for node in testbed.nodes.values() if node.client.is_cut]
-        for node in cut:
-            node.client.is_cut = False
-            self._since[node.name] = time.monotonic()
-        if not cut and len(testbed.nodes) > 1:
-            node = testbed.nodes[self._draw.choice(sorted(testbed.nodes))]
-            node.client.is_cut = True
+            self._backups.append(self._store.backup())
+
+    def _partition(self, testbed: StoreTestbed) -> None:
+        """Partition a node from the store, or end all partitions."""
+        partitioned = [
+            node
+            for node in testbed.nodes.values()
+            if node.client.is_partitioned
+        ]
+        for node in partitioned:
+            node.client.is_partitioned = False
+            self._in_contact_since[node.name] = time.monotonic()
+        if not partitioned and len(testbed.nodes) > 1:
+            node = testbed.nodes[self._random.choice(sorted(testbed.nodes))]
+            node.client.is_partitioned = True
 
     async def _restore(self, _testbed: StoreTestbed) -> None:
-        """Be away for a while and come back from a copy, maybe an old one."""
+        """Take the store down for a while and restore one of its backups."""
         self._store.is_unavailable = True
-        await curio.sleep(self._draw.choice((0.2, 1, 2.5)))
-        self._store.restore(self._draw.choice(self._copies[-3:]))
-        self._disturbed_at = time.monotonic()
-        await curio.sleep(self._draw.choice((0, 0.2, 0.5)))
+        await curio.sleep(self._random.choice((0.2, 1, 2.5)))
+        self._store.restore(self._random.choice(self._backups[-3:]))
+        self._restored_at = time.monotonic()
+        await curio.sleep(self._random.choice((0, 0.2, 0.5)))
         self._write_config()
 
-    async def _kill(self, testbed: StoreTestbed) -> None:
+    async def _kill_node(self, testbed: StoreTestbed) -> None:
         if len(testbed.nodes) > 1:
-            name = self._draw.choice(sorted(testbed.nodes))
-            self._since.pop(name)
+            name = self._random.choice(sorted(testbed.nodes))
+            self._in_contact_since.pop(name)
             await testbed.kill(name)
-            self._seen.pop(name, None)
+            self._seen_versions.pop(name, None)
 
-    async def _start(self, testbed: StoreTestbed) -> None:
-        self._started += 1
-        name = f'node-{50 + self._started}'
+    async def _start_node(self, testbed: StoreTestbed) -> None:
+        self._started_count += 1
+        name = f'node-{50 + self._started_count}'
         await testbed.start(name)
-        self._since[name] = time.monotonic()
+        self._in_contact_since[name] = time.monotonic()
 
-    async def _calm(self, testbed: StoreTestbed) -> None:
-        """Let all settle; everybody then knows what the store holds."""
+    async def _check_convergence(self, testbed: StoreTestbed) -> None:
+        """Check that all nodes converge to the contents of the store."""
         for node in testbed.nodes.values():
-            node.client.is_cut = False
+            node.client.is_partitioned = False
         ready = {one.name for one in self._targets if one.state == 'ready'}
         try:
-            await until(lambda: self._is_settled(testbed, ready), _END_SECONDS)
+            await until(
+                lambda: self._has_converged(testbed, ready),
+                _CONVERGENCE_SECONDS,
+            )
         except AssertionError:
-            self.broken.extend(self._unsettled(testbed, ready))
+            self.violations.extend(self._divergences(testbed, ready))
 
-    def _is_settled(self, testbed: StoreTestbed, ready: set[str]) -> bool:
-        return not list(self._unsettled(testbed, ready))
+    def _has_converged(self, testbed: StoreTestbed, ready: set[str]) -> bool:
+        return not list(self._divergences(testbed, ready))
 
-    def _unsettled(
+    def _divergences(
         self, testbed: StoreTestbed, ready: set[str]
     ) -> Iterator[str]:
         for node in testbed.nodes.values():
             known = {one.id for one in node.fleet.available(SERVICE)}
             if known != ready:
-                yield f'{node.name} takes {known ^ ready} otherwise'
+                yield f'{node.name} differs from the store in {known ^ ready}'
             if node.version != self._version:
-                yield f'{node.name} has {node.version}, not {self._version}'
+                yield f'{node.name} has version {node.version}, not {self._version}'
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             await curio.sleep(_HEARTBEAT_SECONDS)
             for target in self._targets:
                 if not self._store.is_unavailable:
                     target.write(self._store)
 
-    async def _watch(self, testbed: StoreTestbed) -> None:
+    async def _monitor(self, testbed: StoreTestbed) -> None:
         while True:
-            await curio.sleep(_LOOK_SECONDS)
+            await curio.sleep(_CHECK_INTERVAL_SECONDS)
             for node in testbed.nodes.values():
-                seen = self._seen.get(node.name, 0)
+                seen = self._seen_versions.get(node.name, 0)
                 if node.version < seen:
-                    self.broken.append(f'{node.name} went back from {seen}')
-                self._seen[node.name] = node.version
+                    self.violations.append(
+                        f'{node.name} went back from version {seen}'
+                    )
+                self._seen_versions[node.name] = node.version
             self._check_bounds(testbed)
 
     def _check_bounds(self, testbed: StoreTestbed) -> None:
         now = time.monotonic()
-        for node in self._in_touch(testbed, now):
-            is_due = now - self._config_acked_at > _CONFIG_SECONDS
+        for node in self._nodes_in_contact(testbed, now):
+            is_due = now - self._config_written_at > _CONFIG_SECONDS
             if is_due and node.version < self._version:
-                self._break(f'{node.name} has {node.version} too long')
+                self._report(
+                    f'{node.name} had version {node.version} for too long'
+                )
             self._check_leaving(node, now)
 
-    def _in_touch(
+    def _nodes_in_contact(
         self, testbed: StoreTestbed, now: float
     ) -> Iterator[TestbedNode]:
         if (
             self._store.is_unavailable
-            or now - self._disturbed_at < _CONTACT_SECONDS
+            or now - self._restored_at < _CONTACT_SECONDS
         ):
             return
-        for name, since in self._since.items():
+        for name, since in self._in_contact_since.items():
             node = testbed.nodes[name]
-            if not node.client.is_cut and now - since >= _CONTACT_SECONDS:
+            if (
+                not node.client.is_partitioned
+                and now - since >= _CONTACT_SECONDS
+            ):
                 yield node
 
     def _check_leaving(self, node: TestbedNode, now: float) -> None:
-        taking = {one.id for one in node.fleet.available(SERVICE)}
+        available = {one.id for one in node.fleet.available(SERVICE)}
         for target in self._targets:
-            is_due = now - target.acked_at > _LEAVING_SECONDS
-            if target.state == 'draining' and is_due and target.name in taking:
-                self._break(f'{node.name} takes {target.name} too long')
-
-    def _break(self, what: str) -> None:
-        if what not in self.broken:
-            self.broken.append(what)
-
-
-def main(words: list[str]) -> int:
-    """Play seeds; return how many broke something."""
-    first, last, *rest = map(int, words)
+            is_due = now - target.written_at > _LEAVING_SECONDS
+            if (
+                target.state == 'draining'
+                and is_due
+                and target.name in available
+            ):
+                self._report(f'{node.name} used {target.name} for too long')
+
+    def _report(self, violation: str) -> None:
+        if violation not in self.violations:
+            self.violations.append(violation)
+
+
+def main(arguments: list[str]) -> int:
+    """Run the seeds; return how many had violations."""
+    first, last, *rest = map(int, arguments)
     failed = 0
     for seed in range(first, last + 1):
-        run_of_seed = RandomRestores(seed, *rest)
-        broken = curio.run(run_of_seed.run)
-        failed += bool(broken)
-        sys.stderr.write(f'seed {seed}: {broken or "nothing broken"}\n')
+        restores = RandomRestores(seed, *rest)
+        violations = curio.run(restores.run)
+        failed += bool(violations)
+        sys.stderr.write(f'seed {seed}: {violations or "nothing violations"}\n')
     return failed
 
 
--- a/tests/lib/store_testbed.py
+++ b/tests/lib/store_testbed.py
@@ -1,7 +1,8 @@
-"""Some nodes beside one store, in one process; the store may go back.
+"""Several nodes and one store in a single process.
 
-Each node has the parts that follow the store and those that tell other nodes;
-the store is the stand-in of the wire, met over real connections.
+Each node has the parts that follow the store and that share updates with other
+nodes. The store is the stand-in of the platform's store, reached over real
+connections, and can be restored from a backup.
 """
 
 import random
@@ -50,7 +51,7 @@
 _HEARTBEAT_SECONDS = 0.25
 _LINK_DELAY_SECONDS = 0.002
 _DOMAINS = 3
-# Names of nodes to each other; nothing listens there.
+# Nodes identify each other by these addresses; nothing listens there.
 _FIRST_PORT = 1000
 _START_SECONDS = 15.0
 SERVICE = 'crew'
@@ -99,10 +100,10 @@
 
 
 class TestbedLink(PeerTransport[MeshMessage]):
-    """A link that hands messages to a rig instead of sockets."""
+    """A transport that passes messages to the testbed instead of sockets."""
 
     def __init__(self, testbed: 'StoreTestbed') -> None:  # noqa: WPS612
-        """Remember whose link it is."""
+        """Create the transport of one node."""
         self._testbed = testbed
 
     def send_all(
@@ -110,7 +111,7 @@
         addresses: Iterable[str],
         message: MeshMessage,
     ) -> None:
-        """Hand a message over, as it looks on the wire."""
+        """Queue an encoded message for delivery."""
         encoded = encode_mesh_message(message)
         self._testbed.in_flight.extend(
             (address, encoded) for address in addresses
@@ -122,19 +123,19 @@
 
 @attrs.define
 class PartitionableClient(StoreClient):
-    """A client that a test may cut from its store."""
+    """A client that a test may partition from the store."""
 
-    is_cut: bool = attrs.field(default=False, init=False)
+    is_partitioned: bool = attrs.field(default=False, init=False)
 
     async def _exchange(self, request: Request, seconds: float) -> Response:
-        if self.is_cut:
-            raise ConnectFailedError('cut by the test')
+        if self.is_partitioned:
+            raise ConnectFailedError('partitioned from the store by the test')
         return await super()._exchange(request, seconds)
 
 
 @attrs.define
 class TestbedNode:
-    """What one node knows, and how it learns it."""
+    """The state of one node and the parts that keep it up to date."""
 
     name: str
     client: PartitionableClient
@@ -156,24 +157,26 @@
         book = CaseRegistry()
         held_rows = HeldRows(name, platform_adapters.table, book)
 
-        def renew_own() -> None:  # noqa: WPS430
+        def refresh_local_state() -> None:  # noqa: WPS430
             mesh.local.source_versions = followers.announced_versions()
 
         events = MeshCallbacks(
-            lambda told: fleet.mark_stopped(
-                (told.replica, told.epoch), told.reason
+            lambda message: fleet.mark_stopped(
+                (message.replica, message.epoch), message.reason
             ),
             _ignore_suspicion,
-            lambda _told: False,
+            lambda _message: False,
             lambda news: followers.apply_list_update(news),
             lambda news: followers.apply_record_update(news),
             dict,
             config.current,
             config.apply_from_peer,
-            renew_own,
-            lambda _told: None,
-            lambda _told: None,
-            lambda told: mark_leaving(fleet, told.incarnation, told.sender),
+            refresh_local_state,
+            lambda _message: None,
+            lambda _message: None,
+            lambda message: mark_leaving(
+                fleet, message.incarnation, message.sender
+            ),
         )
         domain = f'd{int(name.rpartition("-")[2]) % _DOMAINS}'
         local = LocalState(name, _peer_address(name), domain)
@@ -198,33 +201,33 @@
 
     @property
     def version(self) -> int:
-        """Return the version of the configuration in force."""
+        """Return the version of the active configuration."""
         config = self.config.current()
         return 0 if config is None else config.version
 
     async def run(self) -> None:
-        """Follow the store and tell the others until cancelled."""
+        """Follow the store and send heartbeats until cancelled."""
         async with curio.TaskGroup(wait=any) as tasks:
             await tasks.spawn(self.followers.run)
             await tasks.spawn(self._send_heartbeats)
 
     async def receive(self, encoded: bytes) -> None:
-        """Take over what another node tells."""
+        """Handle an encoded message of another node."""
         await self.mesh.message_handler.handle(decode_mesh_message(encoded))
 
     async def _send_heartbeats(self) -> None:
-        turn = 0
+        tick = 0
         while True:
-            self.mesh.message_sender.send_beat(include_silent=turn % 8 == 0)
+            self.mesh.message_sender.send_beat(include_silent=tick % 8 == 0)
             self.mesh.message_sender.request_newer_config()
             self.fleet.process_timeouts()
-            turn += 1
+            tick += 1
             await curio.sleep(_HEARTBEAT_SECONDS)
 
 
 @attrs.define
 class StoreTestbed:
-    """A store, nodes by name, and the messages under way between them."""
+    """A store, nodes by name, and the messages in flight between them."""
 
     store: StandinStore
     address: Address
@@ -234,7 +237,7 @@
 
     @classmethod
     async def of(cls, count: int, store: StandinStore) -> Self:
-        """Serve a store and start so many nodes; wait until all have read."""
+        """Serve a store and start nodes; wait until all have read it."""
         server, address = await start(store)
         testbed = cls(store, address)
         testbed._tasks['store'] = server
@@ -245,7 +248,7 @@
         return testbed
 
     async def start(self, name: str) -> TestbedNode:
-        """Start a node; it and the others know each other from the table."""
+        """Start a node and register it in the table for all nodes."""
         node = TestbedNode.create(self, name)
         self.nodes[name] = node
         peers = {
@@ -268,24 +271,24 @@
         return node
 
     async def kill(self, name: str) -> None:
-        """End a node without a word."""
+        """Kill a node without a shutdown."""
         self.nodes.pop(name)
         await self._tasks.pop(name).cancel()
 
     async def close(self) -> None:
-        """End all."""
+        """Stop all nodes, the store and the message delivery."""
         for task in self._tasks.values():
             await task.cancel()
 
     def is_informed(self) -> bool:
-        """Tell whether all nodes have read everything once."""
+        """Return whether all nodes have read everything once."""
         return all(
             node.followers.is_informed and node.version
             for node in self.nodes.values()
         )
 
     def reader(self) -> str:
-        """Return the node that reads the list for all."""
+        """Return the node that reads the instance list for all nodes."""
         return min(
             name
             for name, node in self.nodes.items()
@@ -293,17 +296,17 @@
         )
 
     def all_know_peer(self, name: str) -> bool:
-        """Tell whether all nodes know another one from its row."""
+        """Return whether all nodes know a peer from its row."""
         return all(
             name in node.mesh.state.roster.peers for node in self.nodes.values()
         )
 
     def all_have_version(self, version: int) -> bool:
-        """Tell whether a configuration is in force at all nodes."""
+        """Return whether a configuration version is active at all nodes."""
         return all(node.version == version for node in self.nodes.values())
 
     def all_have_attempts(self, attempts: int) -> bool:
-        """Tell whether all routes allow so many attempts at all nodes."""
+        """Return whether all routes at all nodes allow so many attempts."""
         configs = [node.config.current() for node in self.nodes.values()]
         return all(
             config is not None
@@ -312,7 +315,7 @@
         )
 
     def none_uses(self, name: str) -> bool:
-        """Tell whether no node would send a request to an instance."""
+        """Return whether no node would send requests to an instance."""
         return not any(
             one.id == name
             for node in self.nodes.values()
@@ -320,7 +323,7 @@
         )
 
     def all_use(self, name: str) -> bool:
-        """Tell whether every node would send requests to an instance."""
+        """Return whether every node would send requests to an instance."""
         return all(
             name in {one.id for one in node.fleet.available(SERVICE)}
             for node in self.nodes.values()
@@ -346,7 +349,7 @@
     settle_seconds: float,
     scenario: Callable[[StoreTestbed], Awaitable[None]],
 ) -> None:
-    """Run a scene with so many nodes that have met before."""
+    """Run a scenario with nodes that have discovered each other."""
     curio.run(_run_scenario, count, instances, settle_seconds, scenario)
 
 
@@ -381,4 +384,4 @@
 
 
 async def _ignore_suspicion(_message: object) -> None:
-    """Take evidence over, and do nothing."""
+    """Ignore the suspicion of another node."""
--- a/tests/platform/test_random_restores.py
+++ b/tests/platform/test_random_restores.py
@@ -1,4 +1,4 @@
-"""Returns of the store among changes, kills, starts and cuts."""
+"""Random store restores among changes, node failures and partitions."""
 
 import unittest
 
@@ -10,14 +10,14 @@
 
 
 class RandomRestoresTest(unittest.TestCase):
-    """What was acknowledged holds in time, and nothing goes back."""
+    """Nodes apply acknowledged writes in time and never regress."""
 
-    def test_drawn_returns(self) -> None:
-        """Three nodes, two of which may be killed or cut."""
+    def test_three_nodes(self) -> None:
+        """Three nodes, of which two may be killed or partitioned."""
         for seed in _SEEDS:
             with self.subTest(seed=seed):
                 self.assertEqual(curio.run(RandomRestores(seed).run), [])
 
     def test_nine_nodes(self) -> None:
-        """The same with more that read and tell each other."""
+        """Nine nodes, of which several read and share updates."""
         self.assertEqual(curio.run(RandomRestores(4, 9).run), [])
