--- a/src/cranecart/standins/__init__.py
+++ b/src/cranecart/standins/__init__.py
@@ -6,35 +6,35 @@
 from cranecart.standins._proxy import FaultProxy, LinkFaults
 from cranecart.standins._record import Record, read_record
 from cranecart.standins._service import ServiceOptions, ServiceStandin
-from cranecart.standins._stutter import (
-    AnswerStyle,
-    ExtraAnswer,
-    Moment,
-    Naming,
-    StutteringService,
-    Turn,
-    own_body,
+from cranecart.standins._surplus_responses import (
+    NamedRequest,
+    ResponseStyle,
+    ScriptedResponse,
+    ScriptedService,
+    SurplusResponse,
+    SurplusTiming,
+    expected_body,
 )
 from cranecart.standins._tokens import expected_text, token_text
 
 __all__ = (
-    'AnswerStyle',
+    'ResponseStyle',
     'EngineOptions',
     'EngineStandin',
-    'ExtraAnswer',
+    'SurplusResponse',
     'FaultProxy',
     'LinkFaults',
-    'Moment',
-    'Naming',
+    'SurplusTiming',
+    'NamedRequest',
     'PlatformOptions',
     'PlatformStandin',
     'Record',
     'ServiceOptions',
     'ServiceStandin',
-    'StutteringService',
-    'Turn',
+    'ScriptedService',
+    'ScriptedResponse',
     'expected_text',
-    'own_body',
+    'expected_body',
     'read_record',
     'token_text',
 )
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -16,12 +16,12 @@
 from cranecart.http import Address
 from cranecart.platform import PlatformOrders
 from cranecart.standins import (
-    AnswerStyle,
-    ExtraAnswer,
-    Moment,
-    Naming,
-    StutteringService,
-    Turn,
+    NamedRequest,
+    ResponseStyle,
+    ScriptedResponse,
+    ScriptedService,
+    SurplusResponse,
+    SurplusTiming,
 )
 from tests.lib.fake_engines import listed_instance
 from tests.platform._standin import StandinStore, start
@@ -83,11 +83,13 @@
 
         Otherwise the instance would join another replica too early.
         """
-        late_answer = ExtraAnswer(Naming.NOTHING, Moment.NEXT, 202)
-        engine = StutteringService(
+        late_answer = SurplusResponse(
+            NamedRequest.NONE, SurplusTiming.BEFORE_NEXT, 202
+        )
+        engine = ScriptedService(
             Address('127.0.0.1', 0),
-            AnswerStyle('expect-replica'),
-            (Turn((late_answer,)), Turn(status=409)),
+            ResponseStyle('expect-replica'),
+            (ScriptedResponse((late_answer,)), ScriptedResponse(status=409)),
         )
         with self.assertRaises(OrderRefusedError):
             curio.run(_close_then_leave, engine)
@@ -112,7 +114,7 @@
         return None
 
 
-async def _close_then_leave(engine: StutteringService) -> None:
+async def _close_then_leave(engine: ScriptedService) -> None:
     serving = await curio.spawn(engine.run)
     orders = PlatformOrders()
     head = listed_instance('i', engine.address)
--- a/tests/unit/test_connection_reuse.py
+++ b/tests/unit/test_connection_reuse.py
@@ -21,12 +21,12 @@
 from cranecart.http import Address, HttpConnection, HttpConnectionPool, Request
 from cranecart.ports import ListedInstance
 from cranecart.standins import (
-    AnswerStyle,
-    ExtraAnswer,
-    Moment,
-    StutteringService,
-    Turn,
-    own_body,
+    ResponseStyle,
+    ScriptedResponse,
+    ScriptedService,
+    SurplusResponse,
+    SurplusTiming,
+    expected_body,
 )
 from cranecart.targets import CompletionCall, EngineClient, ServingReplica
 from tests.lib.fake_targets import (
@@ -37,9 +37,11 @@
     client_request,
 )
 
-_STYLE = AnswerStyle('request-id', more=(('replica-signature', 'sig'),))
+_STYLE = ResponseStyle(
+    'request-id', extra_headers=(('replica-signature', 'sig'),)
+)
 _ANY_PORT = Address('127.0.0.1', 0)
-_SURPLUS_RESPONSE = Turn((ExtraAnswer(),))
+_SURPLUS_RESPONSE = ScriptedResponse((SurplusResponse(),))
 
 
 @attrs.define
@@ -55,7 +57,7 @@
     """Sends requests to a target one after the other, over a pool."""
 
     pool: TargetConnectionPool
-    target: StutteringService
+    target: ScriptedService
     _numbers: 'itertools.count[int]' = attrs.field(factory=itertools.count)
 
     async def ask(
@@ -76,18 +78,20 @@
 
 
 def _connections_opened(
-    turns: 'itertools.repeat[Turn] | tuple[Turn, ...]',
-    scenario: Callable[[StutteringService], object],
+    responses: (
+        'itertools.repeat[ScriptedResponse] | tuple[ScriptedResponse, ...]'
+    ),
+    scenario: Callable[[ScriptedService], object],
 ) -> int:
     """Run a scenario; return how many connections the target accepted."""
-    target = StutteringService(_ANY_PORT, _STYLE, turns)
+    target = ScriptedService(_ANY_PORT, _STYLE, responses)
     curio.run(_run_with_target, target, scenario)
     return target.connections
 
 
 async def _run_with_target(
-    target: StutteringService,
-    scenario: Callable[[StutteringService], object],
+    target: ScriptedService,
+    scenario: Callable[[ScriptedService], object],
 ) -> None:
     serving = await curio.spawn(target.run)
     try:
@@ -105,8 +109,10 @@
 
     def test_connection_with_discarded_response_is_not_reused(self) -> None:
         """The target may send further surplus responses on it."""
-        late = Turn((ExtraAnswer(moment=Moment.NEXT),))
-        target = StutteringService(_ANY_PORT, _STYLE, (late,))
+        late = ScriptedResponse(
+            (SurplusResponse(timing=SurplusTiming.BEFORE_NEXT),)
+        )
+        target = ScriptedService(_ANY_PORT, _STYLE, (late,))
         curio.run(
             GatewayTestbed(service=PLAIN, other_targets={'s': target}).run,
             _make_three_calls,
@@ -159,7 +165,9 @@
 
     def test_connections_with_unrequested_data_are_closed(self) -> None:
         """Data that arrives on an idle connection is no response."""
-        late = Turn((ExtraAnswer(moment=Moment.LATER),))
+        late = ScriptedResponse(
+            (SurplusResponse(timing=SurplusTiming.DELAYED),)
+        )
         self.assertEqual(_connections_opened((late,), _make_pooled_calls), 2)
 
 
@@ -225,7 +233,7 @@
         self.assertEqual(bodies, [b'a', b'b', b'c'])
 
 
-async def _stop_reading_early(target: StutteringService) -> None:
+async def _stop_reading_early(target: ScriptedService) -> None:
     client = _PoolClient(TargetConnectionPool(), target)
     await client.ask(require_recent=False, read_fully=False)
     await client.ask(require_recent=False)
@@ -234,10 +242,10 @@
 async def _make_three_calls(testbed: GatewayTestbed) -> None:
     for number in range(3):
         answer = await testbed.ask('/safe/x', request_id=f'r{number}')
-        assert answer.body == own_body(f'r{number}')
+        assert answer.body == expected_body(f'r{number}')
 
 
-async def _call_unreliable_target(target: StutteringService) -> None:
+async def _call_unreliable_target(target: ScriptedService) -> None:
     client = _PoolClient(TargetConnectionPool(), target)
     await client.ask(require_recent=False)
     for _number in range(5):
@@ -245,7 +253,7 @@
     assert client.pool.idle_count('i') <= 2
 
 
-async def _call_until_reliable_again(target: StutteringService) -> None:
+async def _call_until_reliable_again(target: ScriptedService) -> None:
     clock = _Clock()
     client = _PoolClient(TargetConnectionPool(clock), target)
     await client.ask(require_recent=False)
@@ -254,13 +262,13 @@
     await client.ask(require_recent=True)
 
 
-async def _make_two_calls(target: StutteringService) -> None:
+async def _make_two_calls(target: ScriptedService) -> None:
     client = _PoolClient(TargetConnectionPool(), target)
     await client.ask(require_recent=True)
     await client.ask(require_recent=True)
 
 
-async def _make_pooled_calls(target: StutteringService) -> None:
+async def _make_pooled_calls(target: ScriptedService) -> None:
     pool = HttpConnectionPool()
     for number in range(2):
         connection = await pool.acquire(target.address)
@@ -373,10 +381,12 @@
         await exchange.sock.sendall(_native_response(request_id, 200))
 
 
-def _native_response(request_id: str, status: int, more: str = '') -> bytes:
+def _native_response(
+    request_id: str, status: int, extra_headers: str = ''
+) -> bytes:
     return (
         f'HTTP/1.1 {status} X\r\nx-request-id: {request_id}\r\nx-replica: r\r\n'
-        f'x-generation: 1\r\n{more}content-length: 2\r\n\r\nok'
+        f'x-generation: 1\r\n{extra_headers}content-length: 2\r\n\r\nok'
     ).encode()
 
 
--- a/tests/unit/test_surplus_responses.py
+++ b/tests/unit/test_surplus_responses.py
@@ -26,34 +26,36 @@
 from cranecart.http import Address
 from cranecart.instances import Instance, InstanceKind
 from cranecart.standins import (
-    AnswerStyle,
-    ExtraAnswer,
-    Moment,
-    Naming,
-    StutteringService,
-    Turn,
-    own_body,
+    NamedRequest,
+    ResponseStyle,
+    ScriptedResponse,
+    ScriptedService,
+    SurplusResponse,
+    SurplusTiming,
+    expected_body,
 )
 from cranecart.targets import ServiceCall, ServiceClient
 from tests.lib.fake_targets import PLAIN, ClientAnswer, GatewayTestbed
 from tests.lib.waiting import until
 
-_STYLE = AnswerStyle('request-id', more=(('replica-signature', 'sig'),))
+_STYLE = ResponseStyle(
+    'request-id', extra_headers=(('replica-signature', 'sig'),)
+)
 _ANY_PORT = Address('127.0.0.1', 0)
 _FAILURE_STATUSES = (502, 504)
 # Number of calls that may still fail after the target's last surplus response.
 _MAX_LATE_FAILURES = 1
 
-_EXTRAS = st.builds(
-    ExtraAnswer,
-    st.sampled_from(Naming),
-    st.sampled_from(Moment),
+_SURPLUS = st.builds(
+    SurplusResponse,
+    st.sampled_from(NamedRequest),
+    st.sampled_from(SurplusTiming),
     st.sampled_from((200, 204, 429, 500, 503)),
     st.booleans(),
 )
-_TURNS = st.builds(
-    Turn,
-    st.lists(_EXTRAS, max_size=4).map(tuple),
+_RESPONSES = st.builds(
+    ScriptedResponse,
+    st.lists(_SURPLUS, max_size=4).map(tuple),
     st.sampled_from((0, 0.03)),
 )
 
@@ -63,7 +65,7 @@
     """Calls made one after the other, and their responses."""
 
     paths: Sequence[str]
-    targets: Sequence[StutteringService]
+    targets: Sequence[ScriptedService]
     # Before this call the sequence waits until the targets have sent all surplus
     # responses, so that delays on a busy machine do not matter.
     settle_before: int = 0
@@ -82,24 +84,24 @@
             self.answers.append(answer)
 
     def _is_settled(self) -> bool:
-        return not any(target.answering for target in self.targets)
+        return not any(target.active_responses for target in self.targets)
 
 
 def _make_calls(
-    turns: Iterable[Turn],
+    responses: Iterable[ScriptedResponse],
     paths: Sequence[str],
     *,
     has_sound_target: bool = False,
-) -> tuple[list[ClientAnswer], StutteringService]:
+) -> tuple[list[ClientAnswer], ScriptedService]:
     """Make calls in sequence; return the responses and the faulty target.
 
     With ``has_sound_target`` there is another one, which works correctly.
     """
-    script = tuple(turns)
-    target = StutteringService(_ANY_PORT, _STYLE, script)
+    script = tuple(responses)
+    target = ScriptedService(_ANY_PORT, _STYLE, script)
     targets = [target]
     if has_sound_target:
-        targets.append(StutteringService(_ANY_PORT, _STYLE))
+        targets.append(ScriptedService(_ANY_PORT, _STYLE))
     others = {f's{number}': one for number, one in enumerate(targets)}
     sequence = _CallSequence(paths, targets, len(script) + _MAX_LATE_FAILURES)
     curio.run(
@@ -117,14 +119,22 @@
 
     def test_surplus_responses_reach_no_caller(self) -> None:
         """Regardless of their ids, timing and number."""
-        for extras in (
-            (ExtraAnswer(Naming.NOTHING),),
-            (ExtraAnswer(Naming.NOTHING, Moment.NEXT),),
-            (ExtraAnswer(Naming.NOTHING, Moment.NEXT, 503),),
-            tuple(itertools.repeat(ExtraAnswer(moment=Moment.NEXT), 5)),
+        for surplus in (
+            (SurplusResponse(NamedRequest.NONE),),
+            (SurplusResponse(NamedRequest.NONE, SurplusTiming.BEFORE_NEXT),),
+            (
+                SurplusResponse(
+                    NamedRequest.NONE, SurplusTiming.BEFORE_NEXT, 503
+                ),
+            ),
+            tuple(
+                itertools.repeat(
+                    SurplusResponse(timing=SurplusTiming.BEFORE_NEXT), 5
+                )
+            ),
         ):
-            with self.subTest(extras=extras):
-                self._assert_own_responses(Turn(extras))
+            with self.subTest(surplus=surplus):
+                self._assert_own_responses(ScriptedResponse(surplus))
 
     def test_truncated_surplus_response_costs_one_call(self) -> None:
         """A non-repeatable call fails because of one once at most.
@@ -132,9 +142,9 @@
         The first such response cannot be detected before the call that it
         breaks.
         """
-        cut = ExtraAnswer(moment=Moment.LATER, is_cut=True)
+        cut = SurplusResponse(timing=SurplusTiming.DELAYED, is_truncated=True)
         answers, _ = _make_calls(
-            itertools.repeat(Turn((cut,)), 6),
+            itertools.repeat(ScriptedResponse((cut,)), 6),
             _paths('/unsafe/x', 6),
         )
         lost = [one.status for one in answers if one.status != 200]
@@ -142,44 +152,48 @@
 
     def test_desynchronized_connection_is_closed(self) -> None:
         """Later surplus responses on it can then reach no client."""
-        turns = itertools.repeat(Turn((ExtraAnswer(),)), 3)
-        _answers, target = _make_calls(turns, _paths('/safe/x', 4))
+        responses = itertools.repeat(ScriptedResponse((SurplusResponse(),)), 3)
+        _answers, target = _make_calls(responses, _paths('/safe/x', 4))
         self.assertEqual(target.connections, 4)
 
     def test_response_received_in_parts(self) -> None:
         """Polls between the parts lose no data."""
-        self._assert_own_responses(Turn(pause_seconds=0.07))
+        self._assert_own_responses(ScriptedResponse(pause_seconds=0.07))
 
     @settings(max_examples=60, deadline=None)
-    @given(st.lists(_TURNS, max_size=8))
-    def test_random_sequences(self, turns: list[Turn]) -> None:
+    @given(st.lists(_RESPONSES, max_size=8))
+    def test_random_sequences(self, responses: list[ScriptedResponse]) -> None:
         """Clients get their own response or an error.
 
         A target that works again is used again. Non-repeatable calls run once
         at most. Repeatable calls succeed at the other target.
         """
-        count = len(turns) + _MAX_LATE_FAILURES + 3
-        non_repeatable, target = _make_calls(turns, _paths('/unsafe/x', count))
+        count = len(responses) + _MAX_LATE_FAILURES + 3
+        non_repeatable, target = _make_calls(
+            responses, _paths('/unsafe/x', count)
+        )
         self._assert_own_or_failed(non_repeatable)
-        self.assertLessEqual(max(target.ran.values()), 1)
-        after = non_repeatable[len(turns) + _MAX_LATE_FAILURES :]
+        self.assertLessEqual(max(target.run_counts.values()), 1)
+        after = non_repeatable[len(responses) + _MAX_LATE_FAILURES :]
         self.assertEqual({one.status for one in after}, {200})
         repeatable, _ = _make_calls(
-            turns, _paths('/safe/x', count), has_sound_target=True
+            responses, _paths('/safe/x', count), has_sound_target=True
         )
         self._assert_own_or_failed(repeatable)
         self.assertEqual({one.status for one in repeatable}, {200})
 
-    def _assert_own_responses(self, turn: Turn) -> None:
+    def _assert_own_responses(self, response: ScriptedResponse) -> None:
         for path in ('/safe/x', '/unsafe/x'):
-            answers, _ = _make_calls(itertools.repeat(turn, 3), _paths(path, 4))
+            answers, _ = _make_calls(
+                itertools.repeat(response, 3), _paths(path, 4)
+            )
             self.assertEqual({one.status for one in answers}, {200})
             self._assert_own_or_failed(answers)
 
     def _assert_own_or_failed(self, answers: Sequence[ClientAnswer]) -> None:
         for number, answer in enumerate(answers):
             if answer.status == 200:
-                self.assertEqual(answer.body, own_body(f'r{number}'))
+                self.assertEqual(answer.body, expected_body(f'r{number}'))
             else:
                 self.assertIn(answer.status, _FAILURE_STATUSES)
 
@@ -189,9 +203,9 @@
 
     def test_response_without_request_id(self) -> None:
         """It is rejected in this protocol too."""
-        silent = AnswerStyle('x-request-id', names=False)
+        silent = ResponseStyle('x-request-id', includes_id=False)
         with self.assertRaises(TargetBrokenError):
-            curio.run(_call_natively, StutteringService(_ANY_PORT, silent))
+            curio.run(_call_natively, ScriptedService(_ANY_PORT, silent))
 
 
 class ResumedStreamTest(unittest.TestCase):
@@ -214,7 +228,7 @@
         self.assertEqual(splitter.feed(event), event)
 
 
-async def _call_natively(service: StutteringService) -> None:
+async def _call_natively(service: ScriptedService) -> None:
     serving = await curio.spawn(service.run)
     call = ServiceCall(
         request_id='r1',
