--- a/tests/unit/test_list_after_outage.py
+++ b/tests/unit/test_list_after_outage.py
@@ -1,9 +1,9 @@
-"""A list that lacks living instances, as the store is back only now.
+"""An instance list that lacks running instances right after a store outage.
 
-The store was away for 3.7 s, so that no instance could renew its entry: 49 of
-171 lapsed, and in the second after its return 49 requests were told that no
-whole replica serves. 'instance_lapsed' 3,850 times at all nodes, all of them
-back within two seconds.
+During an outage of 3.7 s no instance could renew its entry, so 49 of 171
+lapsed, and 49 requests failed in the next second because no replica was
+available. 'instance_lapsed' was logged 3,850 times at all nodes, and all of
+these instances were listed again within two seconds.
 """
 
 import random
@@ -29,15 +29,15 @@
 
 
 class MissingEntriesTest(unittest.TestCase):
-    """What becomes of instances whose entries are not there."""
+    """Handling of instances whose entries are missing."""
 
     def setUp(self) -> None:
-        """List them all."""
+        """List all instances."""
         self.instance_list = InstanceList(IncarnationTracker(float))
         self.instance_list.apply({name: _entry(name) for name in _NAMES}, True)
 
-    def test_many_are_kept_after_the_stores_return(self) -> None:
-        """They count as there until they had time to come back."""
+    def test_many_missing_instances_are_kept_after_an_outage(self) -> None:
+        """They stay available until they had time to be listed again."""
         self.instance_list.apply(dict.fromkeys(_NAMES[:12]), False, _UNTIL)
         self.assertEqual(len(self.instance_list.instances), len(_NAMES))
         self.instance_list.apply({_NAMES[0]: _entry(_NAMES[0])}, False, _UNTIL)
@@ -47,31 +47,31 @@
         self.assertIn(_NAMES[0], self.instance_list.instances)
         self.assertEqual(self.instance_list.lapsed.keys(), set(gone))
 
-    def test_a_whole_list_lacks_them_too(self) -> None:
-        """Nor does reading them again make it longer."""
+    def test_complete_list_does_not_extend_the_grace_period(self) -> None:
+        """Complete lists that lack them do not extend the grace period."""
         kept = {name: _entry(name) for name in _NAMES[12:]}
         self.instance_list.apply(kept, True, _UNTIL)
         self.instance_list.apply(kept, True, _UNTIL + 1)
         self.assertEqual(len(self.instance_list.instances), len(_NAMES))
         self.assertEqual(len(self.instance_list.expire_missing(_UNTIL)), 12)
 
-    def test_ordinary_deaths_count_at_once(self) -> None:
-        """Also the few that died while the store was away."""
+    def test_ordinary_failures_count_at_once(self) -> None:
+        """They lapse at once, also the few that died during the outage."""
         self.instance_list.apply(dict.fromkeys(_NAMES[:12]), False)
         self.assertEqual(len(self.instance_list.instances), len(_NAMES) - 12)
         self.instance_list.apply(dict.fromkeys(_NAMES[12:14]), False, _UNTIL)
         self.assertEqual(len(self.instance_list.instances), len(_NAMES) - 14)
 
-    def test_those_that_leave_are_let_go(self) -> None:
-        """They had said so before the store was away."""
+    def test_leaving_instances_are_not_kept(self) -> None:
+        """They had announced it before the outage."""
         leaving = attrs.evolve(_entry(_NAMES[0]), leaving=True)
         self.instance_list.apply({_NAMES[0]: leaving}, False)
         self.instance_list.apply(dict.fromkeys(_NAMES[:12]), False, _UNTIL)
         self.assertNotIn(_NAMES[0], self.instance_list.instances)
         self.assertIn(_NAMES[1], self.instance_list.instances)
 
-    def test_lives_are_told_as_ever(self) -> None:
-        """One that came back as another life is that life."""
+    def test_restart_is_detected(self) -> None:
+        """An instance that was restarted meanwhile counts as restarted."""
         old = attrs.evolve(_entry('x'), born=1)
         self.instance_list.apply({'x': old}, False)
         self.instance_list.apply(dict.fromkeys(['x', *_NAMES]), False, _UNTIL)
@@ -83,11 +83,11 @@
         self.assertEqual(self.instance_list.instances['x'].born, 2)
 
 
-class FilledTest(unittest.TestCase):
-    """When a follower says that its source may lack what lives."""
+class RepopulationTest(unittest.TestCase):
+    """When a follower reports that its source may lack running instances."""
 
     def setUp(self) -> None:
-        """Follow a source by a clock that the test moves."""
+        """Follow a source with a simulated clock."""
         self.now = 100.0
         self.source = FakeSource(items={'a': '1'})
         self.follower = SourceFollower(
@@ -98,13 +98,13 @@
             clock=lambda: self.now,
         )
 
-    def test_a_start_is_no_return(self) -> None:
-        """What is read first is taken as it is."""
+    def test_first_read_is_complete(self) -> None:
+        """What is read first counts as complete."""
         curio.run(self.follower._read)
         self.assertFalse(self.follower.repopulated_at)
 
-    def test_a_return(self) -> None:
-        """After seconds without any news it is filling again."""
+    def test_read_after_an_outage_may_be_incomplete(self) -> None:
+        """After seconds without an answer the source is being repopulated."""
         curio.run(self.follower._read)
         self.now += 0.7
         curio.run(self.follower._read)
@@ -116,11 +116,11 @@
         self.assertFalse(self.follower.repopulated_at)
 
 
-class FleetTest(unittest.TestCase):
-    """What it is for: instances that are only missing are sent to."""
+class FleetAfterOutageTest(unittest.TestCase):
+    """Requests are still sent to instances whose entries are missing."""
 
-    def test_the_fleet_tells_them(self) -> None:
-        """Its turns of housekeeping end nothing before the time is over."""
+    def test_missing_instances_stay_available(self) -> None:
+        """Processing timeouts before the end of the grace period has no effect."""
         fleet = Fleet()
         fleet.apply_instances({name: _entry(name) for name in _NAMES}, True)
         gone = dict.fromkeys(_NAMES)
--- a/tests/unit/test_restarted_instances.py
+++ b/tests/unit/test_restarted_instances.py
@@ -1,10 +1,10 @@
-"""An instance starts again under its id: two lives, told apart by birth.
+"""Instances that restart under their id, distinguished by start time.
 
-An instance was killed and came back before its entry lapsed. The entry showed a
-member that belongs to nothing, so that its replica ended by the way for one that
-left; what was learned of the dead process was held against the new one, found
-lost it stayed so for six seconds, and members of a head that had died waited
-4.3 s for its end though the same list showed that the head lived anew.
+An instance was killed and restarted before its entry lapsed. Its replica was
+shut down as if the member had left in order, failures of the old process were
+counted against the new one, a loss that had been found stayed in effect for
+six seconds, and the members of a dead head waited 4.3 s for its end although
+the list showed that the head had restarted.
 """
 
 import time
@@ -33,10 +33,10 @@
 from tests.unit.test_grouping import PlacerTestbed
 
 _ADDRESS = Address('127.0.0.1', 9)
-_FIRST = 1000
-_SECOND = 2000
+_FIRST_START = 1000
+_SECOND_START = 2000
 _NAMES = ('i0', 'i1')
-# Less than a heartbeat and a half of a late write, more than two and a half.
+# Less and more than two and a half heartbeats after a delayed write.
 _SHORT_SECONDS = 2.0
 _LONG_SECONDS = 3.2
 _WANTED = RoutingRequest(CONFIG, CONFIG.routes[0], ENGINES, MODEL, 500, 5)
@@ -54,73 +54,75 @@
     )
 
 
-class FleetLivesTest(unittest.TestCase):
-    """A replica of two, one of which starts again, on a test's clock."""
+class FleetRestartTest(unittest.TestCase):
+    """A replica of two members, one of which restarts, on a simulated clock."""
 
     def setUp(self) -> None:
-        """List both members, and record the replica."""
+        """List both members and record the replica."""
         self.now = 50.0
         self.fleet = Fleet(InstanceList(IncarnationTracker(lambda: self.now)))
-        self._list(_entry('i0', _FIRST), _entry('i1', _FIRST))
+        self._apply_entries(
+            _entry('i0', _FIRST_START), _entry('i1', _FIRST_START)
+        )
         record = ReplicaRecord(
             'r-1', 1, SERVICE, BIG.name, 'east', 'east-0', _NAMES,
-            births=(_FIRST, _FIRST),
+            births=(_FIRST_START, _FIRST_START),
         )  # fmt: skip
         self.fleet.apply_records({record.key: record}, True)
         self.assertEqual(len(self._heads()), 1)
 
-    def test_back_within_the_lapse(self) -> None:
-        """Its replica has lost a member, and it has no model any more."""
-        self._list(_entry('i1', _SECOND, is_member=False))
+    def test_restart_before_the_entry_lapses(self) -> None:
+        """Its replica has lost a member, and it has no model loaded any more."""
+        self._apply_entries(_entry('i1', _SECOND_START, is_member=False))
         self.assertEqual(self._heads(), ())
         self.assertTrue(self.fleet.is_stopped(('r-1', 1)))
         self.assertEqual(self.fleet.instances['i1'].loaded, ())
 
-    def test_back_after_the_lapse(self) -> None:
-        """What is known of the old life does not come back with it."""
+    def test_restart_after_the_entry_lapsed(self) -> None:
+        """What was known of the old incarnation is not applied to the new one."""
         self.fleet.apply_instances({'i1': None}, False)
-        self._list(_entry('i1', _SECOND, is_member=False))
+        self._apply_entries(_entry('i1', _SECOND_START, is_member=False))
         self.assertTrue(self.fleet.is_stopped(('r-1', 1)))
         self.assertNotIn('i1', self.fleet.lapsed)
 
-    def test_the_head_is_back(self) -> None:
-        """Streams leave its old life at once, whatever it showed last."""
-        self._list(_entry('i0', _SECOND, is_member=False))
+    def test_head_restarts(self) -> None:
+        """Streams leave the old head at once, whatever its last entry showed."""
+        self._apply_entries(_entry('i0', _SECOND_START, is_member=False))
         self.assertEqual(self._heads(), ())
         self.assertTrue(self.fleet.is_stopped(('r-1', 1)))
 
-    def test_an_old_beat_comes_after(self) -> None:
-        """A late write of the old life is no third one."""
-        self._list(_entry('i1', _SECOND, is_member=False))
-        self._list(_entry('i1', _FIRST))
-        self.assertEqual(self.fleet.instances['i1'].born, _SECOND)
+    def test_delayed_write_of_the_old_incarnation(self) -> None:
+        """A delayed write of the old incarnation is not taken for a new one."""
+        self._apply_entries(_entry('i1', _SECOND_START, is_member=False))
+        self._apply_entries(_entry('i1', _FIRST_START))
+        self.assertEqual(self.fleet.instances['i1'].born, _SECOND_START)
         self.assertEqual(self._heads(), ())
 
-    def test_an_old_beat_of_a_life_never_seen(self) -> None:
-        """It changes nothing before it has stood for two heartbeats."""
-        self._list(_entry('i1', _FIRST // 2, is_member=False))
+    def test_delayed_write_of_an_unknown_incarnation(self) -> None:
+        """The entry has no effect before it has stood for two heartbeats."""
+        self._apply_entries(_entry('i1', _FIRST_START // 2, is_member=False))
         self.now += _SHORT_SECONDS
         self.fleet.process_timeouts()
         self.assertEqual(len(self._heads()), 1)
-        self._list(_entry('i1', _FIRST))
+        self._apply_entries(_entry('i1', _FIRST_START))
         self.now += _LONG_SECONDS
         self.fleet.process_timeouts()
         self.assertEqual(len(self._heads()), 1)
 
-    def test_a_clock_behind(self) -> None:
-        """A new life with an earlier birth is believed once it has stood."""
-        self._list(_entry('i1', _FIRST // 2, is_member=False))
+    def test_restart_with_a_clock_set_back(self) -> None:
+        """An earlier start time is accepted once its entry has stood long enough."""
+        self._apply_entries(_entry('i1', _FIRST_START // 2, is_member=False))
         self.now += _LONG_SECONDS
         self.fleet.process_timeouts()
-        self.assertEqual(self.fleet.instances['i1'].born, _FIRST // 2)
+        self.assertEqual(self.fleet.instances['i1'].born, _FIRST_START // 2)
         self.assertEqual(self._heads(), ())
-        self._list(_entry('i1', _FIRST))
-        self.assertEqual(self.fleet.instances['i1'].born, _FIRST // 2)
+        self._apply_entries(_entry('i1', _FIRST_START))
+        self.assertEqual(self.fleet.instances['i1'].born, _FIRST_START // 2)
 
-    def test_a_birth_that_went_back_ends_no_wait(self) -> None:
-        """Whether the old life is over is only likely then."""
+    def test_earlier_start_time_does_not_prove_an_end(self) -> None:
+        """The end of the old incarnation is then only likely."""
         record = next(iter(self.fleet.records.values()))
-        self._list(_entry('i0', _FIRST // 2, is_member=False))
+        self._apply_entries(_entry('i0', _FIRST_START // 2, is_member=False))
         self.now += _LONG_SECONDS
         self.fleet.process_timeouts()
         self.assertTrue(
@@ -130,21 +132,21 @@
             self.fleet.instance_list.has_ended(record.incarnations[0])
         )
 
-    def test_without_births(self) -> None:
-        """Entries that tell none go on as one life."""
-        self._list(_entry('i1', 0))
+    def test_entries_without_start_times(self) -> None:
+        """Entries without a start time count as the same incarnation."""
+        self._apply_entries(_entry('i1', 0))
         self.assertEqual(len(self._heads()), 1)
-        self.assertEqual(self.fleet.instances['i1'].born, _FIRST)
+        self.assertEqual(self.fleet.instances['i1'].born, _FIRST_START)
 
-    def test_found_lost_and_back(self) -> None:
-        """What was found of the old life is not held against the new one."""
+    def test_restart_of_a_lost_instance(self) -> None:
+        """A loss found for the old incarnation does not apply to the new one."""
         failure_detector = FailureDetector(self.fleet, _ignore)
         failure_detector.report_lost('i1', 'a test says so')
         self.assertEqual(failure_detector.lost_instances(), {'i1'})
-        self._list(_entry('i1', _SECOND, is_member=False))
+        self._apply_entries(_entry('i1', _SECOND_START, is_member=False))
         self.assertEqual(failure_detector.lost_instances(), set())
 
-    def _list(self, *entries: ListedInstance) -> None:
+    def _apply_entries(self, *entries: ListedInstance) -> None:
         items = {entry.id: entry for entry in entries}
         self.fleet.apply_instances(items, False)
 
@@ -152,43 +154,43 @@
         return self.fleet.heads(SERVICE, BIG.name)
 
 
-class PlacerLivesTest(unittest.TestCase):
-    """A placer whose instances start again under their ids."""
+class PlacerRestartTest(unittest.TestCase):
+    """A placer whose instances restart under their ids."""
 
     def setUp(self) -> None:
-        """Build a world whose instances tell their births."""
+        """Create a testbed whose instances report their start times."""
         self.testbed = PlacerTestbed()
         self.addCleanup(self.testbed.listener.close)
         fleet = self.testbed.fleet
         fleet.apply_instances(
             {
-                name: attrs.evolve(one, born=_FIRST)
+                name: attrs.evolve(one, born=_FIRST_START)
                 for name, one in fleet.instances.items()
             },
             True,
         )
 
-    def test_a_head_that_lives_anew(self) -> None:
-        """Its members are free at once, not after the stall."""
-        seconds = curio.run(self._back, 0)
+    def test_head_restart_frees_the_members(self) -> None:
+        """Its members are released at once, not after the stall timeout."""
+        seconds = curio.run(self._restart_member, 0)
         self.assertLess(seconds, self.testbed.engines.stall_seconds)
         self.assertEqual(self.testbed.engines.violations, [])
 
-    def test_a_member_that_lives_anew(self) -> None:
-        """The head leaves, and the others form with the same instance."""
-        seconds = curio.run(self._back, 2)
+    def test_member_restart_recreates_the_replica(self) -> None:
+        """The head leaves, and the others join again with the same instance."""
+        seconds = curio.run(self._restart_member, 2)
         self.assertLess(seconds, self.testbed.engines.stall_seconds)
         self.assertEqual(self.testbed.engines.violations, [])
 
-    def test_back_while_joining(self) -> None:
-        """A replica that still forms is formed anew with the new life."""
+    def test_restart_while_joining(self) -> None:
+        """A replica that was still joining is recreated with the new incarnation."""
         self.testbed.engines.unreachable.add('i2')
-        curio.run(self._back_while_joining)
+        curio.run(self._restart_while_joining)
         self.assertEqual(self.testbed.engines.violations, [])
 
-    def test_a_dead_head_is_not_asked_on_and_on(self) -> None:
-        """One was ordered to leave each half second until its end."""
-        curio.run(self._dead_head)
+    def test_dead_head_is_not_ordered_repeatedly(self) -> None:
+        """It was ordered to leave every half second until its end."""
+        curio.run(self._lose_head)
         leaves = [
             name
             for order, name in self.testbed.engines.orders
@@ -196,9 +198,9 @@
         ]
         self.assertLessEqual(len(leaves), 1)
 
-    def test_a_dark_replica_is_not_asked_member_by_member(self) -> None:
-        """Each took 0.4 s of silence, fifteen of them six seconds a round."""
-        curio.run(self._dark_replica)
+    def test_dead_replica_is_not_ordered_member_by_member(self) -> None:
+        """Each order timed out after 0.4 s, so 15 members took 6 s per round."""
+        curio.run(self._lose_all_members)
         asked = [
             name
             for order, name in self.testbed.engines.orders
@@ -206,29 +208,29 @@
         ]
         self.assertLessEqual(len(asked), 2)
 
-    async def _back(self, rank: int) -> float:
+    async def _restart_member(self, rank: int) -> float:
         testbed = self.testbed
         running = await curio.spawn(testbed.placer.run)
         await until(lambda: len(testbed.heads()) == 2)
         big = testbed.fleet.heads(SERVICE, BIG.name)[0]
         await curio.sleep(0.2)
         started = time.monotonic()
-        self._start_again(big.members[rank])
+        self._restart(big.members[rank])
         await until(lambda: self._is_replaced(big))
         await running.cancel()
         return time.monotonic() - started
 
-    async def _back_while_joining(self) -> None:
+    async def _restart_while_joining(self) -> None:
         testbed = self.testbed
         running = await curio.spawn(testbed.placer.run)
-        await until(lambda: self._naming('i2'))
-        old = self._naming('i2')[0]
-        self._start_again('i2')
+        await until(lambda: self._records_with('i2'))
+        old = self._records_with('i2')[0]
+        self._restart('i2')
         await until(lambda: old.key not in testbed.fleet.records)
         await until(lambda: len(testbed.heads()) == 2)
         await running.cancel()
 
-    async def _dead_head(self) -> None:
+    async def _lose_head(self) -> None:
         testbed = self.testbed
         running = await curio.spawn(testbed.placer.run)
         await until(lambda: len(testbed.heads()) == 2)
@@ -237,7 +239,7 @@
         await until(lambda: self._is_replaced(big))
         await running.cancel()
 
-    async def _dark_replica(self) -> None:
+    async def _lose_all_members(self) -> None:
         testbed = self.testbed
         running = await curio.spawn(testbed.placer.run)
         await until(lambda: len(testbed.heads()) == 2)
@@ -247,14 +249,14 @@
         await curio.sleep(1)
         await running.cancel()
 
-    def _naming(self, name: str) -> list[ReplicaRecord]:
+    def _records_with(self, name: str) -> list[ReplicaRecord]:
         records = self.testbed.fleet.records.values()
         return [record for record in records if name in record.members]
 
-    def _start_again(self, name: str) -> None:
+    def _restart(self, name: str) -> None:
         engines = self.testbed.engines
         engines.unreachable.discard(name)
-        engines.restart(name, _SECOND)
+        engines.restart(name, _SECOND_START)
 
     def _is_replaced(self, old: ServingHead) -> bool:
         heads = self.testbed.fleet.heads(SERVICE, BIG.name)
@@ -266,29 +268,29 @@
         )
 
 
-class LearnedTest(unittest.TestCase):
-    """What a node has learned of a life."""
+class LearnedStateTest(unittest.TestCase):
+    """What a node has learned about an incarnation."""
 
     def test_failures_and_silence(self) -> None:
-        """They are the old life's; the new one is used like any other."""
+        """Failures are those of the old incarnation; the new one is used normally."""
         testbed = GatewayTestbed(_never, _never)
         old = attrs.evolve(
             testbed.fleet.instances[testbed.targets[0].name],
-            born=_FIRST,
+            born=_FIRST_START,
         )
         testbed.fleet.apply_instances({old.id: old}, False)
         testbed.router.record_failure(old.incarnation, reached=False)
         self.assertEqual(_chosen(testbed), {testbed.targets[1].name})
-        new = attrs.evolve(old, born=_SECOND)
+        new = attrs.evolve(old, born=_SECOND_START)
         testbed.fleet.apply_instances({new.id: new}, False)
         self.assertEqual(_chosen(testbed), {old.id, testbed.targets[1].name})
 
     def test_connections(self) -> None:
-        """Nothing is sent on what was open to the old life."""
+        """Connections to the old incarnation are not used for the new one."""
         connections = TargetConnectionPool()
         old = listed_instance('i0', _ADDRESS)
         connections.mark_unreliable(old)
-        new = attrs.evolve(old, born=_SECOND)
+        new = attrs.evolve(old, born=_SECOND_START)
         self.assertTrue(connections._is_unreliable(old))
         self.assertFalse(connections._is_unreliable(new))
 
@@ -298,8 +300,8 @@
 
 
 async def _never(_exchange: Exchange) -> None:
-    """Stand for a target that is never asked."""
+    """Stand in for a target that is never called."""
 
 
 async def _ignore(_record: ReplicaRecord) -> None:
-    """Stand for whoever is told of a replica."""
+    """Ignore a notification about a replica."""
--- a/tests/unit/test_restored_list.py
+++ b/tests/unit/test_restored_list.py
@@ -1,4 +1,4 @@
-"""A list that comes from a copy of the store, some seconds old."""
+"""The instance list of a restored store, which is some seconds old."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 from cranecart.ports import ListedInstance
 from tests.lib.fake_engines import SERVICE, listed_instance
 
-_SILENT_SECONDS = 3.6
+_ENTRY_TTL_SECONDS = 3.6
 
 
 def _entry(name: str, *, leaving: bool = False) -> ListedInstance:
@@ -22,68 +22,68 @@
 
 
 class RestoredListTest(unittest.TestCase):
-    """What was known before the return counts on."""
+    """What was known before the restore stays in effect."""
 
     def setUp(self) -> None:
         """List three instances."""
         self.instance_list = InstanceList(IncarnationTracker(float))
-        self.copy = {name: _entry(name) for name in ('a', 'b', 'c')}
-        self.instance_list.apply(self.copy, True)
+        self.restored = {name: _entry(name) for name in ('a', 'b', 'c')}
+        self.instance_list.apply(self.restored, True)
 
-    def test_a_leaving_instance_is_ready_in_a_copy(self) -> None:
-        """It leaves all the same, as lives do not turn back."""
+    def test_leaving_instance_is_ready_in_the_restored_list(self) -> None:
+        """It stays marked as leaving, because leaving cannot be undone."""
         self.instance_list.apply({'a': _entry('a', leaving=True)}, False)
-        self.instance_list.apply_restored(self.copy, 0)
-        self.assertEqual(self._taking(), {'b', 'c'})
-        self.instance_list.apply(self.copy, True)
-        self.assertEqual(self._taking(), {'b', 'c'})
+        self.instance_list.apply_restored(self.restored, 0)
+        self.assertEqual(self._available(), {'b', 'c'})
+        self.instance_list.apply(self.restored, True)
+        self.assertEqual(self._available(), {'b', 'c'})
 
-    def test_an_instance_that_had_gone_is_in_a_copy(self) -> None:
-        """It may serve on without a word, but takes nothing new."""
+    def test_lapsed_instance_is_in_the_restored_list(self) -> None:
+        """It may still be running, but gets no new requests."""
         self.instance_list.apply({'a': None}, False)
-        self.instance_list.apply_restored(self.copy, 0)
-        self.assertEqual(self._taking(), {'b', 'c'})
-        self.instance_list.apply(self.copy, True)
-        self.assertEqual(self._taking(), {'b', 'c'})
-        self.instance_list.accept_unconfirmed(_SILENT_SECONDS)
-        self.assertEqual(self._taking(), {'b', 'c'})
-
-    def test_an_instance_that_had_gone_is_written_again(self) -> None:
-        """Its entry had lapsed, and it lives."""
+        self.instance_list.apply_restored(self.restored, 0)
+        self.assertEqual(self._available(), {'b', 'c'})
+        self.instance_list.apply(self.restored, True)
+        self.assertEqual(self._available(), {'b', 'c'})
+        self.instance_list.accept_unconfirmed(_ENTRY_TTL_SECONDS)
+        self.assertEqual(self._available(), {'b', 'c'})
+
+    def test_lapsed_instance_is_written_again(self) -> None:
+        """Its entry had lapsed, but the instance is running."""
         self.instance_list.apply({'a': None}, False)
-        self.instance_list.apply_restored(self.copy, 0)
-        self.instance_list.apply({'a': self.copy['a']}, False)
-        self.assertEqual(self._taking(), {'a', 'b', 'c'})
+        self.instance_list.apply_restored(self.restored, 0)
+        self.instance_list.apply({'a': self.restored['a']}, False)
+        self.assertEqual(self._available(), {'a', 'b', 'c'})
 
-    def test_an_entry_that_stands_is_of_a_living_instance(self) -> None:
-        """The store drops what is silent for three heartbeats."""
+    def test_entry_that_is_not_dropped_is_accepted(self) -> None:
+        """The store drops entries after three missed heartbeats."""
         self.instance_list.apply({'a': None}, False)
-        self.instance_list.apply_restored(self.copy, 0)
+        self.instance_list.apply_restored(self.restored, 0)
         self.assertEqual(self.instance_list.accept_unconfirmed(4.1), ['a'])
-        self.assertEqual(self._taking(), {'a', 'b', 'c'})
+        self.assertEqual(self._available(), {'a', 'b', 'c'})
 
-    def test_an_awaited_entry_goes(self) -> None:
-        """The store has dropped it, so that nothing is waited for."""
+    def test_unconfirmed_entry_is_removed(self) -> None:
+        """The store has dropped the entry, so it is no longer unconfirmed."""
         self.instance_list.apply({'a': None}, False)
-        self.instance_list.apply_restored(self.copy, 0)
+        self.instance_list.apply_restored(self.restored, 0)
         self.instance_list.apply({'a': None}, False)
         self.assertEqual(self.instance_list.accept_unconfirmed(9), [])
-        self.assertEqual(self._taking(), {'b', 'c'})
+        self.assertEqual(self._available(), {'b', 'c'})
 
-    def test_an_awaited_entry_is_missing_in_a_whole_list(self) -> None:
-        """The store has dropped it meanwhile."""
+    def test_unconfirmed_entry_is_missing_in_a_complete_list(self) -> None:
+        """The store has dropped the entry meanwhile."""
         self.instance_list.apply({'a': None}, False)
-        self.instance_list.apply_restored(self.copy, 0)
-        whole = {name: self.copy[name] for name in ('b', 'c')}
+        self.instance_list.apply_restored(self.restored, 0)
+        whole = {name: self.restored[name] for name in ('b', 'c')}
         self.instance_list.apply(whole, True)
         self.assertEqual(self.instance_list.accept_unconfirmed(9), [])
 
-    def test_what_a_copy_lacks_is_there(self) -> None:
-        """It is written again, and taken for gone only after that."""
-        self.instance_list.apply_restored({'b': self.copy['b']}, 0)
-        self.assertEqual(self._taking(), {'a', 'b', 'c'})
-        self.instance_list.apply({'b': self.copy['b']}, True)
-        self.assertEqual(self._taking(), {'b'})
+    def test_instance_missing_in_the_restored_list(self) -> None:
+        """It is kept until a complete list after the restore lacks it."""
+        self.instance_list.apply_restored({'b': self.restored['b']}, 0)
+        self.assertEqual(self._available(), {'a', 'b', 'c'})
+        self.instance_list.apply({'b': self.restored['b']}, True)
+        self.assertEqual(self._available(), {'b'})
 
-    def _taking(self) -> set[str]:
+    def _available(self) -> set[str]:
         return {one.id for one in self.instance_list.available(SERVICE)}
--- a/tests/unit/test_source_follower.py
+++ b/tests/unit/test_source_follower.py
@@ -1,4 +1,4 @@
-"""Followers of one source: by reading, and by what others have read."""
+"""Followers of one source that read it or get the updates of another reader."""
 
 import random
 import time
@@ -18,7 +18,7 @@
 
 @attrs.define
 class FakeSource:
-    """A source in memory that can lose its history or be down."""
+    """An in-memory source that can lose its history or be unavailable."""
 
     version: int = 1
     items: dict[str, str] = attrs.field(factory=dict)
@@ -26,12 +26,12 @@
     down: bool = False
     history_lost: bool = False
     wait_turns: int = 20
-    _log: list[tuple[int, str, str | None]] = attrs.field(factory=list)
+    _changes: list[tuple[int, str, str | None]] = attrs.field(factory=list)
 
     def put(self, key: str, text: str | None) -> None:
-        """Change one item, or take it away."""
+        """Change or remove one item."""
         self.version += 1
-        self._log.append((self.version, key, text))
+        self._changes.append((self.version, key, text))
         if text is None:
             self.items.pop(key)
         else:
@@ -39,33 +39,33 @@
 
     async def snapshot(self) -> Snapshot[str]:
         """Read everything."""
-        self._count()
+        self._count_read()
         return Snapshot(self.version, dict(self.items))
 
     async def changes(self, since: int, wait_seconds: float) -> Changes[str]:
-        """Wait a little for changes."""
-        self._count()
+        """Wait a short time for changes."""
+        self._count_read()
         if self.history_lost:
             self.history_lost = False
             raise HistoryLostError('gone')
         for _turn in range(self.wait_turns):
-            found = {key: one for at, key, one in self._log if at > since}
+            found = {key: one for at, key, one in self._changes if at > since}
             if found:
                 return Changes(self.version, found)
             await curio.sleep(0.01)
         return Changes(self.version, {})
 
-    def _count(self) -> None:
+    def _count_read(self) -> None:
         self.reads += 1
         if self.down:
             raise PlatformUnavailableError('down')
 
 
 class ItemRecorder(dict[str, str]):
-    """What a follower has told."""
+    """The items that a follower has passed to its consumer."""
 
     def take(self, items: dict[str, str | None], is_complete: bool) -> None:
-        """Take items over."""
+        """Apply items."""
         if is_complete:
             self.clear()
         for key, text in items.items():
@@ -75,33 +75,33 @@
                 self[key] = text
 
 
-class Pair:
-    """Two followers, the second of which the first may feed."""
+class FollowerPair:
+    """Two followers, the first of which may share its updates."""
 
     def __init__(self) -> None:
-        """Build both; nothing is read yet."""
+        """Create both; nothing is read yet."""
         self.source = FakeSource(items={'a': '1'})
-        self.first = ItemRecorder()
-        self.second = ItemRecorder()
-        self.feeds = True
-        self.loses_news = False
+        self.first_items = ItemRecorder()
+        self.second_items = ItemRecorder()
+        self.is_announced = True
+        self.loses_updates = False
         self.takeover_rank = 0
-        self.reader = self._follower(
+        self.reader = self._make_follower(
             self.source,
-            self.first,
-            UpdateSharing(lambda: None, self._pass_on),
+            self.first_items,
+            UpdateSharing(lambda: None, self._publish),
         )
-        self.fed = self._follower(
+        self.follower = self._make_follower(
             self.source,
-            self.second,
+            self.second_items,
             UpdateSharing(
-                self._announced,
+                self._announced_version,
                 lambda _news: None,
                 takeover_rank=lambda: self.takeover_rank,
             ),
         )
 
-    def _follower(
+    def _make_follower(
         self,
         source: FakeSource,
         held: ItemRecorder,
@@ -116,57 +116,59 @@
             feeding,
         )
 
-    def _announced(self) -> int | None:
-        return self.reader.last_change_version if self.feeds else None
+    def _announced_version(self) -> int | None:
+        return self.reader.last_change_version if self.is_announced else None
 
-    def _pass_on(self, news: SourceUpdate[str]) -> None:
-        if not self.loses_news:
-            self.fed.apply_update(news)
+    def _publish(self, update: SourceUpdate[str]) -> None:
+        if not self.loses_updates:
+            self.follower.apply_update(update)
 
 
 class FollowerTest(unittest.TestCase):
-    """What a follower holds is what its source holds, soon."""
+    """A follower converges to the contents of its source."""
 
     def test_history_lost(self) -> None:
-        """Everything is read anew, and what went meanwhile is gone."""
+        """A new snapshot is read, and items removed meanwhile are gone."""
         curio.run(self._lose_history)
 
-    def test_few_reads_while_the_list_fills(self) -> None:
-        """At a start all nodes read, and each read costs."""
-        pair = Pair()
+    def test_few_reads_while_the_list_grows(self) -> None:
+        """The number of reads at startup is limited, as all nodes read."""
+        followers = FollowerPair()
         started = time.monotonic()
-        curio.run(self._fill, pair)
+        curio.run(self._grow_list, followers)
         # One at once, then one every 0.15 s of however long it took.
         most = 1 + (time.monotonic() - started) / 0.15
-        self.assertLessEqual(pair.source.reads, most)
-        self.assertEqual(len(pair.first), 61)
+        self.assertLessEqual(followers.source.reads, most)
+        self.assertEqual(len(followers.first_items), 61)
 
-    def test_down(self) -> None:
-        """An outage forgets nothing, and ends by itself."""
-        curio.run(self._outage)
+    def test_outage(self) -> None:
+        """Items are kept during an outage, and reading resumes after it."""
+        curio.run(self._recover_from_outage)
 
-    def test_fed(self) -> None:
-        """A node that is fed reads nothing itself."""
-        curio.run(self._feed)
+    def test_shared_updates_replace_reads(self) -> None:
+        """A node that gets shared updates does not read the source."""
+        curio.run(self._share_update)
 
-    def test_who_is_fed_soon_after_its_start_reads_once(self) -> None:
-        """All nodes that started together read on until a relay spoke."""
-        curio.run(self._meet_late)
+    def test_one_read_if_a_reader_is_announced_soon_after_the_start(
+        self,
+    ) -> None:
+        """Nodes kept reading until a relay announced the shared reader."""
+        curio.run(self._announce_late)
 
-    def test_turns(self) -> None:
-        """Of two that lose their feeder only the first reads on."""
-        curio.run(self._take_turns)
+    def test_only_the_first_in_rank_takes_over(self) -> None:
+        """When the shared reader is gone, nodes with a later rank wait."""
+        curio.run(self._lose_reader_twice)
 
-    def test_lost_news(self) -> None:
-        """News that did not come is read."""
-        curio.run(self._lose_news)
+    def test_lost_update_is_read(self) -> None:
+        """An announced update that does not arrive is read instead."""
+        curio.run(self._lose_update)
 
-    def test_feeder_gone(self) -> None:
-        """Once nobody feeds it, a node reads for itself at once."""
-        curio.run(self._lose_feeder)
+    def test_shared_reader_gone(self) -> None:
+        """A node reads the source at once when the shared reader is gone."""
+        curio.run(self._lose_reader)
 
-    def test_a_whole_reading_is_the_first_of_an_era(self) -> None:
-        """Whoever missed the one before keeps what a copy may lack."""
+    def test_complete_update_is_the_first_of_an_era(self) -> None:
+        """A node that missed the restore keeps items the store may lack."""
         held = ItemRecorder()
         restored: list[dict[str, str]] = []
         follower = SourceFollower(
@@ -189,8 +191,8 @@
         )
         self.assertEqual(held, {'b': '2'})
 
-    def test_differences_after_first_readings_of_other_versions(self) -> None:
-        """No change lies between them, so that both know the same."""
+    def test_differences_after_first_reads_of_other_versions(self) -> None:
+        """An update applies if no change lies between the versions read."""
         held = ItemRecorder()
         follower = SourceFollower(
             'a source',
@@ -205,7 +207,7 @@
         self.assertEqual(held, {'a': '1', 'b': '2'})
 
     def test_differences_from_something_else(self) -> None:
-        """They say nothing to a node that has missed a change before."""
+        """An update is ignored by a node that has missed an earlier change."""
         held = ItemRecorder()
         follower = SourceFollower(
             'a source',
@@ -227,104 +229,112 @@
         )
         self.assertEqual(held, {'a': '1', 'b': '2'})
 
-    def test_news_over_the_wire(self) -> None:
-        """Entries of the list survive their way between nodes."""
+    def test_update_survives_encoding(self) -> None:
+        """List entries are equal after encoding and decoding."""
         instance = listed_instance('i', Address('127.0.0.1', 1))
         message = ListNews('n', SourceUpdate(1, 2, {'i': instance, 'j': None}))
         decoded = decode_mesh_message(encode_mesh_message(message))
         self.assertEqual(decoded, message)
 
-    async def _fill(self, pair: Pair) -> None:
-        reading = await curio.spawn(pair.reader.run, daemon=True)
+    async def _grow_list(self, followers: FollowerPair) -> None:
+        reading = await curio.spawn(followers.reader.run, daemon=True)
         for number in range(60):
-            pair.source.put(f'k{number}', 'new')
+            followers.source.put(f'k{number}', 'new')
             await curio.sleep(0.01)
-        await until(lambda: len(pair.first) == len(pair.source.items))
+        await until(
+            lambda: len(followers.first_items) == len(followers.source.items)
+        )
         await reading.cancel()
 
     async def _lose_history(self) -> None:
-        pair = Pair()
-        running = await curio.spawn(pair.reader.run)
-        await until(lambda: pair.first == {'a': '1'})
-        pair.source.items = {'b': '2'}
-        pair.source.version += 5
-        pair.source.history_lost = True
-        await until(lambda: pair.first == {'b': '2'})
+        followers = FollowerPair()
+        running = await curio.spawn(followers.reader.run)
+        await until(lambda: followers.first_items == {'a': '1'})
+        followers.source.items = {'b': '2'}
+        followers.source.version += 5
+        followers.source.history_lost = True
+        await until(lambda: followers.first_items == {'b': '2'})
         await running.cancel()
 
-    async def _outage(self) -> None:
-        pair = Pair()
-        running = await curio.spawn(pair.reader.run)
-        await until(lambda: bool(pair.first))
-        pair.source.down = True
+    async def _recover_from_outage(self) -> None:
+        followers = FollowerPair()
+        running = await curio.spawn(followers.reader.run)
+        await until(lambda: bool(followers.first_items))
+        followers.source.down = True
         await curio.sleep(0.3)
-        self.assertEqual(pair.first, {'a': '1'})
-        pair.source.put('a', '2')
-        pair.source.down = False
-        await until(lambda: pair.first == {'a': '2'})
+        self.assertEqual(followers.first_items, {'a': '1'})
+        followers.source.put('a', '2')
+        followers.source.down = False
+        await until(lambda: followers.first_items == {'a': '2'})
         await running.cancel()
 
-    async def _both(self) -> tuple[Pair, list[curio.Task]]:
-        pair = Pair()
+    async def _start_both(self) -> tuple[FollowerPair, list[curio.Task]]:
+        followers = FollowerPair()
         tasks = [
-            await curio.spawn(pair.reader.run),
-            await curio.spawn(pair.fed.run),
+            await curio.spawn(followers.reader.run),
+            await curio.spawn(followers.follower.run),
         ]
-        await until(lambda: pair.first == pair.second == {'a': '1'})
+        await until(
+            lambda: (
+                followers.first_items == followers.second_items == {'a': '1'}
+            )
+        )
         await curio.sleep(0.3)
-        return pair, tasks
+        return followers, tasks
 
-    async def _feed(self) -> None:
-        pair, tasks = await self._both()
+    async def _share_update(self) -> None:
+        followers, tasks = await self._start_both()
         await tasks[0].cancel()
-        before = pair.source.reads
+        before = followers.source.reads
         self.assertLess(before, 8)
-        pair.source.put('a', '2')
-        news = SourceUpdate(pair.reader.last_change_version, 2, {'a': '2'})
-        pair.fed.apply_update(news)
+        followers.source.put('a', '2')
+        update = SourceUpdate(
+            followers.reader.last_change_version, 2, {'a': '2'}
+        )
+        followers.follower.apply_update(update)
         await curio.sleep(0.2)
-        self.assertEqual(pair.second, {'a': '2'})
-        self.assertEqual(pair.source.reads, before)
+        self.assertEqual(followers.second_items, {'a': '2'})
+        self.assertEqual(followers.source.reads, before)
         await tasks[1].cancel()
 
-    async def _meet_late(self) -> None:
-        pair = Pair()
-        pair.feeds = False
-        await pair.reader._read()
-        before = pair.source.reads
-        running = await curio.spawn(pair.fed.run)
+    async def _announce_late(self) -> None:
+        followers = FollowerPair()
+        followers.is_announced = False
+        await followers.reader._read()
+        before = followers.source.reads
+        running = await curio.spawn(followers.follower.run)
         await curio.sleep(0.3)
-        pair.feeds = True
+        followers.is_announced = True
         await curio.sleep(0.6)
-        self.assertEqual(pair.source.reads, before + 1)
+        self.assertEqual(followers.source.reads, before + 1)
         await running.cancel()
 
-    async def _take_turns(self) -> None:
-        pair, tasks = await self._both()
-        pair.takeover_rank = 2
+    async def _lose_reader_twice(self) -> None:
+        followers, tasks = await self._start_both()
+        followers.takeover_rank = 2
         await tasks[0].cancel()
-        before = pair.source.reads
-        pair.feeds = False
+        before = followers.source.reads
+        followers.is_announced = False
         await curio.sleep(0.3)
-        pair.feeds = True
+        followers.is_announced = True
         await curio.sleep(0.5)
-        self.assertEqual(pair.source.reads, before)
-        pair.feeds = False
-        await until(lambda: pair.source.reads > before, 1)
+        self.assertEqual(followers.source.reads, before)
+        followers.is_announced = False
+        await until(lambda: followers.source.reads > before, 1)
         await tasks[1].cancel()
 
-    async def _lose_news(self) -> None:
-        pair, tasks = await self._both()
-        pair.loses_news = True
-        pair.source.put('a', '2')
-        await until(lambda: pair.second == {'a': '2'})
+    async def _lose_update(self) -> None:
+        followers, tasks = await self._start_both()
+        followers.loses_updates = True
+        followers.source.put('a', '2')
+        await until(lambda: followers.second_items == {'a': '2'})
         for task in tasks:
             await task.cancel()
 
-    async def _lose_feeder(self) -> None:
-        pair, tasks = await self._both()
-        pair.feeds = False
+    async def _lose_reader(self) -> None:
+        followers, tasks = await self._start_both()
+        followers.is_announced = False
         await tasks[0].cancel()
-        pair.source.put('a', '2')
-        await until(lambda: pair.second == {'a': '2'}, 0.5)
+        followers.source.put('a', '2')
+        await until(lambda: followers.second_items == {'a': '2'}, 0.5)
         await tasks[1].cancel()
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -261,7 +261,7 @@
         'if grace_until and self._is_mass_lapse(gone):',
         'if False:',
         'tests.unit.test_list_after_outage.MissingEntriesTest'
-        '.test_many_are_kept_after_the_stores_return',
+        '.test_many_missing_instances_are_kept_after_an_outage',
     ),
     Mutation(
         'each-reader-asks-a-store-that-is-away',
