--- a/src/cranecart/emulation/__init__.py
+++ b/src/cranecart/emulation/__init__.py
@@ -1,32 +1,33 @@
-"""Engines and load in simulated time, under the product's own decisions.
+"""Discrete-event simulation of engines under the product's dispatch policy.
 
-Hundreds of seeds of a load pattern are judged in seconds, before the users'
-bench is asked. docs/LOAD.md says where this differs from what is measured.
+It evaluates hundreds of seeds of a load pattern within seconds, before a run
+on the users' test bench. docs/LOAD.md lists where its results differ from
+measured ones.
 """
 
-from cranecart.emulation._engine import Engine, Run
-from cranecart.emulation._load import Burst, Death, Load
+from cranecart.emulation._engine import Engine, SimulatedRequest
+from cranecart.emulation._load import Burst, ReplicaCrash, Workload
 from cranecart.emulation._policies import (
     FewestInFlight,
-    Forecast,
+    ForecastPolicy,
     Policy,
     TwoChoices,
 )
 from cranecart.emulation._result import Outcome, Result
-from cranecart.emulation._world import World, play
+from cranecart.emulation._world import Simulation, simulate
 
 __all__ = (
     'Burst',
-    'Death',
     'Engine',
     'FewestInFlight',
-    'Forecast',
-    'Load',
+    'ForecastPolicy',
     'Outcome',
     'Policy',
+    'ReplicaCrash',
     'Result',
-    'Run',
+    'SimulatedRequest',
+    'Simulation',
     'TwoChoices',
-    'World',
-    'play',
+    'Workload',
+    'simulate',
 )
--- a/src/cranecart/emulation/_engine.py
+++ b/src/cranecart/emulation/_engine.py
@@ -1,4 +1,8 @@
-"""A replica's engine: slots, a queue by rank, passes that read and write."""
+"""Model of an inference engine with slots and a priority queue.
+
+In each pass the engine admits queued requests, processes their prompts, and
+emits one event for each active request.
+"""
 
 import heapq
 import itertools
@@ -7,90 +11,92 @@
 
 from cranecart.models import EngineModel, EngineProfile, Route
 
-_NUMBERS = itertools.count()
+_SEQUENCE = itertools.count()
 
 
 @attrs.define(eq=False)
-class Run:
-    """One client's request on its way; times in simulated seconds.
+class SimulatedRequest:
+    """A client's request; times are in simulated seconds.
 
-    ``asked_at`` is when its client first asked, ``came_at`` when this try
-    came. ``events`` are still to be written.
+    ``first_sent_at`` is the time of the client's first attempt, ``arrived_at``
+    that of this attempt. ``events`` is the number of events left to emit.
     """
 
     route: Route
     model: EngineModel
     node: int
-    asked_at: float
-    came_at: float
+    first_sent_at: float
+    arrived_at: float
     prompt_tokens: int
     events: int
-    has_returned: bool = False
-    first_at: float | None = None
-    last_at: float = 0
+    is_retry: bool = False
+    first_event_at: float | None = None
+    last_event_at: float = 0
     longest_pause: float = 0
-    is_over: bool = False
+    is_done: bool = False
 
-    def note_event(self, now: float) -> None:
-        """Take over that an event was written."""
-        if self.first_at is None:
-            self.first_at = now
+    def record_event(self, now: float) -> None:
+        """Record that an event was emitted."""
+        if self.first_event_at is None:
+            self.first_event_at = now
         else:
-            self.longest_pause = max(self.longest_pause, now - self.last_at)
-        self.last_at = now
+            self.longest_pause = max(
+                self.longest_pause, now - self.last_event_at
+            )
+        self.last_event_at = now
         self.events -= 1
 
 
 @attrs.define(eq=False)
 class Engine:
-    """A whole replica; it serves from ``open_at`` until it dies.
+    """The engine of one replica; it serves from ``ready_at`` until it crashes.
 
-    ``slowness`` multiplies all its times beside the model's pace.
+    ``slowness`` multiplies all its times, in addition to the model's pace.
     """
 
     name: str
     model: EngineModel
     profile: EngineProfile
-    open_at: float = 0
+    ready_at: float = 0
     slowness: float = 1
     is_dead: bool = False
-    writers: list[Run] = attrs.field(factory=list)
-    is_busy: bool = False
-    _queue: list[tuple[int, int, Run]] = attrs.field(factory=list)
+    active: list[SimulatedRequest] = attrs.field(factory=list)
+    is_in_pass: bool = False
+    _queue: list[tuple[int, int, SimulatedRequest]] = attrs.field(factory=list)
 
-    def put(self, run: Run, rank: int) -> None:
-        """Queue a request; those of a lower rank go first."""
-        heapq.heappush(self._queue, (rank, next(_NUMBERS), run))
+    def enqueue(self, request: SimulatedRequest, rank: int) -> None:
+        """Queue a request; lower ranks are admitted first."""
+        heapq.heappush(self._queue, (rank, next(_SEQUENCE), request))
 
-    def runs(self) -> list[Run]:
-        """Return the requests that are here and not over."""
-        waiting = (run for _rank, _number, run in self._queue)
-        return [one for one in (*self.writers, *waiting) if not one.is_over]
+    def requests(self) -> list[SimulatedRequest]:
+        """Return the active and queued requests that are not done."""
+        waiting = (request for _rank, _number, request in self._queue)
+        return [one for one in (*self.active, *waiting) if not one.is_done]
 
     def begin_pass(self) -> float | None:
-        """Let requests in; return how long the pass takes, if there is one."""
-        self.writers = [one for one in self.writers if not one.is_over]
+        """Admit requests; return the pass's duration, or None without requests."""
+        self.active = [one for one in self.active if not one.is_done]
         timing = self.profile.timing
-        reading = float(0)
-        room = timing.chunk_tokens * timing.steps_a_pass
-        while self._queue and len(self.writers) < self.profile.slots:
-            run = self._queue[0][2]
-            if not run.is_over and run.prompt_tokens > room:
+        prefill_seconds = float(0)
+        token_budget = timing.chunk_tokens * timing.steps_a_pass
+        while self._queue and len(self.active) < self.profile.slots:
+            request = self._queue[0][2]
+            if not request.is_done and request.prompt_tokens > token_budget:
                 break
             heapq.heappop(self._queue)
-            if not run.is_over:
-                room -= run.prompt_tokens
-                reading += timing.reading_seconds(run.prompt_tokens)
-                self.writers.append(run)
-        if not self.writers:
+            if not request.is_done:
+                token_budget -= request.prompt_tokens
+                prefill_seconds += timing.reading_seconds(request.prompt_tokens)
+                self.active.append(request)
+        if not self.active:
             return None
-        seconds = timing.pass_seconds(len(self.writers)) + reading
+        seconds = timing.pass_seconds(len(self.active)) + prefill_seconds
         return seconds * self.model.pace * self.slowness
 
-    def end_pass(self, now: float) -> list[Run]:
-        """Write an event of each request; return those that are whole."""
-        for run in self.writers:
-            run.note_event(now)
-        whole = [run for run in self.writers if run.events <= 0]
-        self.writers = [run for run in self.writers if run.events > 0]
-        return whole
+    def end_pass(self, now: float) -> list[SimulatedRequest]:
+        """Emit an event for each active request; return the finished ones."""
+        for request in self.active:
+            request.record_event(now)
+        finished = [request for request in self.active if request.events <= 0]
+        self.active = [request for request in self.active if request.events > 0]
+        return finished
--- a/src/cranecart/emulation/_load.py
+++ b/src/cranecart/emulation/_load.py
@@ -1,4 +1,4 @@
-"""Load as any deployment's own shape gives it."""
+"""Simulated workloads: request rates, sizes, bursts and crashes."""
 
 import math
 import random
@@ -6,26 +6,26 @@
 
 import attrs
 
-from cranecart.emulation._engine import Run
+from cranecart.emulation._engine import SimulatedRequest
 from cranecart.models import EngineModel, Route
 
-# The spread of prompts and answers on the users' sheets, as a log-normal's.
-_SPREAD = 0.8
-_MOST_TIMES_MEAN = 4.0
+# Log-normal sigma of the prompt and response sizes in the users' load sheets.
+_SIGMA = 0.8
+_MAX_MEAN_FACTOR = 4.0
 
 
 @attrs.frozen
 class Burst:
-    """So many times the requests, for a while."""
+    """A period in which the request rate is multiplied by ``factor``."""
 
-    begins: float
+    starts_at: float
     seconds: float
-    times: float
+    factor: float
 
 
 @attrs.frozen
-class Death:
-    """A replica that dies, and is open again some seconds later."""
+class ReplicaCrash:
+    """A replica that crashes and serves again ``seconds`` later."""
 
     at: float
     engine: int
@@ -33,8 +33,8 @@
 
 
 @attrs.frozen
-class Load:
-    """Requests of one kind: rate a second, mean sizes, and surges."""
+class Workload:
+    """Requests of one kind: rate per second, mean sizes, and bursts."""
 
     route: Route
     model: EngineModel
@@ -45,35 +45,37 @@
 
     def arrivals(
         self,
-        source: random.Random,
+        rng: random.Random,
         seconds: float,
         nodes: int,
-    ) -> Iterator[Run]:
-        """Draw requests at random moments, each at some node."""
-        most = self.rate * max((one.times for one in self.bursts), default=1)
-        now = source.expovariate(most)
+    ) -> Iterator[SimulatedRequest]:
+        """Yield requests with Poisson arrivals, each at a random node."""
+        peak_rate = self.rate * max(
+            (one.factor for one in self.bursts), default=1
+        )
+        now = rng.expovariate(peak_rate)
         while now < seconds:
-            if source.random() * most < self._rate(now):
-                yield Run(
+            if rng.random() * peak_rate < self._rate_at(now):
+                yield SimulatedRequest(
                     self.route,
                     self.model,
-                    source.randrange(nodes),
+                    rng.randrange(nodes),
                     now,
                     now,
-                    _drawn(source, self.prompt_tokens),
-                    _drawn(source, self.events),
+                    _draw_size(rng, self.prompt_tokens),
+                    _draw_size(rng, self.events),
                 )
-            now += source.expovariate(most)
+            now += rng.expovariate(peak_rate)
 
-    def _rate(self, now: float) -> float:
-        surges = (
-            one.times
+    def _rate_at(self, now: float) -> float:
+        factors = (
+            one.factor
             for one in self.bursts
-            if one.begins <= now < one.begins + one.seconds
+            if one.starts_at <= now < one.starts_at + one.seconds
         )
-        return self.rate * max(surges, default=1)
+        return self.rate * max(factors, default=1)
 
 
-def _drawn(source: random.Random, mean: float) -> int:
-    drawn = source.lognormvariate(math.log(mean) - _SPREAD**2 / 2, _SPREAD)
-    return max(1, round(min(drawn, _MOST_TIMES_MEAN * mean)))
+def _draw_size(rng: random.Random, mean: float) -> int:
+    size = rng.lognormvariate(math.log(mean) - _SIGMA**2 / 2, _SIGMA)
+    return max(1, round(min(size, _MAX_MEAN_FACTOR * mean)))
--- a/src/cranecart/emulation/_policies.py
+++ b/src/cranecart/emulation/_policies.py
@@ -1,4 +1,4 @@
-"""Ways to choose a replica, to be compared on the same load."""
+"""Replica selection policies, to be compared under the same load."""
 
 import random
 from collections.abc import Mapping, Sequence
@@ -15,55 +15,73 @@
     decide,
     spread_retry_after,
 )
-from cranecart.emulation._engine import Engine, Run
+from cranecart.emulation._engine import Engine, SimulatedRequest
 
-# A replica takes as many requests beyond its slots before it is passed over.
-_QUEUE_TIMES = 2
-_FULL_SECONDS = 0.2
+# A replica is full with this many times as many requests as it has slots.
+_MAX_LOAD_FACTOR = 2
+_FULL_RETRY_SECONDS = 0.2
 
 
 class Policy(Protocol):
-    """Decides for one node; ``counts`` and ``behind`` are by engine."""
+    """Selects replicas for one node.
+
+    ``in_flight`` and ``deferred`` count requests by engine name.
+    """
 
     def choose(
         self,
-        run: Run,
+        request: SimulatedRequest,
         engines: Sequence[Engine],
-        counts: Mapping[str, int],
-        behind: Mapping[str, int],
+        in_flight: Mapping[str, int],
+        deferred: Mapping[str, int],
         now: float,
     ) -> Send | Refuse:
-        """Return where a request goes, or when it should come back."""
+        """Return the chosen replica, or a refusal with a retry time."""
 
-    def note_first(self, run: Run, sent: Send, took: float, now: float) -> None:
-        """Take over when a first event came."""
+    def record_first_event(
+        self,
+        request: SimulatedRequest,
+        decision: Send,
+        seconds: float,
+        now: float,
+    ) -> None:
+        """Record the seconds from sending a request to its first event."""
 
 
 @attrs.define
 class FewestInFlight:
-    """The replica with the fewest requests; a full one refuses."""
+    """Chooses the replica with the fewest requests; refuses if it is full."""
 
     _random: random.Random
 
     def choose(
         self,
-        run: Run,
+        request: SimulatedRequest,
         engines: Sequence[Engine],
-        counts: Mapping[str, int],
-        behind: Mapping[str, int],
+        in_flight: Mapping[str, int],
+        deferred: Mapping[str, int],
         now: float,
     ) -> Send | Refuse:
-        """Return the least loaded, or refuse for a fixed time."""
+        """Return the least loaded replica, or refuse with a fixed retry time."""
         least = min(
             self._candidates(engines),
-            key=lambda one: (counts.get(one.name, 0), self._random.random()),
+            key=lambda one: (in_flight.get(one.name, 0), self._random.random()),
         )
-        if counts.get(least.name, 0) >= _QUEUE_TIMES * least.profile.slots:
-            return Refuse(_FULL_SECONDS)
+        if (
+            in_flight.get(least.name, 0)
+            >= _MAX_LOAD_FACTOR * least.profile.slots
+        ):
+            return Refuse(_FULL_RETRY_SECONDS)
         return Send(least.name, 0)
 
-    def note_first(self, run: Run, sent: Send, took: float, now: float) -> None:
-        """Learn nothing."""
+    def record_first_event(
+        self,
+        request: SimulatedRequest,
+        decision: Send,
+        seconds: float,
+        now: float,
+    ) -> None:
+        """Do nothing: this policy uses no latencies."""
 
     def _candidates(self, engines: Sequence[Engine]) -> Sequence[Engine]:
         return engines
@@ -71,65 +89,73 @@
 
 @attrs.define
 class TwoChoices(FewestInFlight):
-    """The less loaded one of two drawn replicas."""
+    """Chooses the less loaded one of two random replicas."""
 
     def _candidates(self, engines: Sequence[Engine]) -> Sequence[Engine]:
         return self._random.sample(list(engines), min(2, len(engines)))
 
 
 @attrs.define
-class Forecast:
-    """The door's own decisions."""
+class ForecastPolicy:
+    """Decides as the gateway does, by forecasts of the first event."""
 
     _random: random.Random
-    _run_seconds: Mapping[str, float]
+    _service_seconds: Mapping[str, float]
     _errors: ForecastErrors = attrs.field(factory=ForecastErrors, init=False)
 
     def choose(
         self,
-        run: Run,
+        request: SimulatedRequest,
         engines: Sequence[Engine],
-        counts: Mapping[str, int],
-        behind: Mapping[str, int],
+        in_flight: Mapping[str, int],
+        deferred: Mapping[str, int],
         now: float,
     ) -> Send | Refuse:
-        """Return what the door decides."""
-        left = run.route.timeout_seconds - (now - run.asked_at)
-        ask = DispatchRequest(
-            run.route,
+        """Return the gateway's decision."""
+        remaining = request.route.timeout_seconds - (
+            now - request.first_sent_at
+        )
+        dispatch_request = DispatchRequest(
+            request.route,
             engines[0].profile,
-            run.model,
-            run.prompt_tokens,
-            now - run.asked_at,
-            left,
-            self._run_seconds[run.model.name],
-            run.has_returned,
-            run.first_at is not None,
+            request.model,
+            request.prompt_tokens,
+            now - request.first_sent_at,
+            remaining,
+            self._service_seconds[request.model.name],
+            request.is_retry,
+            request.first_event_at is not None,
         )
-        standings = [
+        states = [
             ReplicaState(
                 one.name,
-                counts.get(one.name, 0),
-                behind.get(one.name, 0),
-                self._errors.expected(one.name, run.model.name, now),
+                in_flight.get(one.name, 0),
+                deferred.get(one.name, 0),
+                self._errors.expected(one.name, request.model.name, now),
             )
             for one in engines
         ]
-        self._random.shuffle(standings)
-        chosen = decide(ask, standings)
-        if isinstance(chosen, Refuse):
+        self._random.shuffle(states)
+        decision = decide(dispatch_request, states)
+        if isinstance(decision, Refuse):
             drawn = self._random.random()
             return Refuse(
-                spread_retry_after(chosen.excess_seconds, left, drawn)
+                spread_retry_after(decision.excess_seconds, remaining, drawn)
             )
-        return chosen
+        return decision
 
-    def note_first(self, run: Run, sent: Send, took: float, now: float) -> None:
-        """Learn how late it was against the forecast."""
-        if sent.is_deferred:
+    def record_first_event(
+        self,
+        request: SimulatedRequest,
+        decision: Send,
+        seconds: float,
+        now: float,
+    ) -> None:
+        """Record the error of the forecast."""
+        if decision.is_deferred:
             return
-        name, model = sent.name, run.model.name
+        name, model = decision.name, request.model.name
         expected = self._errors.expected(name, model, now)
         self._errors.record(
-            name, model, took - sent.forecast_seconds + expected, now
+            name, model, seconds - decision.forecast_seconds + expected, now
         )
--- a/src/cranecart/emulation/_result.py
+++ b/src/cranecart/emulation/_result.py
@@ -1,46 +1,50 @@
-"""What became of the requests of a play."""
+"""Outcomes of the simulated requests."""
 
 import enum
 from collections import Counter
 
 import attrs
 
-from cranecart.emulation._engine import Run
+from cranecart.emulation._engine import SimulatedRequest
 
-# What users get from a late answer, against one in time.
-_LATE_WORTH = 0.25
+# Value of a late response to users, relative to one in time.
+_LATE_UTILITY = 0.25
 
 
 class Outcome(enum.Enum):
-    """How a request ended for its client, counted from its first try."""
+    """How a request ended, measured from the client's first attempt."""
 
     IN_TIME = 'in time'
     LATE = 'late'
     REFUSED = 'refused'
-    LEFT = 'its client left'
+    ABANDONED = 'its client left'
 
 
 @attrs.define
 class Result:
-    """Outcomes counted by model and kind."""
+    """Number of requests by model and outcome."""
 
     counts: Counter[tuple[str, Outcome]] = attrs.field(factory=Counter)
 
-    def note(self, run: Run, outcome: Outcome) -> None:
-        """Count a request."""
-        self.counts[run.model.name, outcome] += 1
+    def record(self, request: SimulatedRequest, outcome: Outcome) -> None:
+        """Count a request with an outcome."""
+        self.counts[request.model.name, outcome] += 1
 
-    def note_whole(self, run: Run) -> None:
-        """Count a request that was answered."""
-        first = run.last_at if run.first_at is None else run.first_at
+    def record_answered(self, request: SimulatedRequest) -> None:
+        """Count an answered request as in time or late."""
+        first = (
+            request.last_event_at
+            if request.first_event_at is None
+            else request.first_event_at
+        )
         is_late = (
-            first - run.asked_at > run.route.objective_seconds
-            or run.longest_pause > run.route.pause_seconds
+            first - request.first_sent_at > request.route.objective_seconds
+            or request.longest_pause > request.route.pause_seconds
         )
-        self.note(run, Outcome.LATE if is_late else Outcome.IN_TIME)
+        self.record(request, Outcome.LATE if is_late else Outcome.IN_TIME)
 
     def share(self, outcome: Outcome, model: str = '') -> float:
-        """Return the part of requests, of one model if named."""
+        """Return an outcome's share of the requests, of one model if given."""
         chosen = Counter[Outcome]()
         for (name, ended), count in self.counts.items():
             if model in {'', name}:
@@ -48,7 +52,7 @@
         return chosen[outcome] / max(1, chosen.total())
 
     @property
-    def worth(self) -> float:
-        """Return what users got, of 1."""
-        late = _LATE_WORTH * self.share(Outcome.LATE)
+    def utility(self) -> float:
+        """Return the mean value to users, between 0 and 1."""
+        late = _LATE_UTILITY * self.share(Outcome.LATE)
         return self.share(Outcome.IN_TIME) + late
--- a/src/cranecart/emulation/_world.py
+++ b/src/cranecart/emulation/_world.py
@@ -1,4 +1,4 @@
-"""Play a load against engines under a policy, in simulated time."""
+"""Simulate engines and nodes with a policy under a workload."""
 
 import functools
 import heapq
@@ -10,55 +10,55 @@
 import attrs
 
 from cranecart.dispatch import Refuse, Send
-from cranecart.emulation._engine import Engine, Run
-from cranecart.emulation._load import Death, Load
+from cranecart.emulation._engine import Engine, SimulatedRequest
+from cranecart.emulation._load import ReplicaCrash, Workload
 from cranecart.emulation._policies import Policy
 from cranecart.emulation._result import Outcome, Result
 
-# What passes from a request's sending to its first event beside the passes.
-_WAY_SECONDS = 0.12
-# A node's counts reach the others with each beat.
-_BEAT_SECONDS = 0.25
-# Streams of a replica that died are sent elsewhere after this.
-_MOVED_SECONDS = 0.15
-_LATE_RANK = 5
-_PATIENCE_SECONDS = 2.0
-# Without a replica the client is told to come back after this.
-_NOWHERE_SECONDS = 0.6
+# Time from sending a request to its first event, without the engine's passes.
+_NETWORK_SECONDS = 0.12
+# Nodes share their request counts at each heartbeat.
+_HEARTBEAT_SECONDS = 0.25
+# Streams of a crashed replica are resumed on another one after this time.
+_FAILOVER_SECONDS = 0.15
+_DEFERRED_RANK = 5
+_MIN_CLIENT_TIMEOUT_SECONDS = 2.0
+# Retry time for clients while a model has no replica.
+_NO_REPLICA_RETRY_SECONDS = 0.6
 
-# When, which of those at that moment, and what happens.
-_Due = tuple[float, int, Callable[[], None]]
+# Time, sequence number for events at the same time, and callback.
+_Event = tuple[float, int, Callable[[], None]]
 
 
 @attrs.define(eq=False)
 class _Node:
     policy: Policy
-    counts: Counter[str] = attrs.field(factory=Counter)
-    behind: Counter[str] = attrs.field(factory=Counter)
-    told: Counter[str] = attrs.field(factory=Counter)
+    in_flight: Counter[str] = attrs.field(factory=Counter)
+    deferred: Counter[str] = attrs.field(factory=Counter)
+    shared_counts: Counter[str] = attrs.field(factory=Counter)
 
 
 @attrs.define(eq=False)
-class _Place:
+class _Assignment:
     node: _Node
     engine: Engine
-    sent: Send
+    decision: Send
     sent_at: float
-    has_begun: bool = False
+    has_started: bool = False
 
-    def counts(self) -> Counter[str]:
-        is_behind = self.sent.is_deferred and not self.has_begun
-        return self.node.behind if is_behind else self.node.counts
+    def counter(self) -> Counter[str]:
+        is_deferred = self.decision.is_deferred and not self.has_started
+        return self.node.deferred if is_deferred else self.node.in_flight
 
-    def begin(self) -> None:
-        """Count as one that runs."""
-        self.counts()[self.engine.name] -= 1
-        self.has_begun = True
-        self.counts()[self.engine.name] += 1
+    def mark_started(self) -> None:
+        """Count the request as running, no longer as deferred."""
+        self.counter()[self.engine.name] -= 1
+        self.has_started = True
+        self.counter()[self.engine.name] += 1
 
 
-class World:
-    """All engines and nodes, and what happens next."""
+class Simulation:
+    """Engines, nodes and the queue of future events."""
 
     def __init__(
         self,
@@ -67,168 +67,185 @@
         *,
         shares_counts: bool = True,
     ) -> None:
-        """Begin at zero; each policy is one node's."""
+        """Start at time 0, with one node for each policy."""
         self.result = Result()
         self._engines = list(engines)
         self._nodes = [_Node(policy) for policy in policies]
         self._shares_counts = shares_counts
-        self._places: dict[Run, _Place] = {}
+        self._assignments: dict[SimulatedRequest, _Assignment] = {}
         self._now = float(0)
         self._numbers = itertools.count()
-        self._due: list[_Due] = []
-
-    def run(self, runs: Sequence[Run], deaths: Sequence[Death]) -> Result:
-        """Play until everything has ended."""
-        for run in runs:
-            self._at(run.came_at, functools.partial(self._come, run))
-        for death in deaths:
-            self._at(death.at, functools.partial(self._die, death))
+        self._events: list[_Event] = []
+
+    def run(
+        self,
+        requests: Sequence[SimulatedRequest],
+        crashes: Sequence[ReplicaCrash],
+    ) -> Result:
+        """Run until all requests have ended."""
+        for request in requests:
+            self._schedule(
+                request.arrived_at, functools.partial(self._arrive, request)
+            )
+        for crash in crashes:
+            self._schedule(crash.at, functools.partial(self._crash, crash))
         if self._shares_counts:
-            self._at(0, self._beat)
-        self._left = len(runs)
-        while self._due and self._left > 0:
-            due = heapq.heappop(self._due)
-            self._now = due[0]
-            due[2]()
+            self._schedule(0, self._exchange_counts)
+        self._remaining = len(requests)
+        while self._events and self._remaining > 0:
+            event = heapq.heappop(self._events)
+            self._now = event[0]
+            event[2]()
         return self.result
 
-    def _at(self, when: float, act: Callable[[], None]) -> None:
-        heapq.heappush(self._due, (when, next(self._numbers), act))
+    def _schedule(self, when: float, callback: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (when, next(self._numbers), callback))
 
-    def _beat(self) -> None:
+    def _exchange_counts(self) -> None:
         for node in self._nodes:
-            node.told = node.counts.copy()
-        self._at(self._now + _BEAT_SECONDS, self._beat)
+            node.shared_counts = node.in_flight.copy()
+        self._schedule(self._now + _HEARTBEAT_SECONDS, self._exchange_counts)
 
-    def _come(self, run: Run) -> None:
-        node = self._nodes[run.node]
+    def _arrive(self, request: SimulatedRequest) -> None:
+        node = self._nodes[request.node]
         engines = [
             one
             for one in self._engines
-            if one.model is run.model
+            if one.model is request.model
             and not one.is_dead
-            and one.open_at <= self._now
+            and one.ready_at <= self._now
         ]
         if not engines:
-            self._refuse(run, _NOWHERE_SECONDS)
+            self._refuse(request, _NO_REPLICA_RETRY_SECONDS)
             return
-        chosen = node.policy.choose(
-            run,
+        decision = node.policy.choose(
+            request,
             engines,
-            self._counts_at(node),
-            node.behind,
+            self._known_in_flight(node),
+            node.deferred,
             self._now,
         )
-        if isinstance(chosen, Refuse):
-            self._refuse(run, chosen.excess_seconds)
+        if isinstance(decision, Refuse):
+            self._refuse(request, decision.excess_seconds)
             return
-        engine = next(one for one in engines if one.name == chosen.name)
-        self._send(run, _Place(node, engine, chosen, self._now))
+        engine = next(one for one in engines if one.name == decision.name)
+        self._send(request, _Assignment(node, engine, decision, self._now))
 
-    def _counts_at(self, node: _Node) -> Counter[str]:
-        """Return the requests that a node believes in."""
-        counts = node.counts.copy()
+    def _known_in_flight(self, node: _Node) -> Counter[str]:
+        """Return the in-flight counts that a node knows of."""
+        in_flight = node.in_flight.copy()
         if self._shares_counts:
             for other in self._nodes:
                 if other is not node:
-                    counts.update(other.told)
-        return counts
-
-    def _send(self, run: Run, place: _Place) -> None:
-        self._places[run] = place
-        place.counts()[place.engine.name] += 1
-        place.engine.put(run, _LATE_RANK if place.sent.is_deferred else 0)
-        self._begin_pass(place.engine)
-        if run.first_at is None:
-            patience = max(
-                _PATIENCE_SECONDS,
-                4 * run.route.objective_seconds,
+                    in_flight.update(other.shared_counts)
+        return in_flight
+
+    def _send(self, request: SimulatedRequest, assignment: _Assignment) -> None:
+        self._assignments[request] = assignment
+        assignment.counter()[assignment.engine.name] += 1
+        assignment.engine.enqueue(
+            request, _DEFERRED_RANK if assignment.decision.is_deferred else 0
+        )
+        self._begin_pass(assignment.engine)
+        if request.first_event_at is None:
+            timeout = max(
+                _MIN_CLIENT_TIMEOUT_SECONDS,
+                4 * request.route.objective_seconds,
+            )
+            self._schedule(
+                self._now + timeout, lambda: self._abandon(request, assignment)
             )
-            self._at(self._now + patience, lambda: self._leave(run, place))
 
-    def _refuse(self, run: Run, seconds: float) -> None:
-        if run.has_returned or run.first_at is not None:
-            self._end(run, Outcome.REFUSED)
+    def _refuse(self, request: SimulatedRequest, seconds: float) -> None:
+        if request.is_retry or request.first_event_at is not None:
+            self._finish(request, Outcome.REFUSED)
             return
-        run.has_returned = True
-        self._at(self._now + seconds, lambda: self._come(run))
+        request.is_retry = True
+        self._schedule(self._now + seconds, lambda: self._arrive(request))
 
-    def _leave(self, run: Run, place: _Place) -> None:
-        if run.first_at is None and self._places.get(run) is place:
-            self._end(run, Outcome.LEFT)
+    def _abandon(
+        self, request: SimulatedRequest, assignment: _Assignment
+    ) -> None:
+        if (
+            request.first_event_at is None
+            and self._assignments.get(request) is assignment
+        ):
+            self._finish(request, Outcome.ABANDONED)
 
     def _begin_pass(self, engine: Engine) -> None:
-        if engine.is_busy or engine.is_dead:
+        if engine.is_in_pass or engine.is_dead:
             return
         seconds = engine.begin_pass()
         if seconds is not None:
-            engine.is_busy = True
-            self._at(self._now + seconds, lambda: self._end_pass(engine))
+            engine.is_in_pass = True
+            self._schedule(self._now + seconds, lambda: self._end_pass(engine))
 
     def _end_pass(self, engine: Engine) -> None:
-        engine.is_busy = False
+        engine.is_in_pass = False
         if engine.is_dead:
             return
-        for run in engine.writers:
-            self._note_first(run)
-        for run in engine.end_pass(self._now + _WAY_SECONDS):
-            self.result.note_whole(run)
-            self._forget(run)
+        for request in engine.active:
+            self._record_first_event(request)
+        for request in engine.end_pass(self._now + _NETWORK_SECONDS):
+            self.result.record_answered(request)
+            self._remove(request)
         self._begin_pass(engine)
 
-    def _note_first(self, run: Run) -> None:
-        place = self._places.get(run)
-        if place is None or place.has_begun:
+    def _record_first_event(self, request: SimulatedRequest) -> None:
+        assignment = self._assignments.get(request)
+        if assignment is None or assignment.has_started:
             return
-        took = self._now + _WAY_SECONDS - place.sent_at
-        place.begin()
-        if run.first_at is None:
-            place.node.policy.note_first(run, place.sent, took, self._now)
+        seconds = self._now + _NETWORK_SECONDS - assignment.sent_at
+        assignment.mark_started()
+        if request.first_event_at is None:
+            assignment.node.policy.record_first_event(
+                request, assignment.decision, seconds, self._now
+            )
 
-    def _die(self, death: Death) -> None:
-        engine = self._engines[death.engine]
+    def _crash(self, crash: ReplicaCrash) -> None:
+        engine = self._engines[crash.engine]
         if engine.is_dead:
             return
-        moved = engine.runs()
+        interrupted = engine.requests()
         engine.is_dead = True
-        for run in moved:
-            place = self._places.pop(run)
-            place.counts()[engine.name] -= 1
-            self._at(
-                self._now + _MOVED_SECONDS,
-                functools.partial(self._come, run),
+        for request in interrupted:
+            assignment = self._assignments.pop(request)
+            assignment.counter()[engine.name] -= 1
+            self._schedule(
+                self._now + _FAILOVER_SECONDS,
+                functools.partial(self._arrive, request),
             )
-        self._engines[death.engine] = Engine(
+        self._engines[crash.engine] = Engine(
             f'{engine.name}+',
             engine.model,
             engine.profile,
-            self._now + death.seconds,
+            self._now + crash.seconds,
         )
 
-    def _end(self, run: Run, outcome: Outcome) -> None:
-        self.result.note(run, outcome)
-        self._forget(run)
+    def _finish(self, request: SimulatedRequest, outcome: Outcome) -> None:
+        self.result.record(request, outcome)
+        self._remove(request)
 
-    def _forget(self, run: Run) -> None:
-        run.is_over = True
-        self._left -= 1
-        place = self._places.pop(run, None)
-        if place is not None:
-            place.counts()[place.engine.name] -= 1
+    def _remove(self, request: SimulatedRequest) -> None:
+        request.is_done = True
+        self._remaining -= 1
+        assignment = self._assignments.pop(request, None)
+        if assignment is not None:
+            assignment.counter()[assignment.engine.name] -= 1
 
 
-def play(
+def simulate(
     engines: Sequence[Engine],
     policies: Sequence[Policy],
-    loads: Sequence[Load],
+    workloads: Sequence[Workload],
     seconds: float,
-    source: random.Random,
-    deaths: Sequence[Death] = (),
+    rng: random.Random,
+    crashes: Sequence[ReplicaCrash] = (),
 ) -> Result:
-    """Draw the requests of some loads and play them."""
-    runs = [
-        run
-        for load in loads
-        for run in load.arrivals(source, seconds, len(policies))
+    """Generate the requests of the workloads and simulate them."""
+    requests = [
+        request
+        for workload in workloads
+        for request in workload.arrivals(rng, seconds, len(policies))
     ]
-    return World(engines, policies).run(runs, deaths)
+    return Simulation(engines, policies).run(requests, crashes)
--- a/tests/unit/test_dispatch.py
+++ b/tests/unit/test_dispatch.py
@@ -16,7 +16,7 @@
     decide,
     spread_retry_after,
 )
-from cranecart.emulation import Burst, Death, Engine
+from cranecart.emulation import Burst, Engine, ReplicaCrash
 from tools.engine_loads import (
     PROFILE,
     SMALL,
@@ -153,7 +153,11 @@
 
     def test_replica_failures(self) -> None:
         """Streams resume elsewhere, with fewer replicas for some seconds."""
-        deaths = [Death(4, 0, 5), Death(6, 5, 5), Death(9, 1, 5)]
+        deaths = [
+            ReplicaCrash(4, 0, 5),
+            ReplicaCrash(6, 5, 5),
+            ReplicaCrash(9, 1, 5),
+        ]
         before = worth(fewest, lambda: engines(4, 6), deaths=deaths)
         after = worth(forecast, lambda: engines(4, 6), deaths=deaths)
         self.assertGreater(after, before)
--- a/tools/engine_loads.py
+++ b/tools/engine_loads.py
@@ -6,14 +6,14 @@
 
 from cranecart.emulation import (
     Burst,
-    Death,
     Engine,
     FewestInFlight,
-    Forecast,
-    Load,
+    ForecastPolicy,
     Policy,
+    ReplicaCrash,
     Result,
-    play,
+    Workload,
+    simulate,
 )
 from cranecart.models import EngineModel, EngineProfile, EngineTiming, Route
 
@@ -52,7 +52,7 @@
 
 def forecast(source: random.Random) -> Policy:
     """Return the door's way."""
-    return Forecast(source, RUN_SECONDS)
+    return ForecastPolicy(source, RUN_SECONDS)
 
 
 def route(objective: float = 0.3, pause: float = 0.2) -> Route:
@@ -63,13 +63,13 @@
     )  # fmt: skip
 
 
-def loads(*bursts: Burst) -> Sequence[Load]:
+def loads(*bursts: Burst) -> Sequence[Workload]:
     """Return drafts and summaries of the large model, notes of the small."""
     slow = route(0.5, 0.3)
     return (
-        Load(slow, LARGE, *_DRAFTS, bursts),
-        Load(slow, LARGE, *_SUMMARIES, bursts),
-        Load(route(), SMALL, *_NOTES, bursts),
+        Workload(slow, LARGE, *_DRAFTS, bursts),
+        Workload(slow, LARGE, *_SUMMARIES, bursts),
+        Workload(route(), SMALL, *_NOTES, bursts),
     )
 
 
@@ -85,7 +85,7 @@
     make: PolicyMaker,
     make_engines: Callable[[], Sequence[Engine]],
     *bursts: Burst,
-    deaths: Sequence[Death] = (),
+    deaths: Sequence[ReplicaCrash] = (),
     seeds: int = 6,
 ) -> float:
     """Return what users get in the mean of several seeds."""
@@ -93,17 +93,17 @@
         play_seed(make, make_engines(), bursts, deaths, seed)
         for seed in range(seeds)
     ]
-    return sum(one.worth for one in played) / seeds
+    return sum(one.utility for one in played) / seeds
 
 
 def play_seed(
     make: PolicyMaker,
     replicas: Sequence[Engine],
     bursts: Sequence[Burst],
-    deaths: Sequence[Death],
+    deaths: Sequence[ReplicaCrash],
     seed: int,
 ) -> Result:
     """Play one seed of the load."""
     source = random.Random(seed)
     policies = [make(source) for _node in range(NODES)]
-    return play(replicas, policies, loads(*bursts), SECONDS, source, deaths)
+    return simulate(replicas, policies, loads(*bursts), SECONDS, source, deaths)
--- a/tools/sweep.py
+++ b/tools/sweep.py
@@ -41,7 +41,7 @@
 
     @property
     def worths(self) -> list[float]:
-        return [one.worth for one in self.plays]
+        return [one.utility for one in self.plays]
 
     def share(self, outcome: Outcome) -> float:
         shares = [one.share(outcome) for one in self.plays]
