--- a/src/cranecart/cli/_load.py
+++ b/src/cranecart/cli/_load.py
@@ -13,7 +13,7 @@
 from cranecart.exceptions import OperatorError
 from cranecart.exit_codes import ExitCode
 from cranecart.http import Address
-from cranecart.load import (
+from cranecart.load_testing import (
     Balancer,
     Entry,
     Outcome,
--- a/src/cranecart/dispatch/_decision.py
+++ b/src/cranecart/dispatch/_decision.py
@@ -22,7 +22,7 @@
 _REMOTE_PENALTY_FRACTION = 0.1
 # Replicas sampled first, in each of local and remote. Counts from other nodes
 # are a quarter of a second old, so that all nodes would pick the same best
-# replica: in emulation this yields 0.976 of the value of served requests,
+# replica: in simulation this yields 0.976 of the value of served requests,
 # against 0.983 with two sampled.
 _SAMPLE_SIZE = 2
 # Forecasts are rough, so a request is refused before its client's last moment.
--- a/src/cranecart/load/__init__.py
+++ b/src/cranecart/load_testing/__init__.py
@@ -1,8 +1,8 @@
 """A load tool that knows what the stand-in engines must answer."""
 
-from cranecart.load._balancer import Balancer, Entry
-from cranecart.load._calls import LoadCall, Outcome, OutcomeKind
-from cranecart.load._judge import (
+from cranecart.load_testing._balancer import Balancer, Entry
+from cranecart.load_testing._calls import LoadCall, Outcome, OutcomeKind
+from cranecart.load_testing._record_checks import (
     LateStart,
     PartialStart,
     cut_off,
@@ -10,9 +10,9 @@
     partial_starts,
     shared_instances,
 )
-from cranecart.load._report import P50, P95, P99, Summary, quantile
-from cranecart.load._runner import Profile, make_calls, run_load
-from cranecart.load._sending import send_call
+from cranecart.load_testing._report import P50, P95, P99, Summary, quantile
+from cranecart.load_testing._runner import Profile, make_calls, run_load
+from cranecart.load_testing._sending import send_call
 
 __all__ = (
     'P50',
--- a/src/cranecart/load/_report.py
+++ b/src/cranecart/load_testing/_report.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from cranecart.load._calls import Outcome, OutcomeKind
+from cranecart.load_testing._calls import Outcome, OutcomeKind
 
 _MILLISECONDS = 1000
 P50 = 0.5
--- a/src/cranecart/load/_runner.py
+++ b/src/cranecart/load_testing/_runner.py
@@ -7,9 +7,9 @@
 import attrs
 import curio
 
-from cranecart.load._balancer import Balancer
-from cranecart.load._calls import LoadCall, Outcome, OutcomeKind
-from cranecart.load._sending import send_call
+from cranecart.load_testing._balancer import Balancer
+from cranecart.load_testing._calls import LoadCall, Outcome, OutcomeKind
+from cranecart.load_testing._sending import send_call
 
 _REPEAT_SECONDS = 1.0
 _KEY_BITS = 32
--- a/src/cranecart/load/_sending.py
+++ b/src/cranecart/load_testing/_sending.py
@@ -16,7 +16,7 @@
     Request,
     ResponseHead,
 )
-from cranecart.load._calls import LoadCall, Outcome, OutcomeKind
+from cranecart.load_testing._calls import LoadCall, Outcome, OutcomeKind
 from cranecart.standins import expected_text
 
 _GRACE_SECONDS = 5.0
--- a/src/cranecart/emulation/__init__.py
+++ b/src/cranecart/simulation/__init__.py
@@ -5,16 +5,16 @@
 measured ones.
 """
 
-from cranecart.emulation._engine import Engine, SimulatedRequest
-from cranecart.emulation._load import Burst, ReplicaCrash, Workload
-from cranecart.emulation._policies import (
+from cranecart.simulation._engine import Engine, SimulatedRequest
+from cranecart.simulation._policies import (
     FewestInFlight,
     ForecastPolicy,
     Policy,
     TwoChoices,
 )
-from cranecart.emulation._result import Outcome, Result
-from cranecart.emulation._world import Simulation, simulate
+from cranecart.simulation._result import Outcome, Result
+from cranecart.simulation._simulation import Simulation, simulate
+from cranecart.simulation._workload import Burst, ReplicaCrash, Workload
 
 __all__ = (
     'Burst',
--- a/src/cranecart/emulation/_policies.py
+++ b/src/cranecart/simulation/_policies.py
@@ -15,7 +15,7 @@
     decide,
     spread_retry_after,
 )
-from cranecart.emulation._engine import Engine, SimulatedRequest
+from cranecart.simulation._engine import Engine, SimulatedRequest
 
 # A replica is full with this many times as many requests as it has slots.
 _MAX_LOAD_FACTOR = 2
--- a/src/cranecart/emulation/_result.py
+++ b/src/cranecart/simulation/_result.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from cranecart.emulation._engine import SimulatedRequest
+from cranecart.simulation._engine import SimulatedRequest
 
 # Value of a late response to users, relative to one in time.
 _LATE_UTILITY = 0.25
--- a/src/cranecart/emulation/_world.py
+++ b/src/cranecart/simulation/_simulation.py
@@ -10,10 +10,10 @@
 import attrs
 
 from cranecart.dispatch import Refuse, Send
-from cranecart.emulation._engine import Engine, SimulatedRequest
-from cranecart.emulation._load import ReplicaCrash, Workload
-from cranecart.emulation._policies import Policy
-from cranecart.emulation._result import Outcome, Result
+from cranecart.simulation._engine import Engine, SimulatedRequest
+from cranecart.simulation._policies import Policy
+from cranecart.simulation._result import Outcome, Result
+from cranecart.simulation._workload import ReplicaCrash, Workload
 
 # Time from sending a request to its first event, without the engine's passes.
 _NETWORK_SECONDS = 0.12
--- a/src/cranecart/emulation/_load.py
+++ b/src/cranecart/simulation/_workload.py
@@ -6,8 +6,8 @@
 
 import attrs
 
-from cranecart.emulation._engine import SimulatedRequest
 from cranecart.models import EngineModel, Route
+from cranecart.simulation._engine import SimulatedRequest
 
 # Log-normal sigma of the prompt and response sizes in the users' load sheets.
 _SIGMA = 0.8
--- a/tests/functional/test_at_most_once.py
+++ b/tests/functional/test_at_most_once.py
@@ -9,7 +9,7 @@
 import attrs
 import curio
 
-from cranecart.load import LoadCall, Outcome, OutcomeKind, send_call
+from cranecart.load_testing import LoadCall, Outcome, OutcomeKind, send_call
 from cranecart.standins import read_record
 from tests.lib.clusters import start_cluster
 from tools.cluster_control import wait_until
--- a/tests/functional/test_leaving.py
+++ b/tests/functional/test_leaving.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from cranecart.http import Address
-from cranecart.load import (
+from cranecart.load_testing import (
     Outcome,
     OutcomeKind,
     Summary,
--- a/tests/functional/test_limits.py
+++ b/tests/functional/test_limits.py
@@ -6,7 +6,7 @@
 
 import curio
 
-from cranecart.load import LoadCall, Outcome, OutcomeKind, send_call
+from cranecart.load_testing import LoadCall, Outcome, OutcomeKind, send_call
 from cranecart.standins import read_record
 from tests.lib.clusters import start_cluster
 from tools.local_cluster import LocalCluster
--- a/tests/functional/test_partitions.py
+++ b/tests/functional/test_partitions.py
@@ -5,7 +5,7 @@
 
 import curio
 
-from cranecart.load import (
+from cranecart.load_testing import (
     LoadCall,
     Outcome,
     OutcomeKind,
--- a/tests/functional/test_replicas.py
+++ b/tests/functional/test_replicas.py
@@ -15,7 +15,7 @@
 from cranecart.cli._apply import apply_change
 from cranecart.config import compile_folder
 from cranecart.declarations import FencingSupport
-from cranecart.load import (
+from cranecart.load_testing import (
     Outcome,
     OutcomeKind,
     Summary,
--- a/tests/functional/test_storm.py
+++ b/tests/functional/test_storm.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from cranecart.http import Request, exchange
-from cranecart.load import OutcomeKind, Summary
+from cranecart.load_testing import OutcomeKind, Summary
 from cranecart.standins import read_record
 from tests.lib.clusters import start_cluster
 from tests.lib.loads import language_profile, run_under_load
--- a/tests/functional/test_whole_path.py
+++ b/tests/functional/test_whole_path.py
@@ -14,7 +14,7 @@
 from cranecart.cli._common import KEY_VARIABLE
 from cranecart.config import compile_folder
 from cranecart.http import Address, Request, Response, exchange
-from cranecart.load import (
+from cranecart.load_testing import (
     LoadCall,
     OutcomeKind,
     Profile,
--- a/tests/lib/loads.py
+++ b/tests/lib/loads.py
@@ -4,7 +4,7 @@
 
 import curio
 
-from cranecart.load import Outcome, Profile, make_calls, run_load
+from cranecart.load_testing import Outcome, Profile, make_calls, run_load
 from tools.local_cluster import LocalCluster
 
 Chaos = Callable[[], Awaitable[None]]
--- a/tests/unit/test_dispatch.py
+++ b/tests/unit/test_dispatch.py
@@ -16,7 +16,7 @@
     decide,
     spread_retry_after,
 )
-from cranecart.emulation import Burst, Engine, ReplicaCrash
+from cranecart.simulation import Burst, Engine, ReplicaCrash
 from tools.engine_loads import (
     PROFILE,
     SMALL,
@@ -136,7 +136,7 @@
 
 
 class LoadTest(unittest.TestCase):
-    """Dispatch by forecast against dispatch by counts, in emulation."""
+    """Dispatch by forecast against dispatch by counts, in simulation."""
 
     def test_load_surge(self) -> None:
         """Requests that can still be in time pass late ones: 0.66 to 0.73."""
--- a/tests/unit/test_suspension.py
+++ b/tests/unit/test_suspension.py
@@ -31,7 +31,9 @@
 
 _SOURCES = Path(__file__).parents[2] / 'src' / 'cranecart'
 # These measure only their own work, or are stand-ins for other systems.
-_EXEMPT_PATHS = frozenset(('clocks.py', 'emulation', 'load', 'standins'))
+_EXEMPT_PATHS = frozenset(
+    ('clocks.py', 'load_testing', 'simulation', 'standins')
+)
 
 
 @contextlib.contextmanager
--- a/tools/bench/_policies.py
+++ b/tools/bench/_policies.py
@@ -8,7 +8,7 @@
 
 from cranecart.cli._apply import apply_change
 from cranecart.config import compile_folder
-from cranecart.load import (
+from cranecart.load_testing import (
     P50,
     P95,
     P99,
--- a/tools/bench/_relay.py
+++ b/tools/bench/_relay.py
@@ -14,7 +14,7 @@
 from cranecart.cli._apply import apply_change
 from cranecart.config import compile_folder
 from cranecart.http import Address, HttpConnection, Request
-from cranecart.load import P50, P95, P99, quantile
+from cranecart.load_testing import P50, P95, P99, quantile
 from cranecart.targets import ServingReplica
 from tools.bench._measure import Usage
 from tools.cluster_control import wait_until
--- a/tools/cluster_control.py
+++ b/tools/cluster_control.py
@@ -10,7 +10,7 @@
 
 from cranecart.exceptions import CranecartError
 from cranecart.http import Address, Request, Response, exchange
-from cranecart.load import Balancer, Entry
+from cranecart.load_testing import Balancer, Entry
 from cranecart.operators import NodeStatus, OperatorClient
 from cranecart.targets import ServingReplica
 
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -18,7 +18,7 @@
 from absl import app, flags
 
 from cranecart.cli import main as cranecart
-from cranecart.load import (
+from cranecart.load_testing import (
     Outcome,
     Profile,
     Summary,
--- a/tools/engine_loads.py
+++ b/tools/engine_loads.py
@@ -4,7 +4,8 @@
 from collections.abc import Callable, Sequence
 from types import MappingProxyType
 
-from cranecart.emulation import (
+from cranecart.models import EngineModel, EngineProfile, EngineTiming, Route
+from cranecart.simulation import (
     Burst,
     Engine,
     FewestInFlight,
@@ -15,7 +16,6 @@
     Workload,
     simulate,
 )
-from cranecart.models import EngineModel, EngineProfile, EngineTiming, Route
 
 LARGE = EngineModel('large', 4, 1.0, 0.67, 16, 1.6)
 SMALL = EngineModel('small', 2, 0.6, 0.33, 12, 1.1)
--- a/tools/local_cluster.py
+++ b/tools/local_cluster.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from cranecart.http import Address
-from cranecart.load import Entry
+from cranecart.load_testing import Entry
 from cranecart.standins import Record
 from tools.cluster_control import OPERATOR_KEY, ClusterControl, wait_until
 from tools.processes import Addresses, Process
--- a/tools/soak.py
+++ b/tools/soak.py
@@ -17,7 +17,7 @@
 from cranecart.cli._apply import apply_change
 from cranecart.config import compile_folder
 from cranecart.documents import read_document, structure
-from cranecart.load import (
+from cranecart.load_testing import (
     Outcome,
     Profile,
     Summary,
--- a/tools/sweep.py
+++ b/tools/sweep.py
@@ -1,10 +1,10 @@
-"""Compare ways to choose a replica in the emulation, over many seeds.
+"""Compare ways to choose a replica in simulation, over many seeds.
 
 Usage: python -m tools.sweep [--seeds=N] [--large=N --small=N] [--surge=X]
 [--slowness=X]
 Each way plays the same seeds; the table says what it is worth, and by how much
 it differs from counts alone, with the interval. The last line says how quickly
-the emulation runs and what memory it took.
+the simulation runs and what memory it took.
 """
 
 import random
@@ -16,7 +16,7 @@
 import attrs
 from absl import app, flags
 
-from cranecart.emulation import (
+from cranecart.simulation import (
     Burst,
     Engine,
     Outcome,
