--- a/src/cranecart/platform/_tables.py
+++ b/src/cranecart/platform/_tables.py
@@ -35,8 +35,8 @@
         """Read rows by key; absent rows are left out."""
         requested = list(keys)
         rows_by_key: dict[str, Row] = {}
-        partitions = {_partition_of(key) for key in requested}
-        for table, part in partitions:
+        parts = {_table_and_part(key) for key in requested}
+        for table, part in parts:
             rows = await self._store.read_part(table, part)
             rows_by_key.update(_decode_rows(table, part, rows.rows))
         return {
@@ -45,7 +45,7 @@
 
     async def read_prefix(self, prefix: str) -> dict[str, Row]:
         """Read all rows whose keys start with ``table/part/``."""
-        table, part = _partition_of(prefix)
+        table, part = _table_and_part(prefix)
         rows = await self._store.read_part(table, part)
         rows_by_key = _decode_rows(table, part, rows.rows)
         return {
@@ -126,7 +126,7 @@
     }
 
 
-def _partition_of(key: str) -> tuple[str, str]:
+def _table_and_part(key: str) -> tuple[str, str]:
     table, part, _name = key.split('/', 2)
     return table, part
 
--- a/src/cranecart/platform/_wire_config.py
+++ b/src/cranecart/platform/_wire_config.py
@@ -67,7 +67,9 @@
     ``cachedPrefixes`` is the number of models that an instance keeps staged.
     The cost of a decoding step is ``step_ms``, plus ``per_seq_ms`` per request
     that generates tokens and ``context_per_k`` per 1,000 tokens of context.
-    The cost of prefill includes ``pairs_per_m`` per million pairs of tokens.
+    Prefill runs at ``read_per_s`` tokens a second, plus ``pairs_per_m`` per
+    million pairs of tokens, in chunks of ``chunk`` tokens. A pass of the engine
+    has ``stride`` steps. ``context_per_k`` and ``pairs_per_m`` are in ms.
     """
 
     slots: float = 1
--- a/tests/platform/_standin.py
+++ b/tests/platform/_standin.py
@@ -85,15 +85,15 @@
         """Return a backup of the contents."""
         return StoreBackup(self.version, dict(self.rows), copy.copy(self._log))
 
-    def restore(self, earlier: 'StoreBackup') -> None:
+    def restore(self, backup: 'StoreBackup') -> None:
         """Restore a backup in a new era, losing everything written since.
 
         Versions continue from that of the backup, so that they are issued
         again. Feeds from higher versions are rejected.
         """
-        self.version = earlier.version
-        self.rows = dict(earlier.rows)
-        self._log = copy.copy(earlier.log)
+        self.version = backup.version
+        self.rows = dict(backup.rows)
+        self._log = copy.copy(backup.log)
         self.era = (self.era or 0) + 1
         self.is_unavailable = False
 
--- a/tests/platform/test_restored_store.py
+++ b/tests/platform/test_restored_store.py
@@ -1,6 +1,6 @@
 """A store that is restored from a backup issues versions again.
 
-Nodes that remembered the higher versions took new rows for old ones.
+Nodes that compare only the store's own versions take new rows for old ones.
 """
 
 import time
@@ -60,11 +60,17 @@
         curio.run(self._take_lease_after_restore)
 
     def test_leaving_target_used_after_restore(self) -> None:
-        """An instance announced its leaving after the backup was made."""
+        """An instance that announced its leaving after the backup is leaving.
+
+        It gets no new requests, although its entry is the old one again.
+        """
         self._run_scenario(self._restore_before_leaving)
 
     def test_deleted_target_used_after_restore(self) -> None:
-        """An instance was deleted after the backup, and gets no requests."""
+        """An instance was deleted after the backup but is still running.
+
+        It gets no new requests, although its entry is back.
+        """
         self._run_scenario(self._restore_before_deletion)
 
     def test_new_target_lost_after_restore(self) -> None:
@@ -79,7 +85,7 @@
     async def _lose_writes_and_restore(self, testbed: StoreTestbed) -> None:
         """Write rows, then restore the store to its state before that."""
         store = testbed.store
-        earlier = store.backup()
+        backup = store.backup()
         store.put('op', '', 'config', config_row(11))
         for number in range(40):
             store.put('other', '', f'k{number}', 'lost')
@@ -88,7 +94,7 @@
         await curio.sleep(_POLL_SECONDS)
         store.is_unavailable = True
         await curio.sleep(_OUTAGE_SECONDS)
-        store.restore(earlier)
+        store.restore(backup)
 
     async def _write_new_version(self, testbed: StoreTestbed) -> None:
         await self._lose_writes_and_restore(testbed)
@@ -115,29 +121,29 @@
         await until(lambda: testbed.none_uses('i-1'), _MAX_DELAY_SECONDS)
 
     async def _restore_before_leaving(self, testbed: StoreTestbed) -> None:
-        earlier = testbed.store.backup()
+        backup = testbed.store.backup()
         testbed.store.put('servers', '', 'i-1', entry_row('draining', born=2))
         await until(lambda: testbed.none_uses('i-1'))
-        testbed.store.restore(earlier)
+        testbed.store.restore(backup)
         await self._assert_holds(lambda: testbed.none_uses('i-1'))
 
     async def _restore_before_deletion(self, testbed: StoreTestbed) -> None:
-        earlier = testbed.store.backup()
+        backup = testbed.store.backup()
         testbed.store.drop('servers', '', 'i-1')
         await until(lambda: testbed.none_uses('i-1'))
-        testbed.store.restore(earlier)
+        testbed.store.restore(backup)
         await self._assert_holds(lambda: testbed.none_uses('i-1'))
 
     async def _restore_before_creation(self, testbed: StoreTestbed) -> None:
-        earlier = testbed.store.backup()
-        entry = entry_row(born=8)
-        testbed.store.put('servers', '', 'i-7', entry)
+        backup = testbed.store.backup()
+        instance_entry = entry_row(born=8)
+        testbed.store.put('servers', '', 'i-7', instance_entry)
         await until(lambda: testbed.all_use('i-7'))
-        testbed.store.restore(earlier)
+        testbed.store.restore(backup)
         await self._assert_holds(
             lambda: testbed.all_use('i-7'), _REWRITE_DELAY_SECONDS
         )
-        testbed.store.put('servers', '', 'i-7', entry)
+        testbed.store.put('servers', '', 'i-7', instance_entry)
         await self._assert_holds(lambda: testbed.all_use('i-7'))
 
     async def _assert_holds(
@@ -153,7 +159,7 @@
     async def _take_lease_after_restore(self) -> None:
         store = populated_store(_INSTANCES)
         server, address = await start(store)
-        earlier = store.backup()
+        backup = store.backup()
         first, second = (
             Lease(
                 'x/y',
@@ -164,7 +170,7 @@
             for name in ('first', 'second')
         )
         self.assertTrue(await first.acquire_or_renew())
-        store.restore(earlier)
+        store.restore(backup)
         await second.acquire_or_renew()
         await curio.sleep(_LEASE_TIMEOUTS.takeover_seconds + 0.1)
         self.assertTrue(await second.acquire_or_renew())
--- a/tests/platform/test_row_versions.py
+++ b/tests/platform/test_row_versions.py
@@ -18,7 +18,7 @@
 from cranecart.ports import Check, Put, Transaction, era_of, version_in
 from tests.platform._standin import StandinStore, start
 
-_KEY = 'placement/all/k'
+_ROW_KEY = 'placement/all/k'
 
 
 class _RestoringStore(StandinStore):
@@ -35,8 +35,8 @@
 
 
 async def _write(table: PlatformTable, version: int = 0) -> int:
-    checks = (Check(_KEY, version),) if version else ()
-    return await table.commit(Transaction(checks, (Put(_KEY, 'x'),)))
+    checks = (Check(_ROW_KEY, version),) if version else ()
+    return await table.commit(Transaction(checks, (Put(_ROW_KEY, 'x'),)))
 
 
 class RowVersionsTest(unittest.TestCase):
@@ -47,10 +47,12 @@
         st.tuples(st.integers(0, 9000), st.integers(0, 10**12 - 1)),
     )
     def test_versions_are_ordered_by_era(
-        self, one: tuple[int, int], other: tuple[int, int]
+        self, first: tuple[int, int], second: tuple[int, int]
     ) -> None:
         """Versions are ordered by era, then by number."""
-        self.assertEqual(version_in(*one) < version_in(*other), one < other)
+        self.assertEqual(
+            version_in(*first) < version_in(*second), first < second
+        )
 
     def test_versions_rise_over_a_restore(self) -> None:
         """Versions rise even if the store issues lower numbers again."""
@@ -93,11 +95,11 @@
         store: _RestoringStore,
         client: StoreClient,
     ) -> None:
-        earlier = store.backup()
+        backup = store.backup()
         for _turn in range(5):
             store.put('t', '', 'k', 'x')
         before = await client.read_part('t', '')
-        store.restore(earlier)
+        store.restore(backup)
         store.put('t', '', 'k', 'y')
         after = await client.read_part('t', '')
         self.assertGreater(after.schema_version, before.schema_version)
@@ -124,9 +126,9 @@
         client: StoreClient,
     ) -> None:
         table = PlatformTable(client)
-        earlier = store.backup()
+        backup = store.backup()
         version = await _write(table)
-        store.restore(earlier)
+        store.restore(backup)
         await _write(table)
         with self.assertRaises(WriteConflictError):
             await _write(table, version)
