--- a/src/cranecart/native/_batch.py
+++ b/src/cranecart/native/_write_batcher.py
@@ -70,17 +70,21 @@
         self._is_running = False
 
     def _next_batch(self) -> list[_PendingTransaction]:
-        """Dequeue transactions that share no rows; keep the others in order."""
+        """Dequeue transactions that share no rows; keep the others in order.
+
+        A transaction also stays if it shares rows with one that stays, so that
+        transactions on the same row are committed in order.
+        """
         batch: list[_PendingTransaction] = []
         remaining: list[_PendingTransaction] = []
-        batch_keys: set[str] = set()
+        seen_keys: set[str] = set()
         for pending in self._queue:
             keys = pending.keys()
-            if len(batch) < _MAX_BATCH_SIZE and not batch_keys & keys:
+            if len(batch) < _MAX_BATCH_SIZE and not seen_keys & keys:
                 batch.append(pending)
             else:
                 remaining.append(pending)
-            batch_keys |= keys
+            seen_keys |= keys
         self._queue = remaining
         return batch
 
--- a/src/cranecart/platform/_orders.py
+++ b/src/cranecart/platform/_orders.py
@@ -30,7 +30,10 @@
 
 @attrs.define
 class PlatformOrders:
-    """Sends orders on persistent connections, one at a time per instance."""
+    """Sends orders on persistent connections, one at a time per instance.
+
+    ``sent`` counts the orders, including failed ones.
+    """
 
     sent: int = attrs.field(default=0, init=False)
     _pool: HttpConnectionPool = attrs.field(
