--- a/src/cranecart/cli/_load.py
+++ b/src/cranecart/cli/_load.py
@@ -15,7 +15,7 @@
 from cranecart.http import Address
 from cranecart.load_testing import (
     Balancer,
-    Entry,
+    NodeEndpoints,
     Outcome,
     Profile,
     Summary,
@@ -106,4 +106,4 @@
 def _balancer(texts: list[str]) -> Balancer:
     addresses = [Address.from_text(text) for text in texts]
     pairs = zip(addresses[::2], addresses[1::2], strict=True)
-    return Balancer([Entry(*pair) for pair in pairs])
+    return Balancer([NodeEndpoints(*pair) for pair in pairs])
--- a/src/cranecart/load_testing/__init__.py
+++ b/src/cranecart/load_testing/__init__.py
@@ -1,14 +1,14 @@
-"""A load tool that knows what the stand-in engines must answer."""
+"""Load generator that checks responses against the stand-ins' records."""
 
-from cranecart.load_testing._balancer import Balancer, Entry
+from cranecart.load_testing._balancer import Balancer, NodeEndpoints
 from cranecart.load_testing._calls import LoadCall, Outcome, OutcomeKind
 from cranecart.load_testing._record_checks import (
-    LateStart,
     PartialStart,
-    cut_off,
-    late_starts,
+    StartWhileLeaving,
+    aborted_starts,
     partial_starts,
     shared_instances,
+    starts_while_leaving,
 )
 from cranecart.load_testing._report import P50, P95, P99, Summary, quantile
 from cranecart.load_testing._runner import Profile, make_calls, run_load
@@ -19,16 +19,16 @@
     'P95',
     'P99',
     'Balancer',
-    'Entry',
-    'LateStart',
+    'NodeEndpoints',
+    'StartWhileLeaving',
     'LoadCall',
     'Outcome',
     'OutcomeKind',
     'PartialStart',
     'Profile',
     'Summary',
-    'cut_off',
-    'late_starts',
+    'aborted_starts',
+    'starts_while_leaving',
     'make_calls',
     'partial_starts',
     'quantile',
--- a/src/cranecart/load_testing/_balancer.py
+++ b/src/cranecart/load_testing/_balancer.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's balancer: sends to nodes that are ready."""
+"""Round-robin load balancer over ready nodes, as the platform's."""
 
 import itertools
 from collections.abc import Iterator, Sequence
@@ -10,12 +10,12 @@
 from cranecart.http import Address, Request, exchange
 
 _POLL_SECONDS = 0.3
-_ANSWER_SECONDS = 1.0
+_READINESS_TIMEOUT_SECONDS = 1.0
 
 
 @attrs.frozen
-class Entry:
-    """A node as the balancer knows it."""
+class NodeEndpoints:
+    """A node's addresses for clients and for operators."""
 
     clients: Address
     operators: Address
@@ -23,11 +23,11 @@
 
 @attrs.define
 class Balancer:
-    """Chooses nodes in turn among those that said they are ready."""
+    """Chooses ready nodes in turn, by polling their readiness."""
 
-    entries: Sequence[Entry]
+    entries: Sequence[NodeEndpoints]
     _ready: set[Address] = attrs.field(factory=set, init=False)
-    _turn: Iterator[int] = attrs.field(
+    _counter: Iterator[int] = attrs.field(
         factory=itertools.count,
         init=False,
     )
@@ -42,24 +42,24 @@
         ]
 
     def choose(self) -> Address:
-        """Return the next ready node, or the next of all if none is."""
+        """Return the next ready node, or the next of all nodes if none is."""
         pool = self.ready or [entry.clients for entry in self.entries]
-        return pool[next(self._turn) % len(pool)]
+        return pool[next(self._counter) % len(pool)]
 
     async def run(self) -> None:
-        """Check all nodes until cancelled."""
+        """Poll the readiness of all nodes until cancelled."""
         while True:
             async with curio.TaskGroup(wait=all) as checks:
                 for entry in self.entries:
                     await checks.spawn(self._check, entry)
             await curio.sleep(_POLL_SECONDS)
 
-    async def _check(self, entry: Entry) -> None:
+    async def _check(self, entry: NodeEndpoints) -> None:
         try:
             response = await exchange(
                 entry.operators,
                 Request('GET', '/readyz'),
-                _ANSWER_SECONDS,
+                _READINESS_TIMEOUT_SECONDS,
             )
         except HttpError:
             self._ready.discard(entry.clients)
--- a/src/cranecart/load_testing/_calls.py
+++ b/src/cranecart/load_testing/_calls.py
@@ -1,4 +1,4 @@
-"""What the load tool sends, and what became of it."""
+"""Calls of the load generator and their outcomes."""
 
 import enum
 
@@ -7,7 +7,7 @@
 
 @attrs.frozen(kw_only=True)
 class LoadCall:
-    """One call; a service call names a path instead of a model."""
+    """One call, of a model or of a path of a service."""
 
     key: str
     api_key: str
@@ -23,19 +23,19 @@
 
 
 class OutcomeKind(enum.Enum):
-    """What the client knows of its call in the end."""
+    """The outcome of a call as its client knows it."""
 
     ANSWERED = 'answered'
-    WRONG = 'wrong answer'
+    WRONG_ANSWER = 'wrong answer'
     NOT_RUN = 'refused as not run'
     UNKNOWN = 'outcome unknown'
-    CUT = 'cut off without a word'
+    DISCONNECTED = 'cut off without a word'
     REJECTED = 'rejected'
 
 
 @attrs.frozen(kw_only=True)
 class Outcome:
-    """The end of one call; times are of the monotonic clock."""
+    """The outcome of one call; times are of the monotonic clock."""
 
     call: LoadCall
     kind: OutcomeKind
--- a/src/cranecart/load_testing/_record_checks.py
+++ b/src/cranecart/load_testing/_record_checks.py
@@ -1,4 +1,7 @@
-"""Judge what stand-ins recorded; the nodes' own opinion counts for nothing."""
+"""Checks of the events that stand-ins recorded.
+
+They don't depend on what the nodes report about themselves.
+"""
 
 import itertools
 from collections import defaultdict
@@ -9,12 +12,12 @@
 
 Event = Mapping[str, Any]
 
-_ENDS = frozenset(('finish', 'abort'))
+_END_EVENTS = frozenset(('finish', 'abort'))
 
 
 @attrs.frozen
 class PartialStart:
-    """A request that began on a replica whose member was not with it."""
+    """A request that started on a replica with an unavailable member."""
 
     replica: str
     generation: int
@@ -23,91 +26,93 @@
 
 
 @attrs.frozen
-class LateStart:
-    """A request that began on a target after it had begun to leave."""
+class StartWhileLeaving:
+    """A request that started on a target that was leaving."""
 
     source: str
-    seconds_late: float
+    seconds_since_leaving: float
 
 
 @attrs.define
-class _Presence:
-    """For each instance, what it last was and since when."""
+class _MemberStates:
+    """The last recorded state of each instance, and the time of its change."""
 
     states: dict[str, Event] = attrs.field(factory=dict)
-    gone: set[str] = attrs.field(factory=set)
+    unavailable: set[str] = attrs.field(factory=set)
     changed_at: dict[str, float] = attrs.field(factory=dict)
 
-    def note(self, event: Event) -> None:
+    def apply(self, event: Event) -> None:
         source = event['source']
         match event['event']:
             case 'state':
                 self.states[source] = event
-                self.gone.discard(source)
+                self.unavailable.discard(source)
             case 'lost' | 'paused':
-                self.gone.add(source)
+                self.unavailable.add(source)
             case 'resumed':
-                self.gone.discard(source)
+                self.unavailable.discard(source)
             case _:
                 return
         self.changed_at[source] = event['at']
 
-    def is_with(self, member: str, start: Event) -> bool:
+    def is_ready_in(self, member: str, start_event: Event) -> bool:
         state = self.states.get(member)
-        if state is None or member in self.gone:
+        if state is None or member in self.unavailable:
             return False
         return (state['state'], state['replica'], state['generation']) == (
             'ready',
-            start['replica'],
-            start['generation'],
+            start_event['replica'],
+            start_event['generation'],
         )
 
 
 def partial_starts(events: Iterable[Event]) -> Iterator[PartialStart]:
-    """Yield each start on a replica with a member missing, and how long."""
-    presence = _Presence()
+    """Yield the starts on replicas with an unavailable member."""
+    members = _MemberStates()
     for event in events:
-        presence.note(event)
+        members.apply(event)
         if event['event'] != 'start' or event['kind'] != 'engine':
             continue
         for member in event['members']:
-            if not presence.is_with(member, event):
-                since = presence.changed_at.get(member, 0)
+            if not members.is_ready_in(member, event):
+                unavailable_since = members.changed_at.get(member, 0)
                 yield PartialStart(
                     event['replica'],
                     event['generation'],
                     member,
-                    event['at'] - since,
+                    event['at'] - unavailable_since,
                 )
 
 
 def shared_instances(events: Iterable[Event]) -> set[str]:
-    """Return instances that worked for two replicas at one moment."""
+    """Return the instances that ran requests of two replicas at once."""
     running: dict[str, Event] = {}
     shared: set[str] = set()
     for event in events:
         if event.get('kind') != 'engine':
             continue
-        if event['event'] in _ENDS:
+        if event['event'] in _END_EVENTS:
             running.pop(event['request'], None)
         elif event['event'] == 'start':
-            shared |= _shared_with(event, running.values())
+            shared |= _shared_members(event, running.values())
             running[event['request']] = event
     return shared
 
 
-def _shared_with(start: Event, running: Iterable[Event]) -> set[str]:
-    members = set(start['members'])
+def _shared_members(start_event: Event, running: Iterable[Event]) -> set[str]:
+    members = set(start_event['members'])
     others = (
         members & set(other['members'])
         for other in running
-        if other['replica'] != start['replica']
+        if other['replica'] != start_event['replica']
     )
     return set(itertools.chain.from_iterable(others))
 
 
-def late_starts(events: Iterable[Event]) -> Iterator[LateStart]:
-    """Yield each start on an instance, or its replica, that was leaving."""
+def starts_while_leaving(
+    events: Iterable[Event],
+) -> Iterator[StartWhileLeaving]:
+    """Yield the starts on leaving instances, or on replicas with one."""
     leaving: dict[str, float] = {}
     for event in events:
         if event['event'] == 'leaving':
@@ -115,11 +120,11 @@
         if event['event'] == 'start':
             members = {event['source'], *event.get('members', ())}
             for member in members & leaving.keys():
-                yield LateStart(member, event['at'] - leaving[member])
+                yield StartWhileLeaving(member, event['at'] - leaving[member])
 
 
-def cut_off(events: Sequence[Event]) -> list[Event]:
-    """Return the starts of requests that were aborted on their target."""
+def aborted_starts(events: Sequence[Event]) -> list[Event]:
+    """Return the start events of requests that were aborted on a target."""
     starts: dict[str, list[Event]] = defaultdict(list)
     for event in events:
         if event['event'] == 'start':
--- a/src/cranecart/load_testing/_report.py
+++ b/src/cranecart/load_testing/_report.py
@@ -1,4 +1,4 @@
-"""Sum up a load's outcomes together with what the stand-ins recorded."""
+"""Summary of a load from its outcomes and the stand-ins' records."""
 
 import itertools
 import math
@@ -16,18 +16,23 @@
 P99 = 0.99
 
 
-def quantile(numbers: Iterable[float], share: float) -> float:
-    """Return the number below which this share of them lies; 0 for none."""
-    ordered = sorted(numbers)
+def quantile(samples: Iterable[float], fraction: float) -> float:
+    """Return the quantile at a fraction, or 0 without samples."""
+    ordered = sorted(samples)
     if not ordered:
         return 0
-    position = math.floor(share * len(ordered))
-    return ordered[min(len(ordered) - 1, position)]
+    index = math.floor(fraction * len(ordered))
+    return ordered[min(len(ordered) - 1, index)]
 
 
 @attrs.frozen(kw_only=True)
 class Summary:
-    """Counts and times of one load."""
+    """Counts and latencies of one load.
+
+    ``doubled`` counts non-repeatable calls that ran more than once,
+    ``ran_though_refused`` calls that ran although the response said
+    'not run', and ``cut_off`` calls that ended without a response.
+    """
 
     sent: int
     answered: int
@@ -49,10 +54,10 @@
         outcomes: Sequence[Outcome],
         events: Sequence[Mapping[str, Any]],
     ) -> Self:
-        """Count outcomes, and judge them by what the stand-ins recorded."""
+        """Count outcomes and check them against the stand-ins' records."""
         kinds = Counter(outcome.kind for outcome in outcomes)
         started = [event for event in events if event['event'] == 'start']
-        firsts = [
+        first_token_times = [
             outcome.first_token_seconds * _MILLISECONDS
             for outcome in outcomes
             if outcome.first_token_seconds is not None
@@ -67,30 +72,30 @@
         return cls(
             sent=len(outcomes),
             answered=kinds[OutcomeKind.ANSWERED],
-            wrong=kinds[OutcomeKind.WRONG],
+            wrong=kinds[OutcomeKind.WRONG_ANSWER],
             refused_not_run=kinds[OutcomeKind.NOT_RUN],
             outcome_unknown=kinds[OutcomeKind.UNKNOWN],
-            cut_off=kinds[OutcomeKind.CUT],
+            cut_off=kinds[OutcomeKind.DISCONNECTED],
             rejected=kinds[OutcomeKind.REJECTED],
-            doubled=count_doubled(outcomes, started),
-            ran_though_refused=count_false_refusals(outcomes, started),
-            first_token_ms_p50=quantile(firsts, P50),
-            first_token_ms_p95=quantile(firsts, P95),
+            doubled=count_duplicate_runs(outcomes, started),
+            ran_though_refused=count_runs_despite_refusal(outcomes, started),
+            first_token_ms_p50=quantile(first_token_times, P50),
+            first_token_ms_p95=quantile(first_token_times, P95),
             between_tokens_ms_p50=quantile(gaps, P50),
             between_tokens_ms_p95=quantile(gaps, P95),
         )
 
     @property
     def violations(self) -> int:
-        """Return how often something that must always hold did not."""
+        """Return how many outcomes break the guarantees to clients."""
         return self.wrong + self.doubled + self.ran_though_refused
 
 
-def count_doubled(
+def count_duplicate_runs(
     outcomes: Iterable[Outcome],
     started: Iterable[Mapping[str, Any]],
 ) -> int:
-    """Count non-repeatable keys that targets started more than once."""
+    """Count non-repeatable calls that targets started more than once."""
     non_repeatable = {
         outcome.call.key for outcome in outcomes if not outcome.call.repeatable
     }
@@ -98,11 +103,11 @@
     return sum(runs[key] > 1 for key in non_repeatable)
 
 
-def count_false_refusals(
+def count_runs_despite_refusal(
     outcomes: Iterable[Outcome],
     started: Iterable[Mapping[str, Any]],
 ) -> int:
-    """Count calls that ran although the client was told 'not run'."""
+    """Count calls that ran although their response said 'not run'."""
     ran = {event['request'] for event in started}
     return sum(
         outcome.is_refusal and outcome.request_id in ran
--- a/src/cranecart/load_testing/_runner.py
+++ b/src/cranecart/load_testing/_runner.py
@@ -1,4 +1,4 @@
-"""Send a seeded load at a steady rate."""
+"""Send a seeded load at a constant rate."""
 
 import random
 import time
@@ -11,13 +11,17 @@
 from cranecart.load_testing._calls import LoadCall, Outcome, OutcomeKind
 from cranecart.load_testing._sending import send_call
 
-_REPEAT_SECONDS = 1.0
+_DEFAULT_RETRY_SECONDS = 1.0
 _KEY_BITS = 32
 
 
 @attrs.frozen(kw_only=True)
 class Profile:
-    """What a load is made of; shares are of all calls."""
+    """The composition of a load.
+
+    ``stream_share`` is a share of the model calls, the others are shares of
+    all calls.
+    """
 
     api_keys: Sequence[str]
     models: Sequence[str]
@@ -35,29 +39,31 @@
     count: int,
     seed: int,
 ) -> Iterator[LoadCall]:
-    """Yield calls; the same seed gives the same calls."""
-    source = random.Random(seed)
+    """Yield calls that depend only on the arguments and the seed."""
+    rng = random.Random(seed)
     for number in range(count):
-        key = f'{seed}-{number}-{source.getrandbits(_KEY_BITS):08x}'
+        key = f'{seed}-{number}-{rng.getrandbits(_KEY_BITS):08x}'
         call = LoadCall(
             key=key,
-            api_key=source.choice(profile.api_keys),
-            prompt=f'{source.choice(prompts)} #{number}',
+            api_key=rng.choice(profile.api_keys),
+            prompt=f'{rng.choice(prompts)} #{number}',
             tokens=profile.tokens,
-            repeatable=source.random() >= profile.non_repeatable_share,
+            repeatable=rng.random() >= profile.non_repeatable_share,
             deadline_ms=profile.deadline_ms,
         )
-        yield _aimed(call, profile, source)
+        yield _with_destination(call, profile, rng)
 
 
-def _aimed(call: LoadCall, profile: Profile, source: random.Random) -> LoadCall:
-    if profile.services and source.random() < profile.service_share:
-        service, path = source.choice(profile.services)
+def _with_destination(
+    call: LoadCall, profile: Profile, rng: random.Random
+) -> LoadCall:
+    if profile.services and rng.random() < profile.service_share:
+        service, path = rng.choice(profile.services)
         return attrs.evolve(call, service=service, path=path)
     return attrs.evolve(
         call,
-        model=source.choice(profile.models),
-        stream=source.random() < profile.stream_share,
+        model=rng.choice(profile.models),
+        stream=rng.random() < profile.stream_share,
     )
 
 
@@ -65,32 +71,32 @@
     balancer: Balancer,
     calls: Iterable[LoadCall],
     per_second: float,
-    repeats: int = 0,
+    retries: int = 0,
 ) -> list[Outcome]:
-    """Send calls at a rate, whatever becomes of the earlier ones.
+    """Send calls at a constant rate, without waiting for earlier ones.
 
-    A call that was refused or whose outcome is unknown is sent again, with
-    the same key, up to ``repeats`` times, as a patient client would.
+    A call that is not answered is retried with the same idempotency key, up
+    to ``retries`` times.
     """
     outcomes: list[Outcome] = []
     started = time.monotonic()
     async with curio.TaskGroup(wait=all) as sending:
         for number, call in enumerate(calls):
-            due = started + number / per_second
-            await curio.sleep(max(0, due - time.monotonic()))
-            await sending.spawn(_send, balancer, call, repeats, outcomes)
+            due_at = started + number / per_second
+            await curio.sleep(max(0, due_at - time.monotonic()))
+            await sending.spawn(_send, balancer, call, retries, outcomes)
     return outcomes
 
 
 async def _send(
     balancer: Balancer,
     call: LoadCall,
-    repeats: int,
+    retries: int,
     outcomes: list[Outcome],
 ) -> None:
-    for _attempt in range(repeats + 1):
+    for _attempt in range(retries + 1):
         outcome = await send_call(balancer.choose(), call)
         outcomes.append(outcome)
         if outcome.kind is OutcomeKind.ANSWERED:
             return
-        await curio.sleep(outcome.retry_after or _REPEAT_SECONDS)
+        await curio.sleep(outcome.retry_after or _DEFAULT_RETRY_SECONDS)
--- a/src/cranecart/load_testing/_sending.py
+++ b/src/cranecart/load_testing/_sending.py
@@ -1,4 +1,4 @@
-"""Send one call and check the answer against what it must be."""
+"""Send one call and check its response."""
 
 import operator
 import time
@@ -19,7 +19,7 @@
 from cranecart.load_testing._calls import LoadCall, Outcome, OutcomeKind
 from cranecart.standins import expected_text
 
-_GRACE_SECONDS = 5.0
+_TIMEOUT_MARGIN_SECONDS = 5.0
 _MILLISECONDS = 1000
 _DATA = b'data: '
 _DONE = b'data: [DONE]'
@@ -27,22 +27,22 @@
 
 
 @attrs.define
-class _Progress:
-    """What came so far."""
+class _PartialResponse:
+    """The part of a response that was received so far."""
 
     head: ResponseHead | None = None
     body: bytearray = attrs.field(factory=bytearray)
-    arrivals: list[float] = attrs.field(factory=list)
+    chunk_times: list[float] = attrs.field(factory=list)
 
 
 async def send_call(address: Address, call: LoadCall) -> Outcome:
-    """Send one call on a connection of its own and judge its answer."""
+    """Send one call on its own connection and return its outcome."""
     started = time.monotonic()
-    progress = _Progress()
+    response = _PartialResponse()
     detail = ''
-    seconds = call.deadline_ms / _MILLISECONDS + _GRACE_SECONDS
+    seconds = call.deadline_ms / _MILLISECONDS + _TIMEOUT_MARGIN_SECONDS
     try:
-        await curio.timeout_after(seconds, _send, address, call, progress)
+        await curio.timeout_after(seconds, _send, address, call, response)
     except ConnectFailedError as error:
         return Outcome(
             call=call,
@@ -55,21 +55,21 @@
         )
     except (HttpError, TaskTimeout) as error:
         detail = repr(error)
-    return _judge(address, call, progress, started, detail)
+    return _outcome(address, call, response, started, detail)
 
 
 async def _send(
     address: Address,
     call: LoadCall,
-    progress: _Progress,
+    response: _PartialResponse,
 ) -> None:
     connection = await HttpConnection.open(address)
     try:
         await connection.send(_request(call))
-        progress.head = await connection.read_head()
-        while piece := await connection.read_chunk():
-            progress.body += piece
-            progress.arrivals.append(time.monotonic())
+        response.head = await connection.read_head()
+        while chunk := await connection.read_chunk():
+            response.body += chunk
+            response.chunk_times.append(time.monotonic())
     finally:
         await connection.close()
 
@@ -85,29 +85,29 @@
     if call.priority:
         headers['x-priority'] = call.priority
     if call.service:
-        target = f'/v1/services/{call.service}{call.path}'
+        path = f'/v1/services/{call.service}{call.path}'
         body: dict[str, Any] = {'note': call.prompt}
     else:
-        target = '/v1/chat/completions'
+        path = '/v1/chat/completions'
         body = {
             'model': call.model,
             'messages': [{'role': 'user', 'content': call.prompt}],
             'max_tokens': call.tokens,
             'stream': call.stream,
         }
-    return Request('POST', target, headers, msgspec.json.encode(body))
+    return Request('POST', path, headers, msgspec.json.encode(body))
 
 
-def _judge(
+def _outcome(
     address: Address,
     call: LoadCall,
-    progress: _Progress,
+    response: _PartialResponse,
     started: float,
     detail: str,
 ) -> Outcome:
-    head = progress.head or ResponseHead(0)
-    verdict = _verdict(call, progress, detail)
-    arrivals = progress.arrivals
+    head = response.head or ResponseHead(0)
+    verdict = _classify(call, response, detail)
+    chunk_times = response.chunk_times
     return Outcome(
         call=call,
         kind=verdict.kind,
@@ -117,11 +117,11 @@
         code=verdict.code,
         request_id=head.headers.get('x-request-id', ''),
         node=str(address),
-        first_token_seconds=arrivals[0] - started if arrivals else None,
-        token_gaps=tuple(map(operator.sub, arrivals[1:], arrivals)),
+        first_token_seconds=chunk_times[0] - started if chunk_times else None,
+        token_gaps=tuple(map(operator.sub, chunk_times[1:], chunk_times)),
         retry_after=verdict.retry_after,
         cache=head.headers.get('x-cache', ''),
-        detail=verdict.why,
+        detail=verdict.reason,
     )
 
 
@@ -130,23 +130,27 @@
     kind: OutcomeKind
     code: str = ''
     retry_after: float | None = None
-    why: str = ''
+    reason: str = ''
 
 
-def _verdict(call: LoadCall, progress: _Progress, detail: str) -> _Verdict:
-    if progress.head is None or detail:
-        return _Verdict(OutcomeKind.CUT, why=detail or 'no answer')
-    body = bytes(progress.body)
-    if not progress.head.is_success:
-        return _from_error(_error_of(body))
+def _classify(
+    call: LoadCall, response: _PartialResponse, detail: str
+) -> _Verdict:
+    if response.head is None or detail:
+        return _Verdict(
+            OutcomeKind.DISCONNECTED, reason=detail or 'no response'
+        )
+    body = bytes(response.body)
+    if not response.head.is_success:
+        return _classify_error(_parse_error(body))
     if call.service:
-        return _from_echo(call, body)
+        return _check_echo(call, body)
     if call.stream:
-        return _from_stream(call, body)
-    return _from_text(call, _message_text(body), body)
+        return _check_stream(call, body)
+    return _check_text(call, _message_text(body), body)
 
 
-def _error_of(body: bytes) -> dict[str, Any]:
+def _parse_error(body: bytes) -> dict[str, Any]:
     try:
         error = msgspec.json.decode(body)['error']
     except (msgspec.DecodeError, KeyError, TypeError):
@@ -154,7 +158,7 @@
     return error if isinstance(error, dict) else {}
 
 
-def _from_error(error: dict[str, Any]) -> _Verdict:
+def _classify_error(error: dict[str, Any]) -> _Verdict:
     kinds = {
         'not run': OutcomeKind.NOT_RUN,
         'outcome unknown': OutcomeKind.UNKNOWN,
@@ -167,30 +171,32 @@
     )
 
 
-def _from_echo(call: LoadCall, body: bytes) -> _Verdict:
-    wanted = msgspec.json.encode({'note': call.prompt}).decode()
+def _check_echo(call: LoadCall, body: bytes) -> _Verdict:
+    expected = msgspec.json.encode({'note': call.prompt}).decode()
     try:
         echo = msgspec.json.decode(body).get('echo')
     except (msgspec.DecodeError, AttributeError):
         echo = None
-    if echo == wanted:
+    if echo == expected:
         return _Verdict(OutcomeKind.ANSWERED)
-    return _Verdict(OutcomeKind.WRONG, why=repr(body))
+    return _Verdict(OutcomeKind.WRONG_ANSWER, reason=repr(body))
 
 
-def _from_stream(call: LoadCall, body: bytes) -> _Verdict:
+def _check_stream(call: LoadCall, body: bytes) -> _Verdict:
     lines = body.split(b'\n')
     if _ERROR_EVENT in lines:
         failed = lines[lines.index(_ERROR_EVENT) + 1]
-        return _from_error(_error_of(failed.removeprefix(_DATA)))
+        return _classify_error(_parse_error(failed.removeprefix(_DATA)))
     if _DONE not in lines:
-        return _Verdict(OutcomeKind.WRONG, why='the stream has no end')
+        return _Verdict(
+            OutcomeKind.WRONG_ANSWER, reason='the stream ended without [DONE]'
+        )
     text = ''.join(
         _chunk_text(line.removeprefix(_DATA))
         for line in lines
         if line.startswith(_DATA) and line != _DONE
     )
-    return _from_text(call, text, body)
+    return _check_text(call, text, body)
 
 
 def _chunk_text(encoded: bytes) -> str:
@@ -208,8 +214,8 @@
         return ''
 
 
-def _from_text(call: LoadCall, text: str, body: bytes) -> _Verdict:
+def _check_text(call: LoadCall, text: str, body: bytes) -> _Verdict:
     model = call.model.partition('@')[0]
     if text == expected_text(model, call.prompt, call.tokens):
         return _Verdict(OutcomeKind.ANSWERED)
-    return _Verdict(OutcomeKind.WRONG, why=repr(body))
+    return _Verdict(OutcomeKind.WRONG_ANSWER, reason=repr(body))
--- a/tests/functional/test_at_most_once.py
+++ b/tests/functional/test_at_most_once.py
@@ -124,7 +124,7 @@
             await curio.sleep(0.05)
         self.cluster.processes['node0'].kill()
         outcome = await sending.join()
-        self.assertEqual(outcome.kind, OutcomeKind.CUT)
+        self.assertEqual(outcome.kind, OutcomeKind.DISCONNECTED)
 
     async def _send_and_pause(self, call: LoadCall) -> None:
         sending = await curio.spawn(self._send_to, 'node0', call)
--- a/tests/functional/test_leaving.py
+++ b/tests/functional/test_leaving.py
@@ -13,8 +13,8 @@
     Outcome,
     OutcomeKind,
     Summary,
-    cut_off,
-    late_starts,
+    aborted_starts,
+    starts_while_leaving,
 )
 from cranecart.standins import read_record
 from tests.lib.clusters import start_cluster
@@ -143,8 +143,10 @@
         self.assertEqual(set(kinds), {OutcomeKind.ANSWERED}, kinds)
         summary = Summary.from_outcomes(outcomes, events)
         self.assertEqual(summary.violations, 0)
-        self.assertEqual(cut_off(events), [])
-        late = [one.seconds_late for one in late_starts(events)]
+        self.assertEqual(aborted_starts(events), [])
+        late = [
+            one.seconds_since_leaving for one in starts_while_leaving(events)
+        ]
         self.assertLess(max(late, default=0), _LATE_SECONDS)
 
     def _member(self) -> str:
--- a/tests/lib/loads.py
+++ b/tests/lib/loads.py
@@ -18,7 +18,7 @@
     profile: Profile,
     seconds: float,
     per_second: float = 20,
-    repeats: int = 0,
+    retries: int = 0,
 ) -> list[Outcome]:
     """Send a seeded load and inject faults while it runs."""
 
@@ -29,7 +29,7 @@
         faults = await curio.spawn(chaos)
         count = round(seconds * per_second)
         calls = make_calls(profile, ['one', 'two', 'three'], count, seed=5)
-        outcomes = await run_load(balancer, calls, per_second, repeats)
+        outcomes = await run_load(balancer, calls, per_second, retries)
         await faults.join()
         await watching.cancel()
         return outcomes
--- a/tools/cluster_control.py
+++ b/tools/cluster_control.py
@@ -10,7 +10,7 @@
 
 from cranecart.exceptions import CranecartError
 from cranecart.http import Address, Request, Response, exchange
-from cranecart.load_testing import Balancer, Entry
+from cranecart.load_testing import Balancer, NodeEndpoints
 from cranecart.operators import NodeStatus, OperatorClient
 from cranecart.targets import ServingReplica
 
@@ -25,7 +25,7 @@
 
     addresses: Mapping[str, Address]
     controls: Mapping[str, Address]
-    entries: Mapping[str, Entry]
+    entries: Mapping[str, NodeEndpoints]
 
     def reach(self, name: str) -> Address:
         """Return the address others use, that of its proxy if it has one."""
--- a/tools/local_cluster.py
+++ b/tools/local_cluster.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from cranecart.http import Address
-from cranecart.load_testing import Entry
+from cranecart.load_testing import NodeEndpoints
 from cranecart.standins import Record
 from tools.cluster_control import OPERATOR_KEY, ClusterControl, wait_until
 from tools.processes import Addresses, Process
@@ -46,7 +46,7 @@
         self.processes: dict[str, Process] = {}
         self.addresses: dict[str, Address] = {}
         self.controls: dict[str, Address] = {}
-        self.entries: dict[str, Entry] = {}
+        self.entries: dict[str, NodeEndpoints] = {}
         self.control = ClusterControl(
             self.addresses,
             self.controls,
@@ -208,7 +208,7 @@
         reached = {name: self._reached(f'{name}-peer') for name in names}
         for number, name in enumerate(names):
             domain = self.options.domains[number % len(self.options.domains)]
-            entry = Entry(self._free.take(), self._free.take())
+            entry = NodeEndpoints(self._free.take(), self._free.take())
             self.entries[name] = entry
             self._settings[name] = {
                 'node_id': name,
--- a/tools/soak.py
+++ b/tools/soak.py
@@ -21,11 +21,11 @@
     Outcome,
     Profile,
     Summary,
-    late_starts,
     make_calls,
     partial_starts,
     run_load,
     shared_instances,
+    starts_while_leaving,
 )
 from cranecart.standins import read_record
 from tools.chaos import DOMAINS, Chaos, Schedule
@@ -67,7 +67,8 @@
             for one in partial_starts(events)
         ),
         'starts on a leaving target': sum(
-            one.seconds_late > _LATE_SECONDS for one in late_starts(events)
+            one.seconds_since_leaving > _LATE_SECONDS
+            for one in starts_while_leaving(events)
         ),
     }
     for name, number in {**attrs.asdict(summary), **broken}.items():
@@ -108,7 +109,7 @@
         balancer,
         calls,
         schedule.calls_per_second,
-        repeats=2,
+        retries=2,
     )
     await chaos.join()
     await watching.cancel()
