--- a/tests/unit/test_ablation.py
+++ b/tests/unit/test_ablation.py
@@ -1,4 +1,4 @@
-"""Every mechanism can still be switched off by its edit."""
+"""The edits of the ablation and mutation tools still apply to the sources."""
 
 import ast
 import shutil
@@ -11,11 +11,11 @@
 from tools.mutations import MUTATIONS
 
 
-class MechanismsTest(unittest.TestCase):
-    """Edits against the sources as they are."""
+class AblationEditsTest(unittest.TestCase):
+    """The edits that disable mechanisms for the ablation tool."""
 
-    def test_each_edit_finds_its_place_once(self) -> None:
-        """One that does not would measure nothing."""
+    def test_each_edit_applies_exactly_once(self) -> None:
+        """An edit that does not apply would leave the mechanism enabled."""
         for mechanism in MECHANISMS:
             with tempfile.TemporaryDirectory() as folder:
                 sources = Path(folder) / 'cranecart'
@@ -25,18 +25,19 @@
                 ast.parse(edited)
 
 
-class MutationsTest(unittest.TestCase):
-    """Guards that mutations switch off, in the sources as they are.
+class MutationEditsTest(unittest.TestCase):
+    """The edits that disable safeguards for the mutation tool.
 
-    Four of thirty had moved on with the sources, and were noticed by nobody.
+    Guards against edits that no longer match because the sources have
+    changed: this went unnoticed for four of thirty mutations.
     """
 
-    def test_each_guard_is_in_its_file(self) -> None:
-        """A mutation that cannot be made proves nothing."""
+    def test_each_edit_applies(self) -> None:
+        """A mutation that cannot be applied tests nothing."""
         sources = Path(cranecart.__file__).parent
         for mutation in MUTATIONS:
             with self.subTest(mutation=mutation.name):
                 source = (sources / mutation.file).read_text('utf-8')
-                self.assertIn(mutation.guard, source)
-                edited = source.replace(mutation.guard, mutation.without)
+                self.assertIn(mutation.original, source)
+                edited = source.replace(mutation.original, mutation.replacement)
                 ast.parse(edited)
--- a/tools/checks.py
+++ b/tools/checks.py
@@ -1,4 +1,4 @@
-"""The one entry to every check: formatter, linter, types, tests.
+"""Run the checks: formatter, linters, type checker and test suites.
 
 Usage: python -m tools.checks [style] [unit] [functional]
 """
@@ -15,45 +15,45 @@
 import attrs
 
 _ROOT = Path(__file__).parent.parent
-_PARTS = ('src', 'tests', 'tools')
-_STYLE = (
-    ('ruff', 'format', '--check', '--quiet', *_PARTS),
-    ('ruff', 'check', '--quiet', *_PARTS),
-    ('flake8', *_PARTS),
+_SOURCE_FOLDERS = ('src', 'tests', 'tools')
+_STYLE_COMMANDS = (
+    ('ruff', 'format', '--check', '--quiet', *_SOURCE_FOLDERS),
+    ('ruff', 'check', '--quiet', *_SOURCE_FOLDERS),
+    ('flake8', *_SOURCE_FOLDERS),
     ('mypy',),
 )
-_SUITES = ('unit', 'platform', 'functional')
-_KNOWN_RED = _ROOT / 'KNOWN-RED.txt'
-_MAX_KNOWN_RED = 3
+_TEST_SUITES = ('unit', 'platform', 'functional')
+_KNOWN_FAILURES_FILE = _ROOT / 'KNOWN-RED.txt'
+_MAX_KNOWN_FAILURES = 3
 _WORKERS = 4
-_RAN = re.compile(r'^Ran (\d+) tests?', re.MULTILINE)
-_SKIPPED = re.compile(r'skipped=(\d+)')
-_RED = re.compile(r'^(FAIL|ERROR): \w+ \(([\w.]+)\)', re.MULTILINE)
+_TESTS_RUN = re.compile(r'^Ran (\d+) tests?', re.MULTILINE)
+_TESTS_SKIPPED = re.compile(r'skipped=(\d+)')
+_FAILED_TEST = re.compile(r'^(FAIL|ERROR): \w+ \(([\w.]+)\)', re.MULTILINE)
 
 
 @attrs.frozen
 class UnitOutcome:
-    """How many tests of a unit ran, and which of them are red."""
+    """Number of tests in a test unit, with the failed and skipped ones."""
 
     tests: int
-    red: frozenset[str]
+    failed: frozenset[str]
     skipped: int = 0
 
 
-def main(words: Sequence[str]) -> int:
-    """Run the named checks, all if none is named; return the exit code."""
-    chosen = words or ('style', *_SUITES)
-    style = run_style() if 'style' in chosen else 0
-    suites = [name for name in _SUITES if name in chosen]
+def main(check_names: Sequence[str]) -> int:
+    """Run the named checks, or all by default; return the exit code."""
+    selected = check_names or ('style', *_TEST_SUITES)
+    style = run_style() if 'style' in selected else 0
+    suites = [name for name in _TEST_SUITES if name in selected]
     failed = run_suites(suites) if suites else 0
     return int(bool(style or failed))
 
 
 def run_style() -> int:
-    """Run formatter check, linter and type checker; return the failures."""
+    """Run the style commands; return the number that failed."""
     failures = 0
-    for command in _STYLE:
-        _say(' '.join(command))
+    for command in _STYLE_COMMANDS:
+        _print_line(' '.join(command))
         failures += bool(
             subprocess.run(
                 [sys.executable, '-m', *command],
@@ -65,24 +65,28 @@
 
 
 def run_suites(names: Sequence[str]) -> int:
-    """Run test suites in a few processes; return unexpected failures."""
+    """Run test suites in parallel; return the number of unknown failures."""
     units = sorted(itertools.chain.from_iterable(map(test_units, names)))
     with ThreadPoolExecutor(_WORKERS) as pool:
-        outcomes = list(pool.map(run_unit, units))
-    return _judge(outcomes)
+        outcomes = list(pool.map(run_test_unit, units))
+    return _summarize(outcomes)
 
 
 def test_units(suite: str) -> set[str]:
-    """Return what can run by itself: classes that share a fixture whole."""
+    """Return the names of the parts of a suite that can run independently.
+
+    A functional test runs alone, unless its class has a class-level fixture:
+    then the class is run as a whole. Other suites are split by module.
+    """
     found = unittest.defaultTestLoader.discover(
         str(_ROOT / 'tests' / suite),
         top_level_dir=str(_ROOT),
     )
-    return {_unit_of(test) for test in _flatten(found)}
+    return {_unit_name(test) for test in _iterate_tests(found)}
 
 
-def run_unit(unit: str) -> UnitOutcome:
-    """Run one unit in a process of its own and print what it printed."""
+def run_test_unit(unit: str) -> UnitOutcome:
+    """Run one test unit in a separate process and print its output."""
     run = subprocess.run(
         [sys.executable, '-m', 'unittest', '--verbose', unit],
         cwd=_ROOT,
@@ -90,65 +94,68 @@
         check=False,
         text=True,
     )
-    _say(f'{unit}:\n{run.stderr}')
-    counted = _RAN.search(run.stderr)
-    tests = int(counted.group(1)) if counted else 0
-    red = {name for _word, name in _RED.findall(run.stderr)}
-    if run.returncode and not red:
-        red = {unit}
-    skipped = sum(map(int, _SKIPPED.findall(run.stderr)))
-    return UnitOutcome(max(tests, len(red)), frozenset(red), skipped)
+    _print_line(f'{unit}:\n{run.stderr}')
+    match = _TESTS_RUN.search(run.stderr)
+    tests = int(match.group(1)) if match else 0
+    failed = {name for _kind, name in _FAILED_TEST.findall(run.stderr)}
+    if run.returncode and not failed:
+        failed = {unit}
+    skipped = sum(map(int, _TESTS_SKIPPED.findall(run.stderr)))
+    return UnitOutcome(max(tests, len(failed)), frozenset(failed), skipped)
 
 
-def _flatten(suite: unittest.TestSuite) -> Iterator[unittest.TestCase]:
+def _iterate_tests(suite: unittest.TestSuite) -> Iterator[unittest.TestCase]:
     for test in suite:
         if isinstance(test, unittest.TestSuite):
-            yield from _flatten(test)
+            yield from _iterate_tests(test)
         else:
             yield test
 
 
-def _unit_of(test: unittest.TestCase) -> str:
-    kind = type(test)
-    if not kind.__module__.startswith('tests.functional'):
-        return kind.__module__
-    if 'setUpClass' in kind.__dict__:
-        return f'{kind.__module__}.{kind.__qualname__}'
+def _unit_name(test: unittest.TestCase) -> str:
+    test_class = type(test)
+    if not test_class.__module__.startswith('tests.functional'):
+        return test_class.__module__
+    if 'setUpClass' in test_class.__dict__:
+        return f'{test_class.__module__}.{test_class.__qualname__}'
     return test.id()
 
 
-def _judge(outcomes: Sequence[UnitOutcome]) -> int:
-    red = frozenset(
-        itertools.chain.from_iterable(outcome.red for outcome in outcomes),
+def _summarize(outcomes: Sequence[UnitOutcome]) -> int:
+    all_failed = frozenset(
+        itertools.chain.from_iterable(outcome.failed for outcome in outcomes),
     )
-    excused = known_red().keys() & red
-    for name in sorted(red):
-        _say(f'red: {known_red().get(name, name)}')
-    failed = len(red) - len(excused)
+    known = known_failures().keys() & all_failed
+    for name in sorted(all_failed):
+        _print_line(f'red: {known_failures().get(name, name)}')
+    unknown = len(all_failed) - len(known)
     ran = sum(outcome.tests for outcome in outcomes)
     skipped = sum(outcome.skipped for outcome in outcomes)
-    passed = ran - len(red) - skipped
-    _say(
-        f'{passed} passed, {failed} failed, {skipped + len(excused)} skipped',
+    passed = ran - len(all_failed) - skipped
+    _print_line(
+        f'{passed} passed, {unknown} failed, {skipped + len(known)} skipped',
     )
-    return failed
+    return unknown
 
 
-def known_red() -> dict[str, str]:
-    """Return the tests that may fail for a fault that stands in a list."""
-    if not _KNOWN_RED.exists():
+def known_failures() -> dict[str, str]:
+    """Return the lines of the known-failures file by test name."""
+    if not _KNOWN_FAILURES_FILE.exists():
         return {}
     lines = [
         line
-        for line in _KNOWN_RED.read_text('utf-8').splitlines()
+        for line in _KNOWN_FAILURES_FILE.read_text('utf-8').splitlines()
         if line and not line.startswith('#')
     ]
-    if len(lines) > _MAX_KNOWN_RED:
-        sys.exit(f'{_KNOWN_RED.name} may hold {_MAX_KNOWN_RED} lines')
+    if len(lines) > _MAX_KNOWN_FAILURES:
+        sys.exit(
+            f'{_KNOWN_FAILURES_FILE.name} must not list more than '
+            f'{_MAX_KNOWN_FAILURES} tests',
+        )
     return {line.split(',')[0].strip(): line for line in lines}
 
 
-def _say(text: str) -> None:
+def _print_line(text: str) -> None:
     sys.stdout.write(f'{text}\n')
     sys.stdout.flush()
 
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -1,9 +1,9 @@
-"""Switch guards off, one at a time, and see that their proofs then fail.
+"""Disable safeguards one at a time and check that a test then fails.
 
 Usage: python -m tools.mutations [NAME ...]
 
 Each mutation edits a scratch copy of the sources and runs the named tests
-against it. A mutation that no test notices is a proof that proves nothing.
+against it. A mutation that passes means that no test covers the safeguard.
 """
 
 import os
@@ -17,37 +17,37 @@
 import attrs
 
 _ROOT = Path(__file__).parent.parent
-_COPIED = ('src', 'tests', 'tools', 'examples')
-_LAST_LINES = 3
-# An error is no proof: the test itself must say that a promise was broken.
-_FAILED = '\nFAIL: '
+_COPIED_FOLDERS = ('src', 'tests', 'tools', 'examples')
+_OUTPUT_LINES = 3
+# Only a failed assertion counts: an error does not show a broken guarantee.
+_FAILURE_PREFIX = '\nFAIL: '
 
 
 @attrs.frozen
 class Mutation:
-    """One guard, how it is switched off, and the test that must notice."""
+    """An edit that disables a safeguard, and the test that must then fail."""
 
     name: str
     file: str
-    guard: str
-    without: str
+    original: str
+    replacement: str
     test: str
 
 
-_DRAWN_FAULTS = (
+_RANDOM_FAULTS = (
     'tests.unit.test_grouping_faults.GroupingFaultsTest'
     '.test_no_overlap_and_no_partial_replica'
 )
 _SURPLUS_RESPONSES = 'tests.unit.test_surplus_responses.SurplusResponseTest'
 _LIMIT_SHARES = 'tests.unit.test_limit_shares'
-_RESTORED = 'tests.platform.test_restored_store.RestoredStoreTest'
+_RESTORED_STORE = 'tests.platform.test_restored_store.RestoredStoreTest'
 _RESTORED_RECORDS = 'tests.unit.test_restored_records.RestoredRecordsTest'
-_VERSIONS = 'tests.platform.test_row_versions.RowVersionsTest'
+_ROW_VERSIONS = 'tests.platform.test_row_versions.RowVersionsTest'
 _BUFFERED_RESPONSES = 'tests.unit.test_forwarding.BufferedResponseTest'
 
 MUTATIONS = (
     Mutation(
-        'claims-not-made',
+        'requests-not-claimed',
         'client_api/_gateway.py',
         'if call.repeatable or not call.idempotency_key:',
         'if call:',
@@ -55,7 +55,7 @@
         '.test_copies_at_two_nodes_at_one_moment',
     ),
     Mutation(
-        'claims-taken-over',
+        'claims-of-others-overwritten',
         'claims/_claims.py',
         'case ClaimState.NOT_RUN:',
         'case ClaimState.NOT_RUN | ClaimState.CLAIMED:',
@@ -71,7 +71,7 @@
         '.test_lost_answer_of_the_service',
     ),
     Mutation(
-        'part-of-the-members-is-enough',
+        'incomplete-replicas-used',
         'targets/_complete_replicas.py',
         'ready == set(members)',
         'members[0] in ready',
@@ -79,35 +79,35 @@
         '.test_platform_away_while_a_member_dies',
     ),
     Mutation(
-        'lease-taken-without-waiting',
+        'lease-taken-before-expiry',
         'leases/_lease.py',
         'return self._clock() - self._last_row_at > wait',
         'return True',
         'tests.unit.test_lease',
     ),
     Mutation(
-        'ex-probers-still-speak',
+        'reports-of-former-probers-kept',
         'targets/_observations.py',
         'self._observations.pop(node_id, None)',
         'self._observations.get(node_id)',
         'tests.unit.test_replica_reports',
     ),
     Mutation(
-        'older-versions-are-taken',
+        'older-config-versions-applied',
         'rollout/_active_config.py',
         'release.version <= self._release.version',
         'release == self._release',
         'tests.unit.test_rollout',
     ),
     Mutation(
-        'checksums-are-not-compared',
+        'config-checksums-not-compared',
         'rollout/_active_config.py',
         'hashlib.sha256(encoded).hexdigest() != release.sha256',
         'not encoded',
         'tests.unit.test_rollout',
     ),
     Mutation(
-        'leaving-is-not-heeded',
+        'draining-status-ignored',
         'targets/_complete_replicas.py',
         'and not report.draining',
         '',
@@ -115,14 +115,14 @@
         '.test_engine_says_that_it_leaves',
     ),
     Mutation(
-        'crossed-answers-are-taken',
+        'engine-responses-to-other-requests-accepted',
         'targets/_engine.py',
         "if head.headers.get('x-request-id') != call.request_id:",
         'if not head:',
         'tests.functional.test_crossed',
     ),
     Mutation(
-        'a-node-stops-at-once',
+        'node-stops-without-draining',
         'node/_node.py',
         'while self._admission.in_progress and',
         'while False and',
@@ -130,24 +130,24 @@
         '.test_rolling_restart_of_all_nodes',
     ),
     Mutation(
-        'members-freed-at-once',
+        'members-released-before-teardown',
         'grouping/_teardown.py',
         """        if self._fleet.instance_list.has_ended(self.record.incarnations[0]):
             return 'the head has restarted'
         if self._member""",
         """        return 'at once'
         if self._member""",
-        _DRAWN_FAULTS,
+        _RANDOM_FAULTS,
     ),
     Mutation(
-        'members-not-waited-for',
+        'members-in-use-not-awaited',
         'grouping/_formation.py',
         'and not self._belongs_to_other_replica(name)',
         'and bool(name)',
-        _DRAWN_FAULTS,
+        _RANDOM_FAULTS,
     ),
     Mutation(
-        'heads-opened-before-all-are-ready',
+        'replica-opened-before-all-members-ready',
         'grouping/_formation.py',
         'return all(self._phase(name) in phases',
         'return any(self._phase(name) in phases',
@@ -155,35 +155,35 @@
         '.test_no_head_opens_before_all_are_ready',
     ),
     Mutation(
-        'unknown-outcomes-are-sent-again',
+        'requests-with-unknown-outcome-retried',
         'forwarding/_attempts.py',
         'if not call.may_repeat and self._may_have_run:',
         'if call is None:',
         f'{_BUFFERED_RESPONSES}.test_unknown_outcome_is_not_repeated',
     ),
     Mutation(
-        'foreign-answers-are-taken',
+        'responses-to-other-requests-accepted',
         'forwarding/_own_response.py',
         'if answered_id == self._call.request_id:',
         'if head:',
         f'{_BUFFERED_RESPONSES}.test_response_of_another_request_is_discarded',
     ),
     Mutation(
-        'unnamed-answers-are-taken',
+        'responses-without-request-id-accepted',
         'forwarding/_own_response.py',
         'if answered_id == self._call.request_id:',
         'if not answered_id or answered_id == self._call.request_id:',
         f'{_SURPLUS_RESPONSES}.test_surplus_responses_reach_no_caller',
     ),
     Mutation(
-        'parts-of-bodies-are-forgotten',
+        'partial-body-discarded',
         'http/_client.py',
         'while chunk := await self.read_chunk():',
         'self._body.clear()\n        while chunk := await self.read_chunk():',
         f'{_SURPLUS_RESPONSES}.test_response_received_in_parts',
     ),
     Mutation(
-        'uneven-connections-are-kept',
+        'desynchronized-connections-reused',
         'http/_client.py',
         '            and is_response_read\n'
         '            and not self.has_surplus_data\n',
@@ -191,7 +191,7 @@
         f'{_SURPLUS_RESPONSES}.test_desynchronized_connection_is_closed',
     ),
     Mutation(
-        'doubted-targets-get-calls-on-kept-connections',
+        'kept-connections-to-unreliable-targets-reused',
         'forwarding/_connections.py',
         """must_open = require_new or (
             require_recent and self._is_unreliable(instance)
@@ -200,14 +200,14 @@
         f'{_SURPLUS_RESPONSES}.test_truncated_surplus_response_costs_one_call',
     ),
     Mutation(
-        'unsigned-answers-are-taken',
+        'unsigned-responses-accepted',
         'forwarding/_sender.py',
         'if head.is_success and not facts.is_genuine:',
         'if head is None:',
         f'{_BUFFERED_RESPONSES}.test_unsigned_response_is_rejected',
     ),
     Mutation(
-        'half-events-are-passed-on',
+        'incomplete-events-forwarded',
         'forwarding/_sse.py',
         'self._partial = buffered[complete_end:]\n'
         '        complete = buffered[:complete_end]',
@@ -215,7 +215,7 @@
         'tests.unit.test_forwarding.StreamTest.test_resumes_between_complete_events',
     ),
     Mutation(
-        'requests-are-never-held',
+        'crashing-requests-not-held',
         'quarantine/_cases.py',
         'begun >= _HOLD_BEGUN_THRESHOLD\n'
         '            or len(unexplained) >= _HOLD_THRESHOLD',
@@ -223,7 +223,7 @@
         'tests.unit.test_crashing_requests.CrashingRequestTest.test_streams',
     ),
     Mutation(
-        'broken-connections-pass-for-ends',
+        'failed-connections-count-as-termination',
         'quarantine/_probe.py',
         """        except ConnectFailedError:
             return False
@@ -234,14 +234,14 @@
         'tests.unit.test_quarantine.TerminationProbeTest.test_only_a_refused_connection_is_proof',
     ),
     Mutation(
-        'suspensions-are-not-counted',
+        'suspended-time-not-counted',
         'clocks.py',
         'return time.clock_gettime(time.CLOCK_BOOTTIME)',
         'return time.monotonic()',
         'tests.unit.test_suspension.SuspensionTest.test_lease_is_lost_during_suspension',
     ),
     Mutation(
-        'nobody-listens-before-all-is-loaded',
+        'no-listening-before-modules-are-imported',
         'listening.py',
         'if not host or not port.isdecimal():',
         'if True:',
@@ -249,14 +249,14 @@
         '.test_a_connection_made_before_it_is_there',
     ),
     Mutation(
-        'requests-do-not-wait-for-a-start',
+        'requests-not-held-during-startup',
         'forwarding/_startup.py',
         'while not self._is_informed() and self._clock() < wait_until:',
         'while False:',
         'tests.unit.test_startup_gate.StartupGateTest.test_waits_until_informed',
     ),
     Mutation(
-        'entries-that-lapsed-in-an-outage-are-gone',
+        'entries-missing-after-an-outage-dropped',
         'fleet/_instance_list.py',
         'if grace_until and self._is_mass_lapse(gone):',
         'if False:',
@@ -264,7 +264,7 @@
         '.test_many_missing_instances_are_kept_after_an_outage',
     ),
     Mutation(
-        'each-reader-asks-a-store-that-is-away',
+        'every-reader-polls-an-unreachable-store',
         'fleet/_store_reachability.py',
         'if self._probing_reader == reader:',
         'if True:',
@@ -272,7 +272,7 @@
         '.test_one_reader_polls_an_unreachable_store',
     ),
     Mutation(
-        'broken-targets-are-told-to-nobody',
+        'broken-targets-not-reported',
         'routing/_router.py',
         'self._report_broken(incarnation)',
         'return',
@@ -280,7 +280,7 @@
         '.test_a_broken_connection_ejects_at_once',
     ),
     Mutation(
-        'limits-of-targets-are-not-kept',
+        'target-limits-not-enforced',
         'throttling/_throttle.py',
         'return allotment.nodes > 0 and allotment.bucket.has_tokens(\n'
         '            required, now\n'
@@ -289,99 +289,99 @@
         _LIMIT_SHARES,
     ),
     Mutation(
-        'every-node-sends-to-limited-targets',
+        'node-count-of-limited-targets-unbounded',
         'throttling/_throttle.py',
         'max_nodes = self._rule.max_nodes(limit)',
         'max_nodes = len(instance.id) * 100 if instance else 1000',
         _LIMIT_SHARES,
     ),
     Mutation(
-        'who-takes-over-does-not-wait',
+        'limit-handover-without-delay',
         'throttling/_throttle.py',
         'starts_at = now + _HANDOVER_SECONDS',
         'starts_at = now - _HANDOVER_SECONDS',
         _LIMIT_SHARES,
     ),
     Mutation(
-        'late-answers-end-limits',
+        'stale-responses-lift-limits',
         'throttling/_limits.py',
         'sent_at < known.confirmed_at and not',
         'sent_at < 0 and not',
         'tests.unit.test_limit_registry',
     ),
     Mutation(
-        'rests-are-not-kept',
+        'target-backoffs-not-honoured',
         'throttling/_throttle.py',
         'self._backoffs.remaining_seconds(incarnation)\n            or ',
         '',
         'tests.unit.test_target_throttle',
     ),
     Mutation(
-        'words-are-not-looked-at-before-sending',
+        'throttle-not-checked-before-sending',
         'forwarding/_sender.py',
         'if not self.router.throttle.may_send(target.instance.incarnation):',
         'if not target:',
         'tests.unit.test_target_throttle',
     ),
     Mutation(
-        'own-word-of-leaving-is-forgotten',
+        'announced-leaving-overwritten-by-the-list',
         'fleet/_instance_list.py',
         'if entry.leaving or entry.incarnation not in self._leaving:',
         'if entry:',
         'tests.unit.test_announced_leaving.FleetTest',
     ),
     Mutation(
-        'versions-without-era',
+        'row-versions-without-era',
         'platform/_store.py',
         'self.schema_version = version_in(era, self.schema_version)',
         'self.schema_version = version_in(0, self.schema_version)',
-        f'{_VERSIONS}.test_versions_rise_over_a_restore',
+        f'{_ROW_VERSIONS}.test_versions_rise_over_a_restore',
     ),
     Mutation(
-        'conditions-of-an-earlier-era-hold',
+        'conditions-of-an-earlier-era-accepted',
         'platform/_tables.py',
         'if any(era_of(version) != era for version in versions):',
         'if not versions:',
-        f'{_VERSIONS}.test_check_of_an_earlier_era_fails',
+        f'{_ROW_VERSIONS}.test_check_of_an_earlier_era_fails',
     ),
     Mutation(
-        'fences-start-anew',
+        'fencing-tokens-restart-after-restore',
         'leases/_lease.py',
         'fencing = version_in(self._table.era, 1)',
         'fencing = 1',
         'tests.unit.test_lease.LeaseTest.test_a_holder_goes_on_after_a_return',
     ),
     Mutation(
-        'a-copy-is-everything',
+        'restored-snapshot-treated-as-complete',
         'fleet/_source_follower.py',
         'self._apply_restored(items)',
         'self._take(items, True)',
-        f'{_RESTORED}.test_new_target_lost_after_restore',
+        f'{_RESTORED_STORE}.test_new_target_lost_after_restore',
     ),
     Mutation(
-        'what-had-gone-is-not-awaited',
+        'lapsed-entries-accepted-at-once-after-restore',
         'fleet/_instance_list.py',
         'if name not in self.instances\n'
         '            and item.incarnation in self._lapsed_incarnations',
         'if not name',
-        f'{_RESTORED}.test_deleted_target_used_after_restore',
+        f'{_RESTORED_STORE}.test_deleted_target_used_after_restore',
     ),
     Mutation(
-        'records-are-not-written-again',
+        'missing-records-not-rewritten',
         'grouping/_record_store.py',
         'await self._rewrite_missing()',
         'self.records()',
         f'{_RESTORED_RECORDS}.test_missing_records_are_written_again',
     ),
     Mutation(
-        'members-without-a-record-are-free',
+        'members-of-orphaned-replicas-reassigned',
         'grouping/_inventory.py',
         'used.update(self._orphans.members())',
         'used.update(())',
         f'{_RESTORED_RECORDS}.test_an_orphaned_replica_is_adopted',
     ),
     Mutation(
-        'what-is-read-whole-is-not-told',
+        'full-reads-not-shared-with-other-nodes',
         'fleet/_source_follower.py',
         'if earlier >= 0 and self._sharing is not None:',
         'if earlier < 0 and self._sharing is not None:',
@@ -392,17 +392,17 @@
 
 
 def main(names: Sequence[str]) -> int:
-    """Run mutations; return the number that no test noticed."""
-    chosen = [one for one in MUTATIONS if not names or one.name in names]
-    return sum(not _is_noticed(mutation) for mutation in chosen)
+    """Run the named mutations, or all; return the number not detected."""
+    selected = [one for one in MUTATIONS if not names or one.name in names]
+    return sum(not _is_detected(mutation) for mutation in selected)
 
 
-def _is_noticed(mutation: Mutation) -> bool:
-    with tempfile.TemporaryDirectory() as folder:
-        scratch = Path(folder)
-        for part in _COPIED:
-            shutil.copytree(_ROOT / part, scratch / part)
-        _edit(scratch / 'src' / 'cranecart' / mutation.file, mutation)
+def _is_detected(mutation: Mutation) -> bool:
+    with tempfile.TemporaryDirectory() as scratch_folder:
+        scratch = Path(scratch_folder)
+        for folder_name in _COPIED_FOLDERS:
+            shutil.copytree(_ROOT / folder_name, scratch / folder_name)
+        _apply(scratch / 'src' / 'cranecart' / mutation.file, mutation)
         run = subprocess.run(
             [sys.executable, '-m', 'unittest', mutation.test],
             cwd=scratch,
@@ -411,19 +411,24 @@
             check=False,
             text=True,
         )
-    noticed = _FAILED in f'\n{run.stderr}'
-    verdict = 'noticed' if noticed else 'NOT NOTICED'
-    last = ' | '.join(run.stderr.strip().splitlines()[-_LAST_LINES:])
-    sys.stdout.write(f'{mutation.name}: {verdict} ({last})\n')
+    is_detected = _FAILURE_PREFIX in f'\n{run.stderr}'
+    verdict = 'detected' if is_detected else 'NOT DETECTED'
+    last_lines = ' | '.join(run.stderr.strip().splitlines()[-_OUTPUT_LINES:])
+    sys.stdout.write(f'{mutation.name}: {verdict} ({last_lines})\n')
     sys.stdout.flush()
-    return noticed
+    return is_detected
 
 
-def _edit(file: Path, mutation: Mutation) -> None:
+def _apply(file: Path, mutation: Mutation) -> None:
     source = file.read_text('utf-8')
-    if mutation.guard not in source:
-        sys.exit(f'{mutation.name}: the guard is not in {mutation.file}')
-    file.write_text(source.replace(mutation.guard, mutation.without), 'utf-8')
+    if mutation.original not in source:
+        sys.exit(
+            f'{mutation.name}: the source text to replace is not in '
+            f'{mutation.file}',
+        )
+    file.write_text(
+        source.replace(mutation.original, mutation.replacement), 'utf-8'
+    )
 
 
 if __name__ == '__main__':
