--- a/tests/unit/test_announced_leaving.py
+++ b/tests/unit/test_announced_leaving.py
@@ -1,9 +1,9 @@
-"""A target that says in its answers that it leaves gets nothing new.
+"""A target that announces in its responses that it is leaving gets no requests.
 
-Four nodes sent two targets 187 requests later than two seconds after these had said
-so: what a target says of itself was read by nothing, and only the platform's list
-told of leaving targets. The word of a life counts now as its entry does, at once and
-at all nodes: nothing new is sent, and its replica is ended and replaced.
+Four nodes sent two targets 187 requests more than two seconds after they had
+announced this, because only the platform's list was evaluated. An announcement
+has to count like the list entry, at once and at all nodes: no more requests are
+sent, and the replica is shut down and replaced.
 """
 
 import unittest
@@ -20,26 +20,26 @@
 from tests.lib.simulated_cluster import SimulatedCluster
 from tests.lib.throttling_targets import Announcement, ThrottlingDeployment
 
-_LEAVE_AT = 0.5
-# The rule: nothing later than this after a node had such an answer.
+_LEAVING_AT_SECONDS = 0.5
+# No requests are allowed later than this after a node got the announcement.
 _LEAVING_SECONDS = 2.0
-_PLAY_SECONDS = 4.0
-_A_SECOND = 120
+_RUN_SECONDS = 4.0
+_REQUESTS_PER_SECOND = 120
 
 
-def _two_leave(name: str, now: float) -> Announcement:
-    is_leaving = name in {'i0', 'i1'} and now >= _LEAVE_AT
+def _two_leaving(name: str, now: float) -> Announcement:
+    is_leaving = name in {'i0', 'i1'} and now >= _LEAVING_AT_SECONDS
     return Announcement('server-leaving: 1\r\n' if is_leaving else '')
 
 
-class SaidToLeaveTest(unittest.TestCase):
-    """Four nodes before ten targets, 120 requests a second."""
+class AnnouncedLeavingTest(unittest.TestCase):
+    """Four nodes with ten targets at 120 requests per second."""
 
     answers: Sequence[ClientAnswer]
 
     def test_two_of_ten(self) -> None:
-        """The others serve all."""
-        deployment = ThrottlingDeployment(4, 10, _two_leave)
+        """The other targets serve all requests."""
+        deployment = ThrottlingDeployment(4, 10, _two_leaving)
         curio.run(deployment.run, self._ask)
         self.assertEqual(
             deployment.arrivals_after_announcement(_LEAVING_SECONDS), 0
@@ -47,14 +47,14 @@
         self.assertEqual(deployment.not_served(self.answers), [])
 
     async def _ask(self, deployment: ThrottlingDeployment) -> None:
-        self.answers = await deployment.ask(_PLAY_SECONDS, _A_SECOND)
+        self.answers = await deployment.ask(_RUN_SECONDS, _REQUESTS_PER_SECOND)
 
 
-class FleetTest(unittest.TestCase):
-    """What a node knows of an instance that has said that it leaves."""
+class FleetMarkingTest(unittest.TestCase):
+    """The state of a node after an instance announced that it is leaving."""
 
     def setUp(self) -> None:
-        """List a replica of one member."""
+        """List a replica with one member."""
         self.listed = attrs.evolve(
             instance('i0', Address('127.0.0.1', 1), ENGINES),
             born=7,
@@ -66,8 +66,8 @@
         )
         self.fleet.apply_records({record.key: record}, True)
 
-    def test_nothing_new_goes_there(self) -> None:
-        """Nor when its entry says again that it is ready."""
+    def test_no_new_requests(self) -> None:
+        """No requests are sent, even if the entry shows the instance as ready."""
         self.assertEqual(len(self.fleet.heads(ENGINES, MODEL)), 1)
         self.assertTrue(
             mark_leaving(self.fleet, self.listed.incarnation, 'an answer')
@@ -77,8 +77,8 @@
         self.assertEqual(len(self.fleet.heads(ENGINES, MODEL)), 0)
         self.assertTrue(self.fleet.instances['i0'].leaving)
 
-    def test_it_is_news_once(self) -> None:
-        """All its answers say so, and other nodes do."""
+    def test_marked_once(self) -> None:
+        """Repeated announcements are not reported as changes."""
         self.assertTrue(
             mark_leaving(self.fleet, self.listed.incarnation, 'an answer')
         )
@@ -86,37 +86,37 @@
             mark_leaving(self.fleet, self.listed.incarnation, 'n2')
         )
 
-    def test_its_next_life_serves(self) -> None:
-        """What comes back under the same id has not said so."""
+    def test_next_incarnation_serves(self) -> None:
+        """An instance that restarts under the same id is not leaving."""
         mark_leaving(self.fleet, self.listed.incarnation, 'an answer')
-        anew = attrs.evolve(self.listed, born=8)
-        self.fleet.apply_instances({'i0': anew}, False)
+        restarted = attrs.evolve(self.listed, born=8)
+        self.fleet.apply_instances({'i0': restarted}, False)
         self.assertFalse(self.fleet.instances['i0'].leaving)
 
-    def test_known_before_it_is_listed(self) -> None:
-        """The news may come first."""
+    def test_announced_before_it_is_listed(self) -> None:
+        """The announcement may arrive before the list entry."""
         mark_leaving(self.fleet, Incarnation('i1', 3), 'n2')
         later = attrs.evolve(self.listed, id='i1', born=3)
         self.fleet.apply_instances({'i1': later}, False)
         self.assertTrue(self.fleet.instances['i1'].leaving)
 
 
-class TellingTest(unittest.TestCase):
-    """Nodes that tell each other."""
+class PropagationTest(unittest.TestCase):
+    """Nodes that inform each other."""
 
-    def test_all_hear(self) -> None:
-        """In a small deployment and by relays."""
+    def test_all_nodes_are_informed(self) -> None:
+        """All nodes are informed in a small deployment and by relays."""
         for nodes in (4, 78):
             cluster = SimulatedCluster.of(nodes)
             cluster.run(2)
-            teller = cluster.nodes['node-000']
-            teller.mesh.publish(Leaving('node-000', 'i0', 7))
+            sender = cluster.nodes['node-000']
+            sender.mesh.publish(Leaving('node-000', 'i0', 7))
             cluster.deliver()
-            heard = [node for node in cluster.alive if 'i0' in node.leaving]
-            self.assertEqual(len(heard), nodes - 1)
+            informed = [node for node in cluster.alive if 'i0' in node.leaving]
+            self.assertEqual(len(informed), nodes - 1)
 
-    def test_on_the_wire(self) -> None:
-        """It comes as it went."""
+    def test_message_survives_encoding(self) -> None:
+        """A message is equal after encoding and decoding."""
         message = Leaving('n1', 'i0', 7)
         self.assertEqual(
             decode_mesh_message(encode_mesh_message(message)),
--- a/tests/unit/test_claims.py
+++ b/tests/unit/test_claims.py
@@ -22,10 +22,10 @@
     """At most one copy of a call may ever be sent."""
 
     def setUp(self) -> None:
-        """Make two nodes on one table."""
+        """Create two nodes that share one table."""
         self.platform = FakePlatform()
-        self.one = ClaimStore('one', self.platform)  # type: ignore[arg-type]
-        self.two = ClaimStore('two', self.platform)  # type: ignore[arg-type]
+        self.first_node = ClaimStore('one', self.platform)  # type: ignore[arg-type]
+        self.second_node = ClaimStore('two', self.platform)  # type: ignore[arg-type]
 
     @given(
         st.lists(st.booleans(), min_size=1, max_size=12),
@@ -36,51 +36,54 @@
         copies: list[bool],
         faults: list[str],
     ) -> None:
-        """Copies at two nodes, with refused and lost writes, in any order."""
+        """Copies of a call at two nodes, with rejected and lost writes."""
         platform = FakePlatform(faults=iter(faults))
         nodes = [ClaimStore('one', platform), ClaimStore('two', platform)]  # type: ignore[arg-type]
-        held = 0
+        acquired_count = 0
         for copy in copies:
             try:
                 outcome = curio.run(nodes[copy].acquire, non_repeatable_call())
             except RequestError:
                 continue
-            held += isinstance(outcome, AcquiredClaim)
-        self.assertLessEqual(held, 1)
+            acquired_count += isinstance(outcome, AcquiredClaim)
+        self.assertLessEqual(acquired_count, 1)
 
-    def test_a_repeat_hears_the_recorded_answer(self) -> None:
-        """After it was settled, any node replays it."""
-        held = curio.run(self.one.acquire, non_repeatable_call())
-        assert isinstance(held, AcquiredClaim)
-        curio.run(self.one.complete, held, Response(201, {}, b'done'))
-        again = curio.run(self.two.acquire, non_repeatable_call())
-        assert isinstance(again, RecordedResponse)
-        self.assertEqual(again.response.status, 201)
-        self.assertEqual(again.response.body, b'done')
+    def test_repeat_gets_the_recorded_response(self) -> None:
+        """After the claim is completed, any node returns the response."""
+        claim = curio.run(self.first_node.acquire, non_repeatable_call())
+        assert isinstance(claim, AcquiredClaim)
+        curio.run(self.first_node.complete, claim, Response(201, {}, b'done'))
+        repeated = curio.run(self.second_node.acquire, non_repeatable_call())
+        assert isinstance(repeated, RecordedResponse)
+        self.assertEqual(repeated.response.status, 201)
+        self.assertEqual(repeated.response.body, b'done')
 
-    def test_while_it_runs_the_outcome_is_unknown(self) -> None:
-        """A claim of a node that may have died is never taken over."""
-        curio.run(self.one.acquire, non_repeatable_call())
+    def test_outcome_is_unknown_while_the_call_runs(self) -> None:
+        """A claim is never taken over, even if its node may have died."""
+        curio.run(self.first_node.acquire, non_repeatable_call())
         with self.assertRaises(OutcomeUnknownError):
-            curio.run(self.two.acquire, non_repeatable_call())
+            curio.run(self.second_node.acquire, non_repeatable_call())
 
-    def test_a_call_that_did_not_run_may_be_repeated(self) -> None:
-        """Its claim is released, and one copy may be sent again."""
-        held = curio.run(self.one.acquire, non_repeatable_call())
-        assert isinstance(held, AcquiredClaim)
-        curio.run(self.one.release, held)
+    def test_call_that_did_not_run_may_be_repeated(self) -> None:
+        """After the claim is released, one copy may be sent again."""
+        claim = curio.run(self.first_node.acquire, non_repeatable_call())
+        assert isinstance(claim, AcquiredClaim)
+        curio.run(self.first_node.release, claim)
         self.assertIsInstance(
-            curio.run(self.two.acquire, non_repeatable_call()), AcquiredClaim
+            curio.run(self.second_node.acquire, non_repeatable_call()),
+            AcquiredClaim,
         )
 
-    def test_a_key_belongs_to_onenon_repeatable_call(self) -> None:
+    def test_key_belongs_to_one_call(self) -> None:
         """The same key with another body is refused."""
-        curio.run(self.one.acquire, non_repeatable_call())
+        curio.run(self.first_node.acquire, non_repeatable_call())
         with self.assertRaises(KeyReusedError):
-            curio.run(self.two.acquire(non_repeatable_call(b'{"other": 1}')))
+            curio.run(
+                self.second_node.acquire(non_repeatable_call(b'{"other": 1}'))
+            )
 
-    def test_without_the_table_nothing_is_promised(self) -> None:
-        """Whether an earlier copy ran cannot be told."""
+    def test_unreachable_table_is_reported(self) -> None:
+        """It is unknown whether an earlier copy ran."""
         self.platform.down = True
         with self.assertRaises(ClaimUnreadableError):
-            curio.run(self.one.acquire, non_repeatable_call())
+            curio.run(self.first_node.acquire, non_repeatable_call())
--- a/tests/unit/test_lease.py
+++ b/tests/unit/test_lease.py
@@ -1,4 +1,4 @@
-"""Leases under pauses, lost answers and races."""
+"""Leases under pauses, lost responses and races."""
 
 import unittest
 
@@ -12,8 +12,8 @@
 from tests.lib.run import run_now
 
 _NODES = ('a', 'b', 'c')
-_COPY = 'copy'
-_RETURN = 'return'
+_BACKUP = 'backup'
+_RESTORE = 'restore'
 
 
 @attrs.define
@@ -30,7 +30,7 @@
     }
 
 
-def _keep(lease: Lease) -> bool:
+def _try_acquire(lease: Lease) -> bool:
     try:
         return run_now(lease.acquire_or_renew())
     except PlatformError:
@@ -38,7 +38,7 @@
 
 
 class LeaseTest(unittest.TestCase):
-    """At most one node may act for a duty."""
+    """At most one node may perform a duty."""
 
     @given(
         st.lists(
@@ -52,14 +52,14 @@
         steps: list[tuple[str, float]],
         faults: list[str],
     ) -> None:
-        """Whoever wakes late or lost an answer, only one trusts its lease."""
+        """At most one lease is valid, despite pauses and lost responses."""
         platform = FakePlatform(faults=iter(faults))
         clock = _Clock()
         leases = _leases(platform, clock)
         fencings: list[tuple[int, str]] = []
         for name, wait in steps:
             clock.now += wait
-            if _keep(leases[name]):
+            if _try_acquire(leases[name]):
                 fencings.append((leases[name].fencing, name))
             held = [one for one in leases.values() if one.is_held]
             self.assertLessEqual(len(held), 1)
@@ -73,122 +73,124 @@
         st.lists(
             st.one_of(
                 st.tuples(st.sampled_from(_NODES), st.floats(0, 5)),
-                st.sampled_from((_COPY, _RETURN)),
+                st.sampled_from((_BACKUP, _RESTORE)),
             ),
             max_size=60,
         ),
         st.lists(st.sampled_from(FAULTS), max_size=60),
     )
-    def test_never_two_holders_over_returns(
+    def test_never_two_holders_with_restores(
         self,
         steps: list[tuple[str, float] | str],
         faults: list[str],
     ) -> None:
-        """A copy may lack the holder's row, or hold another holder's."""
+        """A restored table may lack the holder's row, or have another holder's."""
         platform = FakePlatform()
         clock = _Clock()
         leases = _leases(platform, clock)
-        copies = [platform.copied()]
-        # Whoever has never seen the row takes one that is missing at once.
+        backups = [platform.copied()]
+        # A node that has never seen the row acquires a missing one at once.
         for lease in leases.values():
-            _keep(lease)
+            _try_acquire(lease)
         platform.faults = iter(faults)
         taken: dict[int, str] = {}
         for step in steps:
             match step:
-                case 'copy':
-                    copies.append(platform.copied())
-                case 'return':
-                    platform.restore(copies[-1])
+                case 'backup':
+                    backups.append(platform.copied())
+                case 'restore':
+                    platform.restore(backups[-1])
                 case name, wait:
                     clock.now += wait
-                    self._keep_rising(leases[name], taken)
+                    self._acquire_with_rising_token(leases[name], taken)
             held = [one for one in leases.values() if one.is_held]
             self.assertLessEqual(len(held), 1)
 
-    def test_a_holder_goes_on_after_a_return(self) -> None:
-        """Nobody waits for a holder that is there."""
+    def test_holder_renews_after_a_restore(self) -> None:
+        """A holder that is running renews its lease without a wait."""
         platform = FakePlatform()
         lease = _leases(platform, _Clock())['a']
-        earlier = platform.copied()
-        _keep(lease)
-        platform.restore(earlier)
+        backup = platform.copied()
+        _try_acquire(lease)
+        platform.restore(backup)
         before = lease.fencing
-        self.assertTrue(_keep(lease))
+        self.assertTrue(_try_acquire(lease))
         self.assertGreater(lease.fencing, before)
         self.assertEqual(lease.check().version, platform.version)
 
-    def test_a_holder_yields_to_one_of_after_a_return(self) -> None:
-        """Whose fencing number is of the new era took it since."""
+    def test_holder_yields_to_one_of_the_new_era(self) -> None:
+        """A fencing token of the new era shows that another node acquired it."""
         platform = FakePlatform()
         clock = _Clock()
         leases = _leases(platform, clock)
-        _keep(leases['a'])
+        _try_acquire(leases['a'])
         platform.restore((0, {}))
-        _keep(leases['b'])
+        _try_acquire(leases['b'])
         self.assertTrue(leases['b'].is_held)
-        self.assertFalse(_keep(leases['a']))
+        self.assertFalse(_try_acquire(leases['a']))
 
-    def test_a_paused_holder_knows_that_it_lost(self) -> None:
-        """The check that ties transactions to the lease raises."""
+    def test_paused_holder_detects_the_loss(self) -> None:
+        """The check that makes transactions depend on the lease raises."""
         clock = _Clock()
         lease = _leases(FakePlatform(), clock)['a']
-        self.assertTrue(_keep(lease))
+        self.assertTrue(_try_acquire(lease))
         lease.check()
         clock.now += 7
         with self.assertRaises(LeaseLostError):
             lease.check()
 
-    def test_a_woken_holder_cannot_write(self) -> None:
-        """Even with its clock unread, its check no longer holds."""
+    def test_resumed_holder_cannot_write(self) -> None:
+        """Its check fails even if it does not look at its clock."""
         clock = _Clock()
         platform = FakePlatform()
         leases = _leases(platform, clock)
-        _keep(leases['a'])
+        _try_acquire(leases['a'])
         old_check = leases['a'].check()
-        _keep(leases['b'])
+        _try_acquire(leases['b'])
         clock.now += 9
-        self.assertTrue(_keep(leases['b']))
+        self.assertTrue(_try_acquire(leases['b']))
         self.assertNotEqual(
             platform.rows[old_check.key].version,
             old_check.version,
         )
         self.assertGreater(leases['b'].fencing, leases['a'].fencing)
 
-    def test_who_may_be_cut_off_is_patient(self) -> None:
-        """Two that did not hear each other took the duty by turns.
+    def test_isolated_node_waits_longer(self) -> None:
+        """Two nodes partitioned from each other acquired the lease by turns.
 
-        The holder shows it every 2 s; one that hears nobody beside it waits
-        for longer, and everybody else for 1.2 s, as a dead holder's replicas
-        are repaired by nobody.
+        The holder renews it every 2 s. A node that reaches no peers has to
+        wait for longer. All others wait for 1.2 s, because the replicas of a
+        dead holder are not repaired meanwhile.
         """
         clock = _Clock()
         platform = FakePlatform()
         times = LeaseTimeouts(6, 1.2, 4)
-        holder, cut, other = (
+        holder, isolated, other = (
             Lease('placer/x', name, platform, times, clock) for name in _NODES
         )
         run_now(holder.acquire_or_renew())
         for _renewal in range(3):
-            run_now(cut.acquire_or_renew(may_be_isolated=True))
+            run_now(isolated.acquire_or_renew(may_be_isolated=True))
             clock.now += 2
             self.assertFalse(
-                run_now(cut.acquire_or_renew(may_be_isolated=True))
+                run_now(isolated.acquire_or_renew(may_be_isolated=True))
             )
             run_now(holder.acquire_or_renew())
         run_now(other.acquire_or_renew())
         clock.now += 1.3
         self.assertTrue(run_now(other.acquire_or_renew()))
 
-    def test_handing_over_needs_no_wait(self) -> None:
-        """The next node takes a lease that was given up at once."""
+    def test_released_lease_needs_no_wait(self) -> None:
+        """The next node acquires a released lease at once."""
         leases = _leases(FakePlatform(), _Clock())
-        _keep(leases['a'])
+        _try_acquire(leases['a'])
         run_now(leases['a'].release())
-        self.assertTrue(_keep(leases['b']))
+        self.assertTrue(_try_acquire(leases['b']))
 
-    def _keep_rising(self, lease: Lease, taken: dict[int, str]) -> None:
-        if not _keep(lease):
+    def _acquire_with_rising_token(
+        self, lease: Lease, taken: dict[int, str]
+    ) -> None:
+        if not _try_acquire(lease):
             return
         self.assertGreaterEqual(lease.fencing, max(taken, default=0))
         holder = taken.setdefault(lease.fencing, lease.node_id)
--- a/tests/unit/test_leaving_targets.py
+++ b/tests/unit/test_leaving_targets.py
@@ -1,4 +1,4 @@
-"""What a node knows to be leaving gets nothing, whatever the store does."""
+"""Instances known to be leaving get no requests, whatever the store does."""
 
 import random
 import unittest
@@ -14,10 +14,10 @@
 from tests.lib.fake_targets import CONFIG, ENGINES, MODEL, PLAIN, GatewayTestbed
 from tests.lib.waiting import until
 
-_CHOICES = 40
-_LOOKS = 3
-_FIRST = 10
-_LEFT_AT = 12
+_CHOICE_COUNT = 40
+_READ_COUNT = 3
+_FIRST_VERSION = 10
+_LEAVING_VERSION = 12
 
 
 async def _unused(_exchange: object) -> None:
@@ -26,10 +26,10 @@
 
 @attrs.define
 class ListSource:
-    """The list, as a store tells it that works, fails, or has gone back."""
+    """An instance list whose store works, fails or returns outdated versions."""
 
     items: dict[str, ListedInstance]
-    version: int = _FIRST
+    version: int = _FIRST_VERSION
     changed: dict[str, ListedInstance | None] = attrs.field(factory=dict)
     is_down: bool = False
     history_lost: bool = False
@@ -38,7 +38,7 @@
 
     async def snapshot(self) -> Snapshot[ListedInstance]:
         """Read everything."""
-        self._answer()
+        self._record_call()
         return Snapshot(self.version, dict(self.items))
 
     async def changes(
@@ -46,30 +46,30 @@
         since: int,
         wait_seconds: float,
     ) -> Changes[ListedInstance]:
-        """Return the changes that a test has set, if they are news."""
-        self._answer()
+        """Return the changes that a test has set, if they are new."""
+        self._record_call()
         await curio.sleep(0.01)
         if self.history_lost:
             raise HistoryLostError('gone')
-        is_news = since < _LEFT_AT or self.repeats
+        is_news = since < _LEAVING_VERSION or self.repeats
         return Changes(self.version, self.changed if is_news else {})
 
     async def next_call(self) -> None:
-        """Wait until it was asked once more."""
+        """Wait until the source is read once more."""
         calls = self.calls
         await until(lambda: self.calls > calls)
 
-    def _answer(self) -> None:
+    def _record_call(self) -> None:
         self.calls += 1
         if self.is_down:
             raise PlatformUnavailableError('down')
 
 
-class Listening:
-    """One node's knowledge of two targets, the second of which leaves."""
+class ListFollowingNode:
+    """One node that knows two targets, of which the second is leaving."""
 
     def __init__(self, service: str) -> None:
-        """Build everything; nothing is read until ``start``."""
+        """Create the node; nothing is read until ``start``."""
         testbed = GatewayTestbed(_unused, _unused, service=service)
         self.service = service
         self.fleet = testbed.fleet
@@ -89,19 +89,21 @@
         await until(lambda: self.follower.is_informed)
         return running
 
-    async def learn(self, entry: ListedInstance | None) -> None:
-        """Have the store tell of the second target's end."""
+    async def receive(self, entry: ListedInstance | None) -> None:
+        """Change or remove the entry of the second target."""
         self.source.changed = {'i1': entry}
-        self.source.version = _LEFT_AT
-        await until(lambda: self.follower.last_change_version == _LEFT_AT)
+        self.source.version = _LEAVING_VERSION
+        await until(
+            lambda: self.follower.last_change_version == _LEAVING_VERSION
+        )
 
     @property
     def leaving(self) -> ListedInstance:
-        """Return the second target as it says that it leaves."""
+        """Return the entry of the second target, marked as leaving."""
         return attrs.evolve(self.before['i1'], leaving=True)
 
     def chosen(self) -> set[str]:
-        """Return where requests go now."""
+        """Return the instances that requests are sent to now."""
         route = next(
             one
             for one in CONFIG.routes
@@ -109,105 +111,111 @@
         )
         model = MODEL if self.service == ENGINES else ''
         wanted = RoutingRequest(CONFIG, route, self.service, model, 100, 2)
-        return {self.router.choose(wanted).instance.id for _ in range(_CHOICES)}
+        return {
+            self.router.choose(wanted).instance.id for _ in range(_CHOICE_COUNT)
+        }
 
 
 class LeavingTest(unittest.TestCase):
-    """For replicas and for plain instances alike."""
+    """Leaving instances of replicas and of plain services."""
 
-    def test_before(self) -> None:
-        """Both get requests as long as none leaves."""
+    def test_none_leaving(self) -> None:
+        """Both get requests as long as neither is leaving."""
         for service in (PLAIN, ENGINES):
-            self.assertEqual(Listening(service).chosen(), {'i0', 'i1'})
+            self.assertEqual(ListFollowingNode(service).chosen(), {'i0', 'i1'})
 
-    def test_the_store_is_down(self) -> None:
-        """What was read before holds on."""
-        self._play(_lose_the_store)
+    def test_store_outage(self) -> None:
+        """What was read before the outage stays in effect."""
+        self._run(_take_store_down)
 
-    def test_the_entry_goes_while_the_store_is_down(self) -> None:
-        """Another node may have read that; it binds this one too."""
-        self._play(_hear_that_it_went)
+    def test_entry_removed_during_an_outage(self) -> None:
+        """An update of another node that removes the entry is applied."""
+        self._run(_apply_removal)
 
-    def test_late_news_of_another_node(self) -> None:
-        """What another node read earlier does not bring it back."""
-        self._play(_hear_of_the_past)
+    def test_outdated_update_of_another_node(self) -> None:
+        """An outdated update of another node is ignored."""
+        self._run(_apply_outdated_updates)
 
-    def test_a_store_that_answers_with_the_past(self) -> None:
-        """Neither changes nor the whole list go back."""
-        self._play(_go_back)
+    def test_store_returns_an_outdated_list(self) -> None:
+        """Neither changes nor a complete list of an older version are applied."""
+        self._run(_return_outdated_list)
 
-    def test_changes_that_come_late(self) -> None:
-        """An answer from before what is known changes nothing."""
-        self._play(_answer_late)
+    def test_store_returns_outdated_changes(self) -> None:
+        """Changes of an older version than the known one are ignored."""
+        self._run(_return_outdated_changes)
 
-    def test_the_list_is_read_anew(self) -> None:
-        """After the history was lost, what the list says holds."""
-        self._play(_lose_the_history)
+    def test_list_read_after_lost_history(self) -> None:
+        """After the history was lost, the complete list is applied."""
+        self._run(_lose_history)
 
-    def test_its_entry_has_gone(self) -> None:
-        """One that leaves without a word is known by that alone."""
-        self._play(_lose_the_store, is_listed=False)
+    def test_entry_removed_before_an_outage(self) -> None:
+        """An instance whose entry is removed counts as leaving."""
+        self._run(_take_store_down, is_listed=False)
 
-    def _play(
+    def _run(
         self,
-        act: Callable[[Listening], object],
+        disturb: Callable[[ListFollowingNode], object],
         *,
         is_listed: bool = True,
     ) -> None:
         for service in (PLAIN, ENGINES):
             with self.subTest(service):
-                curio.run(self._leave, Listening(service), act, is_listed)
+                curio.run(
+                    self._leave, ListFollowingNode(service), disturb, is_listed
+                )
 
     async def _leave(
         self,
-        node: Listening,
-        act: Callable[[Listening], object],
+        node: ListFollowingNode,
+        disturb: Callable[[ListFollowingNode], object],
         is_listed: bool,
     ) -> None:
         running = await node.start()
-        await node.learn(node.leaving if is_listed else None)
+        await node.receive(node.leaving if is_listed else None)
         self.assertEqual(node.chosen(), {'i0'})
-        act(node)
-        for _look in range(_LOOKS):
+        disturb(node)
+        for _read in range(_READ_COUNT):
             await node.source.next_call()
             self.assertEqual(node.chosen(), {'i0'})
         await running.cancel()
 
 
-def _lose_the_store(node: Listening) -> None:
+def _take_store_down(node: ListFollowingNode) -> None:
     node.source.is_down = True
 
 
-def _hear_that_it_went(node: Listening) -> None:
+def _apply_removal(node: ListFollowingNode) -> None:
     node.source.is_down = True
     node.follower.apply_update(
-        SourceUpdate(_LEFT_AT, _LEFT_AT + 1, {'i1': None})
+        SourceUpdate(_LEAVING_VERSION, _LEAVING_VERSION + 1, {'i1': None})
     )
 
 
-def _hear_of_the_past(node: Listening) -> None:
+def _apply_outdated_updates(node: ListFollowingNode) -> None:
     node.source.is_down = True
-    node.follower.apply_update(SourceUpdate(_FIRST, _LEFT_AT - 1, node.before))
     node.follower.apply_update(
-        SourceUpdate(_LEFT_AT + 1, _LEFT_AT + 2, node.before)
+        SourceUpdate(_FIRST_VERSION, _LEAVING_VERSION - 1, node.before)
+    )
+    node.follower.apply_update(
+        SourceUpdate(_LEAVING_VERSION + 1, _LEAVING_VERSION + 2, node.before)
     )
 
 
-def _go_back(node: Listening) -> None:
-    node.source.version = _LEFT_AT - 1
+def _return_outdated_list(node: ListFollowingNode) -> None:
+    node.source.version = _LEAVING_VERSION - 1
     node.source.changed = _as_changes(node.before)
     node.source.history_lost = True
 
 
-def _answer_late(node: Listening) -> None:
-    node.source.version = _LEFT_AT - 1
+def _return_outdated_changes(node: ListFollowingNode) -> None:
+    node.source.version = _LEAVING_VERSION - 1
     node.source.changed = _as_changes(node.before)
     node.source.repeats = True
 
 
-def _lose_the_history(node: Listening) -> None:
+def _lose_history(node: ListFollowingNode) -> None:
     node.source.items['i1'] = node.leaving
-    node.source.version = _LEFT_AT + 5
+    node.source.version = _LEAVING_VERSION + 5
     node.source.history_lost = True
 
 
--- a/tests/unit/test_sweeper.py
+++ b/tests/unit/test_sweeper.py
@@ -1,4 +1,4 @@
-"""Old claims are deleted, newer ones never."""
+"""Claims are deleted after the retention period, and not before."""
 
 import time
 import unittest
@@ -23,10 +23,10 @@
 
 
 class SweeperTest(unittest.TestCase):
-    """One node makes and settles a claim, and sweeps."""
+    """One node acquires and completes a claim, and sweeps."""
 
     def setUp(self) -> None:
-        """Make the claim, and a sweeper whose clock can be turned."""
+        """Complete a claim, and create a sweeper with a simulated clock."""
         self.platform = FakePlatform()
         self.now = time.time()
         self.claims = ClaimStore('n', self.platform)  # type: ignore[arg-type]
@@ -37,19 +37,19 @@
             self.platform,  # type: ignore[arg-type]
             lambda: self.now,
         )
-        held = curio.run(self.claims.acquire, _CALL)
-        assert isinstance(held, AcquiredClaim)
-        curio.run(self.claims.complete, held, Response(200, {}, b'done'))
+        claim = curio.run(self.claims.acquire, _CALL)
+        assert isinstance(claim, AcquiredClaim)
+        curio.run(self.claims.complete, claim, Response(200, {}, b'done'))
 
-    def test_young_claims_stay(self) -> None:
-        """For a day a repeat hears the recorded answer."""
+    def test_recent_claims_are_kept(self) -> None:
+        """A repeated call gets the recorded response for a day."""
         self.now += _DAY - 120
         self._sweep()
-        again = curio.run(self.claims.acquire, _CALL)
-        self.assertIsInstance(again, RecordedResponse)
+        repeated = curio.run(self.claims.acquire, _CALL)
+        self.assertIsInstance(repeated, RecordedResponse)
 
-    def test_old_claims_go(self) -> None:
-        """After it nothing of them is left."""
+    def test_expired_claims_are_deleted(self) -> None:
+        """After a day the claims are deleted."""
         self.now += _DAY + 180
         self._sweep()
         left = [key for key in self.platform.rows if key.startswith('claim/')]
@@ -58,8 +58,8 @@
             curio.run(self.claims.acquire, _CALL), AcquiredClaim
         )
 
-    def test_claims_made_anew_stay(self) -> None:
-        """An old index row does not delete a claim that is younger."""
+    def test_claims_acquired_again_are_kept(self) -> None:
+        """An old index row does not delete a newer claim."""
         key = next(key for key in self.platform.rows if 'claim/o' in key)
         self.now += _DAY + 180
         row = self.platform.rows[key]
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -328,7 +328,7 @@
         'fleet/_instance_list.py',
         'if entry.leaving or entry.incarnation not in self._leaving:',
         'if entry:',
-        'tests.unit.test_announced_leaving.FleetTest',
+        'tests.unit.test_announced_leaving.FleetMarkingTest',
     ),
     Mutation(
         'row-versions-without-era',
@@ -349,7 +349,7 @@
         'leases/_lease.py',
         'fencing = version_in(self._table.era, 1)',
         'fencing = 1',
-        'tests.unit.test_lease.LeaseTest.test_a_holder_goes_on_after_a_return',
+        'tests.unit.test_lease.LeaseTest.test_holder_renews_after_a_restore',
     ),
     Mutation(
         'restored-snapshot-treated-as-complete',
