--- a/src/cranecart/cli/_standin.py
+++ b/src/cranecart/cli/_standin.py
@@ -17,10 +17,10 @@
 from cranecart.standins import (
     EngineOptions,
     EngineStandin,
+    EventRecord,
     FaultProxy,
     PlatformOptions,
     PlatformStandin,
-    Record,
     ServiceOptions,
     ServiceStandin,
 )
@@ -97,7 +97,7 @@
         load_ms=flag_values.load_ms,
         parallel_loads=flag_values.parallel_loads,
     )
-    record = Record.from_path('platform', flag_values.record)
+    record = EventRecord.from_path('platform', flag_values.record)
     return PlatformStandin(address, options, record).run
 
 
@@ -113,14 +113,14 @@
         checks_members=flag_values.checks_members,
         report_lag_ms=flag_values.report_lag_ms,
     )
-    record = Record.from_path(flag_values.instance, flag_values.record)
+    record = EventRecord.from_path(flag_values.instance, flag_values.record)
     engine = EngineStandin(address, options, record)
     return _Listed(flag_values, address, engine.run, 'engine').run
 
 
 def _service(flag_values: flags.FlagValues, address: Address) -> _Runner:
     options = ServiceOptions(flag_values.instance, flag_values.delay_ms)
-    record = Record.from_path(flag_values.instance, flag_values.record)
+    record = EventRecord.from_path(flag_values.instance, flag_values.record)
     service = ServiceStandin(address, options, record)
     return _Listed(flag_values, address, service.run, 'service').run
 
--- a/src/cranecart/standins/__init__.py
+++ b/src/cranecart/standins/__init__.py
@@ -1,10 +1,10 @@
-"""Small stand-ins for the systems that cranecart meets, with faults."""
+"""Stand-ins for the systems that cranecart works with, with fault injection."""
 
 from cranecart.standins._engine import EngineStandin
 from cranecart.standins._engine_options import EngineOptions
 from cranecart.standins._platform import PlatformOptions, PlatformStandin
 from cranecart.standins._proxy import FaultProxy, LinkFaults
-from cranecart.standins._record import Record, read_record
+from cranecart.standins._record import EventRecord, read_record
 from cranecart.standins._service import ServiceOptions, ServiceStandin
 from cranecart.standins._surplus_responses import (
     NamedRequest,
@@ -28,7 +28,7 @@
     'NamedRequest',
     'PlatformOptions',
     'PlatformStandin',
-    'Record',
+    'EventRecord',
     'ServiceOptions',
     'ServiceStandin',
     'ScriptedService',
--- a/src/cranecart/standins/_engine.py
+++ b/src/cranecart/standins/_engine.py
@@ -1,4 +1,4 @@
-"""Stand-in of a model engine: one process is one instance of a replica."""
+"""Stand-in for a model engine; one process is one instance of a replica."""
 
 import zlib
 from collections import OrderedDict
@@ -21,7 +21,7 @@
 from cranecart.instances import MemberReport, MemberState
 from cranecart.standins._engine_options import EngineOptions
 from cranecart.standins._membership import Membership, Order
-from cranecart.standins._record import Record
+from cranecart.standins._record import EventRecord
 from cranecart.standins._slots import Slots
 from cranecart.standins._tokens import token_text
 
@@ -36,48 +36,51 @@
 
 
 @attrs.frozen
-class Generation:
-    """One request as the engine reads it."""
+class Completion:
+    """A parsed completion request.
+
+    ``first_token`` is the index at which a resumed stream starts.
+    """
 
     request: str
     key: str
     prompt: str
     tokens: int
-    first: int
+    first_token: int
     stream: bool
     rank: int
 
 
 class EngineStandin:
-    """One engine instance; rank 0 of a replica takes its requests."""
+    """One engine instance; the first member of a replica serves its requests."""
 
     def __init__(
         self,
         address: Address,
         options: EngineOptions,
-        record: Record,
+        record: EventRecord,
     ) -> None:
-        """Keep the options; nothing listens until ``run``."""
+        """Create the server; it listens only in ``run``."""
         self.server = HttpServer(address, self._handle)
         self._options = options
         self._record = record
         self._membership = Membership(options, record)
         self._draining = False
-        self._drops = False
-        self._crosses = False
+        self._drops_requests = False
+        self._swaps_responses = False
         self._slots = Slots(options.slots)
         self._prefixes: OrderedDict[str, None] = OrderedDict()
-        self._reported_load = (0, 0)
+        self._published_load = (0, 0)
 
     async def run(self) -> None:
         """Serve until cancelled."""
         async with curio.TaskGroup(wait=any) as tasks:
             await tasks.spawn(self.server.run)
-            await tasks.spawn(self._lag_load)
+            await tasks.spawn(self._publish_load)
 
-    async def _lag_load(self) -> None:
+    async def _publish_load(self) -> None:
         while True:
-            self._reported_load = (self._slots.running, self._slots.queued)
+            self._published_load = (self._slots.running, self._slots.queued)
             await curio.sleep(self._options.report_lag_ms / _MILLISECONDS)
 
     async def _handle(self, request: Request, responder: Responder) -> None:
@@ -85,21 +88,21 @@
             case '/status':
                 await responder.send(self._status(request))
             case '/collective':
-                await self._membership.answer_collective(request, responder)
+                await self._membership.handle_collective(request, responder)
             case '/orders':
-                await self._membership.take_order(request, responder)
+                await self._membership.handle_order(request, responder)
             case '/standin/drop':
-                self._drops = msgspec.json.decode(request.body)
+                self._drops_requests = msgspec.json.decode(request.body)
                 await responder.send(json_response(_OK, {}))
             case '/standin/cross':
-                self._crosses = msgspec.json.decode(request.body)
+                self._swaps_responses = msgspec.json.decode(request.body)
                 await responder.send(json_response(_OK, {}))
             case '/standin/leave':
                 self._draining = True
                 self._record.write('leaving')
                 await responder.send(json_response(_OK, {}))
-            case _ if self._drops:
-                # Received, but broken off without a word.
+            case _ if self._drops_requests:
+                # The connection is closed without a response.
                 key = request.headers.get('idempotency-key', '')
                 self._record.write('dropped', kind='engine', key=key)
             case _:
@@ -107,16 +110,16 @@
 
     def _status(self, request: Request) -> Response:
         response = json_response(_OK, self._report())
-        tag = f'"{zlib.crc32(response.body):08x}"'
-        if request.headers.get('if-none-match') == tag:
-            return Response(_NOT_MODIFIED, {'etag': tag})
+        etag = f'"{zlib.crc32(response.body):08x}"'
+        if request.headers.get('if-none-match') == etag:
+            return Response(_NOT_MODIFIED, {'etag': etag})
         return attrs.evolve(
             response,
-            headers={**response.headers, 'etag': tag},
+            headers={**response.headers, 'etag': etag},
         )
 
     def _report(self) -> MemberReport:
-        running, queued = self._reported_load
+        running, queued = self._published_load
         return attrs.evolve(
             self._membership.report(),
             running=running,
@@ -137,85 +140,85 @@
         state = self._membership.state
         order = self._membership.order
         actual = (order.replica, str(order.generation))
-        is_ready = state == MemberState.READY and self._membership.leads
+        is_ready = state == MemberState.READY and self._membership.is_leader
         is_ready = is_ready and not order.retiring
-        # Callers believe a refusal only of the call that it names.
-        named = {'x-request-id': request.headers.get('x-request-id', '')}
+        # Callers accept a refusal only if it carries the id of their request.
+        id_header = {'x-request-id': request.headers.get('x-request-id', '')}
         if expected != actual or not is_ready:
             body = {'error': 'not this replica', 'state': state.value}
             await responder.send(
-                json_response(_CONFLICT, body, {**named, **_NOT_RUN})
+                json_response(_CONFLICT, body, {**id_header, **_NOT_RUN})
             )
             return
         try:
-            generation = _read_generation(request)
+            completion = _read_completion(request)
         except (LookupError, TypeError, msgspec.DecodeError) as error:
             body = {'error': repr(error)}
             await responder.send(
-                json_response(_BAD_REQUEST, body, {**named, **_NOT_RUN})
+                json_response(_BAD_REQUEST, body, {**id_header, **_NOT_RUN})
             )
             return
-        if self._crosses:
-            generation = attrs.evolve(
-                generation,
+        if self._swaps_responses:
+            completion = attrs.evolve(
+                completion,
                 request='crossed',
                 prompt='what another client asked',
             )
         async with curio.TaskGroup(wait=any) as tasks:
-            await tasks.spawn(self._generate, generation, responder)
+            await tasks.spawn(self._run_completion, completion, responder)
             await tasks.spawn(responder.wait_for_disconnect)
 
-    async def _generate(
+    async def _run_completion(
         self,
-        generation: Generation,
+        completion: Completion,
         responder: Responder,
     ) -> None:
         order = self._membership.order
-        await self._slots.acquire(generation.rank)
-        call = {
+        await self._slots.acquire(completion.rank)
+        event_fields = {
             'kind': 'engine',
-            'request': generation.request,
-            'key': generation.key,
+            'request': completion.request,
+            'key': completion.key,
             'replica': order.replica,
             'generation': order.generation,
             'members': order.members,
         }
-        self._record.write('start', **call)
+        self._record.write('start', **event_fields)
         event = 'abort'
         try:
-            await self._answer(generation, responder)
+            await self._answer(completion, responder)
             event = 'finish'
         finally:
-            self._record.write(event, **call)
+            self._record.write(event, **event_fields)
             await self._slots.release()
 
     async def _answer(
         self,
-        generation: Generation,
+        completion: Completion,
         responder: Responder,
     ) -> None:
         order = self._membership.order
         headers = {
-            'x-request-id': generation.request,
+            'x-request-id': completion.request,
             'x-replica': order.replica,
             'x-generation': str(order.generation),
-            'x-cache': await self._prefill(generation),
+            'x-cache': await self._prefill(completion),
         }
-        if generation.stream:
+        if completion.stream:
             headers['content-type'] = 'text/event-stream'
-            await self._next_step(order)
+            await self._wait_for_step(order)
             await responder.start(_OK, headers)
-            await self._stream(generation, responder, order)
+            await self._send_stream(completion, responder, order)
             return
-        pieces = []
-        for position in range(generation.tokens):
-            await self._next_step(order)
-            pieces.append(token_text(order.model, generation.prompt, position))
-        body = _whole_body(order.model, generation, ''.join(pieces))
+        texts = []
+        for index in range(completion.tokens):
+            await self._wait_for_step(order)
+            texts.append(token_text(order.model, completion.prompt, index))
+        body = _completion_body(order.model, completion, ''.join(texts))
         await responder.send(json_response(_OK, body, headers))
 
-    async def _prefill(self, generation: Generation) -> str:
-        prefix = generation.prompt[:_PREFIX_CHARS]
+    async def _prefill(self, completion: Completion) -> str:
+        prefix = completion.prompt[:_PREFIX_CHARS]
         is_hit = prefix in self._prefixes
         self._prefixes[prefix] = None
         self._prefixes.move_to_end(prefix)
@@ -227,30 +230,30 @@
         await curio.sleep(delay_ms / _MILLISECONDS)
         return 'hit' if is_hit else 'miss'
 
-    async def _stream(
+    async def _send_stream(
         self,
-        generation: Generation,
+        completion: Completion,
         responder: Responder,
         order: Order,
     ) -> None:
-        for position in range(generation.first, generation.tokens):
-            if position > generation.first:
-                await self._next_step(order)
-            text = token_text(order.model, generation.prompt, position)
-            chunk = _chunk_body(order.model, generation, text)
+        for index in range(completion.first_token, completion.tokens):
+            if index > completion.first_token:
+                await self._wait_for_step(order)
+            text = token_text(order.model, completion.prompt, index)
+            chunk = _chunk_body(order.model, completion, text)
             await responder.write(_event(msgspec.json.encode(chunk)))
         await responder.write(_event(b'[DONE]'))
         await responder.end()
 
-    async def _next_step(self, order: Order) -> None:
+    async def _wait_for_step(self, order: Order) -> None:
         await curio.sleep(self._options.token_ms / _MILLISECONDS)
-        await self._membership.next_step(order)
+        await self._membership.wait_for_step(order)
 
 
-def _read_generation(request: Request) -> Generation:
+def _read_completion(request: Request) -> Completion:
     body: dict[str, Any] = msgspec.json.decode(request.body)
     prompt = '\n'.join(message['content'] for message in body['messages'])
-    return Generation(
+    return Completion(
         request.headers.get('x-request-id', ''),
         request.headers.get('idempotency-key', ''),
         prompt,
@@ -267,29 +270,29 @@
 
 def _chunk_body(
     model: str,
-    generation: Generation,
+    completion: Completion,
     text: str,
 ) -> dict[str, Any]:
     return {
-        'id': generation.request,
+        'id': completion.request,
         'object': 'chat.completion.chunk',
         'model': model,
         'choices': [{'index': 0, 'delta': {'content': text}}],
     }
 
 
-def _whole_body(
+def _completion_body(
     model: str,
-    generation: Generation,
+    completion: Completion,
     text: str,
 ) -> dict[str, Any]:
     message = {'role': 'assistant', 'content': text}
     return {
-        'id': generation.request,
+        'id': completion.request,
         'object': 'chat.completion',
         'model': model,
         'choices': [
             {'index': 0, 'message': message, 'finish_reason': 'length'},
         ],
-        'usage': {'completion_tokens': generation.tokens},
+        'usage': {'completion_tokens': completion.tokens},
     }
--- a/src/cranecart/standins/_engine_options.py
+++ b/src/cranecart/standins/_engine_options.py
@@ -1,4 +1,4 @@
-"""How a stand-in engine behaves while it has no faults."""
+"""Options of the stand-in engine."""
 
 import attrs
 
@@ -7,7 +7,12 @@
 
 @attrs.frozen
 class EngineOptions:
-    """How an engine instance behaves."""
+    """Identity, capacity and timing of an engine instance.
+
+    ``checks_fencing`` is whether it rejects orders with an old fencing token,
+    ``checks_members`` whether the leader probes the other members.
+    ``report_lag_ms`` is the interval at which the reported load is updated.
+    """
 
     instance: str
     platform: Address
--- a/src/cranecart/standins/_membership.py
+++ b/src/cranecart/standins/_membership.py
@@ -1,4 +1,4 @@
-"""The part of a stand-in engine that lives in a replica: orders, members."""
+"""Membership of a stand-in engine in a replica: orders and member probes."""
 
 import contextlib
 
@@ -17,18 +17,18 @@
 )
 from cranecart.instances import MemberReport, MemberState
 from cranecart.standins._engine_options import EngineOptions
-from cranecart.standins._record import Record
+from cranecart.standins._record import EventRecord
 
 _OK = 200
 _CONFLICT = 409
-_COLLECTIVE_SECONDS = 0.2
-_STALL_SECONDS = 0.6
-_FOREVER_SECONDS = 1000000
+_POLL_SECONDS = 0.2
+_PROBE_TIMEOUT_SECONDS = 0.6
+_UNTIL_CANCELLED_SECONDS = 1000000
 
 
 @attrs.frozen
 class Order:
-    """What a placer tells an engine to become; no replica means idle."""
+    """An order of a placer to an engine; without a replica it becomes idle."""
 
     fencing: int
     replica: str = ''
@@ -41,30 +41,30 @@
     retiring: bool = False
 
 
-def _essence(order: Order) -> Order:
-    """Return what of an order needs the engine to start anew."""
+def _without_live_fields(order: Order) -> Order:
+    """Return the order without the fields that change without a restart."""
     return attrs.evolve(order, fencing=0, retiring=False)
 
 
 class Membership:
-    """What an engine was ordered to be, and how far it has come."""
+    """The last order of an engine, and its state in carrying it out."""
 
-    def __init__(self, options: EngineOptions, record: Record) -> None:
+    def __init__(self, options: EngineOptions, record: EventRecord) -> None:
         """Start idle."""
         self.state = MemberState.IDLE
         self.order = Order(0)
         self._options = options
         self._record = record
         self._healthy = curio.Event()
-        self._incarnation: curio.Task | None = None
+        self._replica_task: curio.Task | None = None
 
     @property
-    def leads(self) -> bool:
-        """Tell whether this instance takes the requests of its replica."""
+    def is_leader(self) -> bool:
+        """Return whether this instance serves the requests of its replica."""
         return self.order.members[:1] == (self._options.instance,)
 
     def report(self) -> MemberReport:
-        """Return the report without its load."""
+        """Return the status report, without the load."""
         order = self.order
         return MemberReport(
             self._options.instance,
@@ -79,50 +79,52 @@
             retiring=order.retiring,
         )
 
-    async def next_step(self, order: Order) -> None:
-        """Wait until all members can go on; raise if the replica broke."""
+    async def wait_for_step(self, order: Order) -> None:
+        """Wait until all members respond; raise if the replica is broken."""
         await self._healthy.wait()
         if (
-            _essence(self.order) != _essence(order)
+            _without_live_fields(self.order) != _without_live_fields(order)
             or self.state != MemberState.READY
         ):
-            raise ConnectionResetError('the replica broke')
+            raise ConnectionResetError(
+                'the replica is broken or was reassigned'
+            )
 
-    async def take_order(
+    async def handle_order(
         self,
         request: Request,
         responder: Responder,
     ) -> None:
-        """Become what a placer says, unless its number is old."""
+        """Carry out an order, unless its fencing token is outdated."""
         order = msgspec.json.decode(request.body, type=Order)
-        is_old = order.fencing < self.order.fencing
-        if self._options.checks_fencing and is_old:
+        is_outdated = order.fencing < self.order.fencing
+        if self._options.checks_fencing and is_outdated:
             self._record.write('order_refused', fencing=order.fencing)
             await responder.send(json_response(_CONFLICT, self.report()))
             return
-        if _essence(order) != _essence(self.order):
-            await self._become(order)
+        if _without_live_fields(order) != _without_live_fields(self.order):
+            await self._apply_order(order)
         self.order = order
         await responder.send(json_response(_OK, self.report()))
 
-    async def answer_collective(
+    async def handle_collective(
         self,
         request: Request,
         responder: Responder,
     ) -> None:
-        """Tell another member whether this one is in its replica."""
+        """Answer a probe: whether this instance is in the other's replica."""
         query = request.query
-        belongs = query.get('replica') == self.order.replica and query.get(
+        is_member = query.get('replica') == self.order.replica and query.get(
             'generation'
         ) == str(self.order.generation)
-        answer = {'member': belongs, 'state': self.state.value}
-        await responder.send(json_response(_OK, answer))
-
-    async def _become(self, order: Order) -> None:
-        if self._incarnation is not None:
-            await self._incarnation.cancel()
-            self._incarnation = None
-        keeps_weights = (order.model, order.version) == (
+        response = {'member': is_member, 'state': self.state.value}
+        await responder.send(json_response(_OK, response))
+
+    async def _apply_order(self, order: Order) -> None:
+        if self._replica_task is not None:
+            await self._replica_task.cancel()
+            self._replica_task = None
+        has_weights = (order.model, order.version) == (
             self.order.model,
             self.order.version,
         ) and self.state in {MemberState.READY, MemberState.BROKEN}
@@ -132,10 +134,10 @@
             MemberState.LOADING if order.replica else MemberState.IDLE,
         )
         if order.replica:
-            self._incarnation = await curio.spawn(
-                self._live_in_replica,
+            self._replica_task = await curio.spawn(
+                self._serve_replica,
                 order,
-                keeps_weights,
+                has_weights,
                 daemon=True,
             )
 
@@ -149,9 +151,9 @@
             members=self.order.members,
         )
 
-    async def _live_in_replica(self, order: Order, warm: bool) -> None:
-        while not warm:
-            warm = await self._load_weights(order)
+    async def _serve_replica(self, order: Order, has_weights: bool) -> None:
+        while not has_weights:
+            has_weights = await self._load_weights(order)
         self._set_state(MemberState.READY)
         is_leader = order.members[0] == self._options.instance
         if is_leader and self._options.checks_members:
@@ -167,42 +169,42 @@
             head = await connection.read_head()
             return head.is_success
         except HttpError:
-            await curio.sleep(_COLLECTIVE_SECONDS)
+            await curio.sleep(_POLL_SECONDS)
             return False
         finally:
             if connection is not None:
                 await connection.close()
 
     async def _watch_members(self, order: Order) -> None:
-        await self._watch_all(order)
+        await self._poll_members(order)
         self._healthy.clear()
         self._set_state(MemberState.BROKEN)
-        # Whoever waits for the next step must see that it will not come.
+        # Wake the requests that wait for a step, so that they fail.
         await self._healthy.set()
-        await curio.sleep(_FOREVER_SECONDS)
+        await curio.sleep(_UNTIL_CANCELLED_SECONDS)
 
-    async def _watch_all(self, order: Order) -> None:
+    async def _poll_members(self, order: Order) -> None:
         path = f'/collective?replica={order.replica}'
         target = f'{path}&generation={order.generation}'
         others = [Address.from_text(text) for text in order.addresses[1:]]
-        has_met = False
+        all_were_ready = False
         while True:
-            answers = [await _ask_member(other, target) for other in others]
-            if all(answer == 'ready' for answer in answers):
-                has_met = True
+            states = [await _probe_member(other, target) for other in others]
+            if all(state == 'ready' for state in states):
+                all_were_ready = True
                 await self._healthy.set()
-            elif has_met and 'gone' in answers:
+            elif all_were_ready and 'gone' in states:
                 return
             else:
                 self._healthy.clear()
-            await curio.sleep(_COLLECTIVE_SECONDS)
+            await curio.sleep(_POLL_SECONDS)
 
 
-async def _ask_member(address: Address, target: str) -> str:
+async def _probe_member(address: Address, target: str) -> str:
     try:
         return await curio.timeout_after(
-            _STALL_SECONDS,
-            _ask_member_now,
+            _PROBE_TIMEOUT_SECONDS,
+            _exchange_probe,
             address,
             target,
         )
@@ -212,15 +214,15 @@
         return 'gone'
 
 
-async def _ask_member_now(address: Address, target: str) -> str:
+async def _exchange_probe(address: Address, target: str) -> str:
     connection = await HttpConnection.open(address)
     try:
         await connection.send(Request('GET', target))
         await connection.read_head()
-        answer = msgspec.json.decode(await connection.read_body())
+        response = msgspec.json.decode(await connection.read_body())
     finally:
         with contextlib.suppress(OSError):
             await connection.close()
-    if not answer['member']:
+    if not response['member']:
         return 'gone'
-    return 'ready' if answer['state'] == 'ready' else 'loading'
+    return 'ready' if response['state'] == 'ready' else 'loading'
--- a/src/cranecart/standins/_platform.py
+++ b/src/cranecart/standins/_platform.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform: table, objects, instance list, weight store."""
+"""Stand-in for the platform: table, objects, instance list, weight store."""
 
 import time
 from collections.abc import Mapping
@@ -18,7 +18,7 @@
     json_response,
 )
 from cranecart.ports import Row, Transaction
-from cranecart.standins._record import Record
+from cranecart.standins._record import EventRecord
 
 _OK = 200
 _NOT_FOUND = 404
@@ -30,7 +30,7 @@
 
 @attrs.frozen
 class PlatformOptions:
-    """How the stand-in behaves while it has no faults."""
+    """Latencies and capacities of the stand-in without faults."""
 
     list_lag_ms: int = 500
     load_ms: int = 500
@@ -41,7 +41,11 @@
 
 @attrs.define
 class Faults:
-    """What is wrong with the platform now."""
+    """The injected faults.
+
+    The responses of the next ``lose_answers`` commits that put keys with
+    ``lose_prefix`` are lost, although the commits are executed.
+    """
 
     down: bool = False
     hang: bool = False
@@ -52,26 +56,26 @@
 
 @attrs.define
 class Table:
-    """Rows with versions, changed only by transactions."""
+    """Versioned rows, changed only by transactions."""
 
     rows: dict[str, Row] = attrs.field(factory=dict)
     version: int = 0
 
-    def commit(self, commit: Transaction) -> Row | None:
-        """Apply a transaction, or return the row that spoke against it."""
-        for check in commit.checks:
+    def commit(self, transaction: Transaction) -> Row | None:
+        """Apply a transaction, or return the row whose check failed."""
+        for check in transaction.checks:
             row = self.rows.get(check.key, Row(check.key, 0, ''))
             if row.version != check.version:
                 return row
         self.version += 1
-        for put in commit.puts:
+        for put in transaction.puts:
             self.rows[put.key] = Row(put.key, self.version, put.value)
-        for key in commit.deletes:
+        for key in transaction.deletes:
             self.rows.pop(key, None)
         return None
 
     def read(self, keys: list[str], prefix: str | None) -> list[Row]:
-        """Return the rows of the keys, or all rows behind a prefix."""
+        """Return the rows of the keys, or all rows with a key prefix."""
         if prefix is not None:
             return [
                 row
@@ -82,8 +86,8 @@
 
 
 @attrs.define
-class RateCap:
-    """Counts calls and refuses those over so many in one second."""
+class RateLimit:
+    """Limits the calls in each second of the monotonic clock."""
 
     per_second: int
     total: int = 0
@@ -91,7 +95,7 @@
     _in_second: int = 0
 
     def allows(self) -> bool:
-        """Count one call; return whether it is within the rate."""
+        """Count one call; return whether it is within the limit."""
         second = int(time.monotonic())
         if second != self._second:
             self._second = second
@@ -102,15 +106,15 @@
 
 
 class PlatformStandin:
-    """The whole platform in one process, in memory."""
+    """The platform in one process, with its data in memory."""
 
     def __init__(
         self,
         address: Address,
         options: PlatformOptions,
-        record: Record,
+        record: EventRecord,
     ) -> None:
-        """Keep the options; nothing listens until ``run``."""
+        """Create the server; it listens only in ``run``."""
         self.server = HttpServer(address, self._handle)
         self._options = options
         self._record = record
@@ -120,8 +124,8 @@
         self._instances: dict[str, dict[str, Any]] = {}
         self._listed: dict[str, dict[str, Any]] = {}
         self._list_version = 0
-        self._reads = RateCap(options.reads_per_second)
-        self._writes = RateCap(options.writes_per_second)
+        self._reads = RateLimit(options.reads_per_second)
+        self._writes = RateLimit(options.writes_per_second)
         self._loads = curio.Semaphore(options.parallel_loads)
 
     async def run(self) -> None:
@@ -141,12 +145,12 @@
         if request.path.startswith('/standin/'):
             await responder.send(self._control(request))
             return
-        await self._suffer()
+        await self._apply_faults()
         await responder.send(await self._answer(request))
 
-    async def _suffer(self) -> None:
+    async def _apply_faults(self) -> None:
         if self._faults.down:
-            raise ConnectionBrokenError('the platform is down')
+            raise ConnectionBrokenError('injected fault: the platform is down')
         if self._faults.hang:
             await curio.sleep(_HANG_SECONDS)
         if self._faults.delay_ms:
@@ -158,11 +162,11 @@
                 self._faults = msgspec.json.decode(request.body, type=Faults)
                 self._record.write('platform_faults', faults=self._faults)
             case '/standin/instances':
-                entry = msgspec.json.decode(request.body)
-                self._instances[entry['id']] = entry
+                instance = msgspec.json.decode(request.body)
+                self._instances[instance['id']] = instance
             case '/standin/forget':
-                entry = msgspec.json.decode(request.body)
-                self._instances.pop(entry['id'], None)
+                instance = msgspec.json.decode(request.body)
+                self._instances.pop(instance['id'], None)
             case '/standin/counts':
                 return json_response(_OK, self._counts())
         return json_response(_OK, {})
@@ -202,19 +206,19 @@
     def _commit(self, request: Request) -> Response:
         if not self._writes.allows():
             return json_response(_TOO_MANY, {})
-        commit = msgspec.json.decode(request.body, type=Transaction)
-        conflict = self._table.commit(commit)
-        if self._loses_answer(commit):
-            raise ConnectionBrokenError('the answer is lost')
+        transaction = msgspec.json.decode(request.body, type=Transaction)
+        conflict = self._table.commit(transaction)
+        if self._drops_response(transaction):
+            raise ConnectionBrokenError('injected fault: the response is lost')
         if conflict is not None:
             return json_response(_CONFLICT, {'row': conflict})
         return json_response(_OK, {'version': self._table.version})
 
-    def _loses_answer(self, commit: Transaction) -> bool:
+    def _drops_response(self, transaction: Transaction) -> bool:
         prefix = self._faults.lose_prefix
         if self._faults.lose_answers <= 0:
             return False
-        if not any(put.key.startswith(prefix) for put in commit.puts):
+        if not any(put.key.startswith(prefix) for put in transaction.puts):
             return False
         self._faults.lose_answers -= 1
         return True
@@ -224,11 +228,11 @@
             return json_response(_TOO_MANY, {})
         if query.get('since') == str(self._list_version):
             return json_response(_OK, {'version': self._list_version})
-        wanted = query.get('failure_domain')
+        failure_domain = query.get('failure_domain')
         entries = [
-            entry
-            for entry in self._listed.values()
-            if wanted in {None, entry['failure_domain']}
+            instance
+            for instance in self._listed.values()
+            if failure_domain in {None, instance['failure_domain']}
         ]
         return json_response(
             _OK,
--- a/src/cranecart/standins/_proxy.py
+++ b/src/cranecart/standins/_proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy that injects faults between any two processes."""
+"""A TCP proxy that injects faults into connections."""
 
 import contextlib
 import socket
@@ -24,13 +24,14 @@
 
 @attrs.frozen
 class LinkFaults:
-    """What is wrong with a link now.
-
-    ``cut`` refuses connections and breaks the open ones; ``freeze_up`` and
-    ``freeze_down`` hold back all bytes towards or from the upstream, and
-    ``drop_after_up_bytes`` breaks a connection once so many bytes went up.
-    The first ``mute_first`` connections carry nothing any more, and are not
-    broken, while later ones work.
+    """The injected faults.
+
+    ``cut`` closes new and open connections. ``freeze_up`` and ``freeze_down``
+    delay all bytes to or from the upstream until they are reset; ``delay_ms``
+    delays each read. ``drop_after_up_bytes`` closes a connection after that
+    many bytes to the upstream, ``drop_answer`` at the first bytes from it.
+    The first ``mute_first`` connections stay open but transfer nothing, while
+    later ones work.
     """
 
     cut: bool = False
@@ -43,7 +44,7 @@
 
 
 class FaultProxy:
-    """Forwards one address to another, as well as its faults allow."""
+    """Forwards connections to the upstream, subject to the faults."""
 
     def __init__(
         self,
@@ -51,11 +52,11 @@
         upstream: Address,
         control: Address,
     ) -> None:
-        """Keep the addresses; nothing listens until ``run``."""
+        """Bind the listening socket; connections are accepted in ``run``."""
         self.faults = LinkFaults()
         self.server = HttpServer(control, self._control)
         self._upstream = upstream
-        self._links = 0
+        self._connection_count = 0
         self._listener = curio.io.Socket(socket.socket())
         self._listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._listener.bind((listen.host, listen.port))
@@ -63,7 +64,7 @@
 
     @property
     def address(self) -> Address:
-        """Return the address that stands for the upstream."""
+        """Return the address on which the proxy listens."""
         return Address(*self._listener.getsockname()[:2])
 
     async def run(self) -> None:
@@ -79,57 +80,68 @@
     async def _accept(self) -> None:
         while True:
             sock, _peer = await self._listener.accept()
-            await curio.spawn(self._link, sock, daemon=True)
+            await curio.spawn(self._forward, sock, daemon=True)
 
-    async def _link(self, down: curio.io.Socket) -> None:
+    async def _forward(self, client: curio.io.Socket) -> None:
         if self.faults.cut:
-            await down.close()
+            await client.close()
             return
         try:
-            up = await curio.open_connection(
+            upstream = await curio.open_connection(
                 self._upstream.host,
                 self._upstream.port,
             )
         except OSError:
-            await down.close()
+            await client.close()
             return
         with contextlib.suppress(OSError):
             async with curio.TaskGroup(wait=any) as pumps:
-                number = self._links
-                self._links += 1
-                await pumps.spawn(self._pump, down, up, 'freeze_up', number)
-                await pumps.spawn(self._pump, up, down, 'freeze_down', number)
-                await pumps.spawn(self._until_cut)
-        await down.close()
-        await up.close()
-
-    async def _until_cut(self) -> None:
+                connection_number = self._connection_count
+                self._connection_count += 1
+                await pumps.spawn(
+                    self._pump, client, upstream, 'freeze_up', connection_number
+                )
+                await pumps.spawn(
+                    self._pump,
+                    upstream,
+                    client,
+                    'freeze_down',
+                    connection_number,
+                )
+                await pumps.spawn(self._wait_until_cut)
+        await client.close()
+        await upstream.close()
+
+    async def _wait_until_cut(self) -> None:
         while not self.faults.cut:
             await curio.sleep(_POLL_SECONDS)
 
     async def _pump(
         self,
         source: curio.io.Socket,
-        sink: curio.io.Socket,
+        destination: curio.io.Socket,
         freeze: str,
-        number: int,
+        connection_number: int,
     ) -> None:
-        goes_up = freeze == 'freeze_up'
+        is_upstream = freeze == 'freeze_up'
         sent = 0
         while received := await source.recv(_READ_BYTES):
-            await self._hold_back(freeze, number)
-            if self.faults.drop_answer and not goes_up:
+            await self._delay(freeze, connection_number)
+            if self.faults.drop_answer and not is_upstream:
                 return
-            await sink.sendall(received)
+            await destination.sendall(received)
             sent += len(received)
-            if goes_up and self._is_over(sent):
+            if is_upstream and self._reached_drop_limit(sent):
                 return
 
-    def _is_over(self, sent: int) -> bool:
+    def _reached_drop_limit(self, sent: int) -> bool:
         limit = self.faults.drop_after_up_bytes
         return bool(limit) and sent >= limit
 
-    async def _hold_back(self, freeze: str, number: int) -> None:
-        while getattr(self.faults, freeze) or number < self.faults.mute_first:
+    async def _delay(self, freeze: str, connection_number: int) -> None:
+        while (
+            getattr(self.faults, freeze)
+            or connection_number < self.faults.mute_first
+        ):
             await curio.sleep(_POLL_SECONDS)
         await curio.sleep(self.faults.delay_ms / _MILLISECONDS)
--- a/src/cranecart/standins/_record.py
+++ b/src/cranecart/standins/_record.py
@@ -1,4 +1,7 @@
-"""A file to which stand-ins write what truly happened, one JSON a line."""
+"""A file in which stand-ins record events, as JSON lines.
+
+Tests check the nodes' behaviour against it.
+"""
 
 import os
 import time
@@ -10,26 +13,27 @@
 
 
 @attrs.define
-class Record:
-    """Appends events; many processes may share one file.
+class EventRecord:
+    """Appends events to a file that several processes may share.
 
-    A line is one ``write`` to a file opened for appending, so that lines of
-    several processes never mix. Without a file nothing is written.
+    Each line is a single ``write`` to a file opened for appending, so that
+    lines of different processes don't interleave. Without a file it discards
+    the events.
     """
 
     source: str
     _descriptor: int | None
 
     @classmethod
-    def from_path(cls, source: str, path: str) -> 'Record':
-        """Open the file; an empty path gives a record that keeps nothing."""
+    def from_path(cls, source: str, path: str) -> 'EventRecord':
+        """Open the file; with an empty path, events are discarded."""
         if not path:
             return cls(source, None)
         flags = os.O_WRONLY | os.O_APPEND | os.O_CREAT
         return cls(source, os.open(path, flags))
 
     def write(self, event: str, **fields: object) -> None:
-        """Append one event with the machine's monotonic time."""
+        """Append one event with the monotonic time, which processes share."""
         if self._descriptor is None:
             return
         line = msgspec.json.encode(
@@ -44,7 +48,7 @@
 
 
 def read_record(path: Path) -> list[dict[str, Any]]:
-    """Return all events of a record file in the order of their times."""
+    """Return all events of a record file, ordered by time."""
     if not path.exists():
         return []
     events = map(msgspec.json.decode, path.read_bytes().splitlines())
--- a/src/cranecart/standins/_service.py
+++ b/src/cranecart/standins/_service.py
@@ -1,4 +1,4 @@
-"""Stand-in of a plain service that counts how often each call ran."""
+"""Stand-in for a plain service that records each call that it runs."""
 
 import attrs
 import curio
@@ -10,7 +10,7 @@
     Responder,
     json_response,
 )
-from cranecart.standins._record import Record
+from cranecart.standins._record import EventRecord
 
 _OK = 200
 _MILLISECONDS = 1000
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class ServiceOptions:
-    """How a service instance behaves."""
+    """Identity and latency of a service instance."""
 
     instance: str
     delay_ms: int = 5
@@ -31,9 +31,9 @@
         self,
         address: Address,
         options: ServiceOptions,
-        record: Record,
+        record: EventRecord,
     ) -> None:
-        """Keep the options; nothing listens until ``run``."""
+        """Create the server; it listens only in ``run``."""
         self.server = HttpServer(address, self._handle)
         self._options = options
         self._record = record
--- a/src/cranecart/standins/_slots.py
+++ b/src/cranecart/standins/_slots.py
@@ -1,4 +1,4 @@
-"""Slots of an engine's batch, given out by priority."""
+"""Batch slots of an engine, allocated by priority."""
 
 import heapq
 import itertools
@@ -10,43 +10,43 @@
 
 @attrs.define
 class Slots:
-    """So many requests run at once; others wait by priority."""
+    """A semaphore of ``size`` slots with a priority queue of waiters."""
 
     size: int
     running: int = 0
     _waiting: list[tuple[int, int, curio.Event]] = attrs.field(factory=list)
-    _numbers: Iterator[int] = attrs.field(factory=itertools.count)
+    _sequence: Iterator[int] = attrs.field(factory=itertools.count)
 
     @property
     def queued(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of waiting requests."""
         return len(self._waiting)
 
     async def acquire(self, rank: int) -> None:
-        """Wait for a slot; lower ranks go first."""
+        """Wait for a slot; lower ranks are served first."""
         if self.running < self.size:
             self.running += 1
             return
-        turn = curio.Event()
-        entry = (rank, next(self._numbers), turn)
-        heapq.heappush(self._waiting, entry)
+        granted = curio.Event()
+        waiter = (rank, next(self._sequence), granted)
+        heapq.heappush(self._waiting, waiter)
         try:
-            await turn.wait()
+            await granted.wait()
         except curio.CancelledError:
-            await self._give_up(entry)
+            await self._cancel_wait(waiter)
             raise
 
     async def release(self) -> None:
-        """Hand the slot to the next in turn."""
+        """Pass the slot to the first waiter, or free it."""
         if self._waiting:
-            _rank, _number, turn = heapq.heappop(self._waiting)
-            await turn.set()
+            _rank, _number, granted = heapq.heappop(self._waiting)
+            await granted.set()
         else:
             self.running -= 1
 
-    async def _give_up(self, entry: tuple[int, int, curio.Event]) -> None:
-        if entry in self._waiting:
-            self._waiting.remove(entry)
+    async def _cancel_wait(self, waiter: tuple[int, int, curio.Event]) -> None:
+        if waiter in self._waiting:
+            self._waiting.remove(waiter)
             heapq.heapify(self._waiting)
         else:
             await self.release()
--- a/src/cranecart/standins/_tokens.py
+++ b/src/cranecart/standins/_tokens.py
@@ -1,4 +1,4 @@
-"""The stand-in model: each token follows from model, prompt and position."""
+"""The stand-in model: tokens are a hash of model, prompt and position."""
 
 import hashlib
 
@@ -13,7 +13,7 @@
 
 
 def expected_text(model: str, prompt: str, tokens: int) -> str:
-    """Return the whole answer that an engine gives to a prompt."""
+    """Return the complete response of a stand-in engine to a prompt."""
     return ''.join(
         token_text(model, prompt, position) for position in range(tokens)
     )
--- a/tools/local_cluster.py
+++ b/tools/local_cluster.py
@@ -12,7 +12,7 @@
 
 from cranecart.http import Address
 from cranecart.load_testing import NodeEndpoints
-from cranecart.standins import Record
+from cranecart.standins import EventRecord
 from tools.cluster_control import OPERATOR_KEY, ClusterControl, wait_until
 from tools.processes import Addresses, Process
 
@@ -89,16 +89,16 @@
     def kill(self, name: str) -> None:
         """Kill a process and record that it is gone."""
         self.processes[name].kill()
-        Record.from_path(name, str(self.record)).write('lost')
+        EventRecord.from_path(name, str(self.record)).write('lost')
 
     def pause(self, name: str) -> None:
         """Stop a process where it is, and record it."""
         self.processes[name].pause()
-        Record.from_path(name, str(self.record)).write('paused')
+        EventRecord.from_path(name, str(self.record)).write('paused')
 
     def resume(self, name: str) -> None:
         """Let a paused process go on, and record it."""
-        Record.from_path(name, str(self.record)).write('resumed')
+        EventRecord.from_path(name, str(self.record)).write('resumed')
         self.processes[name].resume()
 
     def start_engine(
--- a/tools/many_engines.py
+++ b/tools/many_engines.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from cranecart.http import Address, Request, exchange
-from cranecart.standins import EngineOptions, EngineStandin, Record
+from cranecart.standins import EngineOptions, EngineStandin, EventRecord
 
 _CALL_SECONDS = 5.0
 _PER_FABRIC = 40
@@ -22,7 +22,7 @@
     count: int,
 ) -> None:
     """Run and list so many engines until killed."""
-    record = Record.from_path('many', '')
+    record = EventRecord.from_path('many', '')
     async with curio.TaskGroup(wait=all) as engines:
         for number in range(count):
             name = f'{domain}-m{number:04}'
