--- a/tests/unit/test_ablation.py
+++ b/tests/unit/test_ablation.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import cranecart
-from tools.ablation import MECHANISMS, switch_off
+from tools.ablation import MECHANISMS, disable
 from tools.mutations import MUTATIONS
 
 
@@ -20,7 +20,7 @@
             with tempfile.TemporaryDirectory() as folder:
                 sources = Path(folder) / 'cranecart'
                 shutil.copytree(Path(cranecart.__file__).parent, sources)
-                switch_off(sources, mechanism)
+                disable(sources, mechanism)
                 edited = (sources / mechanism.file).read_text('utf-8')
                 ast.parse(edited)
 
--- a/tests/unit/test_kinds.py
+++ b/tests/unit/test_kinds.py
@@ -1,4 +1,4 @@
-"""Days of one kind of trouble, made from a table and a site."""
+"""Fault scenarios made from a table and a site file."""
 
 import tomllib
 import unittest
@@ -7,8 +7,8 @@
 from types import MappingProxyType
 from typing import Any
 
-from tools.kinds import Trouble, row_of, troubles
-from tools.plays import Given, Play
+from tools.kinds import FaultScenario, scenarios, table_row
+from tools.plays import BenchmarkRun, RunResult
 
 _SITE = MappingProxyType(
     {
@@ -25,18 +25,18 @@
 )
 
 
-def _days(**row: Any) -> list[Trouble]:
-    return list(troubles([{'kind': 'garble', **row}], _SITE))
+def _scenarios(**row: Any) -> list[FaultScenario]:
+    return list(scenarios([{'kind': 'garble', **row}], _SITE))
 
 
-class TroublesTest(unittest.TestCase):
-    """Each variant of a row, at each aim."""
+class FaultScenariosTest(unittest.TestCase):
+    """A scenario for each variant and target of a row."""
 
     def test_variants_and_services(self) -> None:
-        """Every variant is aimed at every service."""
-        days = _days(hows=['extra', ''], aims='service', x=0.3)
+        """Every variant is combined with every service."""
+        found = _scenarios(hows=['extra', ''], aims='service', x=0.3)
         self.assertEqual(
-            [(one.how, one.aim) for one in days],
+            [(item.how, item.aim) for item in found],
             [
                 ('extra', 'writer'),
                 ('extra', 'shop'),
@@ -46,37 +46,37 @@
         )
 
     def test_zones(self) -> None:
-        """Every zone has a day, or one zone of every service."""
-        by_zone = [one.aim for one in _days(aims='zone')]
-        of_each = [one.aim for one in _days(aims='each')]
+        """The targets are all zones, or one zone of each service."""
+        by_zone = [item.aim for item in _scenarios(aims='zone')]
+        of_each = [item.aim for item in _scenarios(aims='each')]
         self.assertEqual(by_zone, ['east', 'west'])
         self.assertEqual(of_each, ['writer east', 'shop west'])
 
     def test_services_of_models(self) -> None:
-        """What only they have strikes nobody else, and the other way."""
-        aims = [one.aim for one in _days(aims='model')]
-        others = [one.aim for one in _days(aims='plain')]
+        """Faults can be limited to services with or without models."""
+        aims = [item.aim for item in _scenarios(aims='model')]
+        others = [item.aim for item in _scenarios(aims='plain')]
         self.assertEqual((aims, others), (['writer'], ['shop']))
 
-    def test_aimed_at_nothing(self) -> None:
-        """A row without more is a day by itself."""
-        self.assertEqual([one.aim for one in _days()], ['all'])
+    def test_without_target(self) -> None:
+        """A row without targets gives one scenario."""
+        self.assertEqual([item.aim for item in _scenarios()], ['all'])
 
-    def test_names_differ(self) -> None:
-        """Each day keeps its log in a file of its own."""
-        days = _days(hows=['extra', 'early'], aims='service')
-        self.assertEqual(len({one.name for one in days}), len(days))
+    def test_names_are_unique(self) -> None:
+        """Scenarios would otherwise overwrite the log files of each other."""
+        found = _scenarios(hows=['extra', 'early'], aims='service')
+        self.assertEqual(len({item.name for item in found}), len(found))
 
 
-class DayTest(unittest.TestCase):
-    """The day, as the users' bench reads it."""
+class TomlTest(unittest.TestCase):
+    """The scenario as TOML for the benchmark."""
 
-    def test_strikes_twice(self) -> None:
-        """The trouble and what strikes beside it come at the same times."""
-        day = self._read(_days(x=0.3, beside=[{'kind': 'give_up'}])[0])
-        struck = [(one['at'], one['kind']) for one in day['faults']]
+    def test_faults_are_injected_twice(self) -> None:
+        """Faults of one scenario are injected at the same times."""
+        day = self._read(_scenarios(x=0.3, beside=[{'kind': 'give_up'}])[0])
+        injected = [(item['at'], item['kind']) for item in day['faults']]
         self.assertEqual(
-            struck,
+            injected,
             [
                 (3.0, 'garble'),
                 (3.0, 'give_up'),
@@ -87,22 +87,22 @@
         self.assertEqual((day['seed'], day['faults'][0]['x']), (11, 0.3))
 
     def test_planned_work(self) -> None:
-        """It is no fault."""
-        day = self._read(_days(planned=True)[0])
+        """Planned work is not listed as a fault."""
+        day = self._read(_scenarios(planned=True)[0])
         self.assertEqual((len(day['plan']), day['faults']), (2, []))
 
-    def _read(self, trouble: Trouble) -> Mapping[str, Any]:
-        day: Mapping[str, Any] = tomllib.loads(trouble.day('11'))['day'][0]
+    def _read(self, scenario: FaultScenario) -> Mapping[str, Any]:
+        day: Mapping[str, Any] = tomllib.loads(scenario.day('11'))['day'][0]
         return day
 
 
 class RowTest(unittest.TestCase):
-    """A row of the table."""
+    """A row of the Markdown table."""
 
     def test_row(self) -> None:
-        """It tells the day, what it gave, and what broke."""
-        given = Given(
-            Play(Path(), Path('site'), 'day', '11'),
+        """The row has the scenario, the results and the violations."""
+        result = RunResult(
+            BenchmarkRun(Path(), Path('site'), 'day', '11'),
             {
                 'G': 0.9,
                 'served': 0.95,
@@ -113,6 +113,6 @@
             },
         )
         self.assertEqual(
-            row_of(_days(hows=['extra'], aims='service')[1], given),
+            table_row(_scenarios(hows=['extra'], aims='service')[1], result),
             '| garble | extra | shop | 11 | 0.900 | 0.950 | 0.040 | MIXED 2 |',
         )
--- a/tests/unit/test_losses.py
+++ b/tests/unit/test_losses.py
@@ -1,4 +1,4 @@
-"""Where a played day lost, from nodes' logs."""
+"""Lost requests of a benchmark run, read from node logs."""
 
 import unittest
 
@@ -29,32 +29,32 @@
 
 
 class LossesTest(unittest.TestCase):
-    """A log of three requests, the last line of which was cut off."""
+    """A log of three requests whose last line is truncated."""
 
     def test_causes(self) -> None:
-        """Each request has one."""
+        """Each request is assigned one cause."""
         causes = [one.cause for one in fates(read_lines(_LOG))]
         self.assertEqual(causes, ['in time', 'pause, moved', 'overloaded'])
 
     def test_replicas(self) -> None:
-        """Counted by the second."""
+        """Open replicas are counted by second."""
         found = replicas_by_second(read_lines(_LOG), 4)
         self.assertEqual((found[0]['m'], found[2]['m']), (1, 0))
 
 
 class CompareTest(unittest.TestCase):
-    """Pairs of plays."""
+    """Comparison of pairs of runs."""
 
-    def test_an_interval_with_zero_is_no_gain(self) -> None:
-        """However large the mean difference is."""
+    def test_interval_with_zero_is_inconclusive(self) -> None:
+        """Even if the mean difference is large."""
         found = compare([(0.5, 0.9), (0.6, 0.5), (0.5, 0.7)])
         assert found is not None
-        self.assertEqual(found.verdict, 'not told apart')
+        self.assertEqual(found.verdict, 'inconclusive')
 
-    def test_a_gain(self) -> None:
-        """A steady difference, though it is small."""
+    def test_consistent_improvement(self) -> None:
+        """A small difference is significant if it is consistent."""
         pairs = [(0.51, 0.54), (0.61, 0.64), (0.72, 0.76)]
         found = compare(pairs)
         assert found is not None
-        self.assertEqual(found.verdict, 'a gain')
+        self.assertEqual(found.verdict, 'improvement')
         self.assertIsNone(compare(pairs[:1]))
--- a/tests/unit/test_tools.py
+++ b/tests/unit/test_tools.py
@@ -1,33 +1,33 @@
-"""The developers' tools."""
+"""Developer tools: addresses, benchmark reports and the capacity page."""
 
 import unittest
 from pathlib import Path
 
-from tools.plays import Given, Play, combine
+from tools.plays import BenchmarkRun, RunResult, run_matrix
 from tools.processes import Addresses
 from tools.slopes import put, section
 
-_PLAY = Play(Path(), Path('site'), 'quiet')
+_RUN = BenchmarkRun(Path(), Path('site'), 'quiet')
 
 
 class AddressesTest(unittest.TestCase):
     """Addresses for child processes."""
 
-    def test_no_address_is_given_twice(self) -> None:
-        """Not even among many, where chance alone would do so."""
+    def test_addresses_are_unique(self) -> None:
+        """Even among many addresses, where random choice would collide."""
         addresses = Addresses()
         self.addCleanup(addresses.release)
-        given = [addresses.take() for _ in range(900)]
-        self.assertEqual(len(set(given)), len(given))
+        taken = [addresses.take() for _ in range(900)]
+        self.assertEqual(len(set(taken)), len(taken))
 
 
-class GivenTest(unittest.TestCase):
-    """What the users' bench reports of a play."""
+class RunResultTest(unittest.TestCase):
+    """Results read from the reports of the benchmark."""
 
-    def test_a_report(self) -> None:
-        """Worth, rules, exits and faults are found."""
-        given = Given(
-            _PLAY,
+    def test_reads_a_report(self) -> None:
+        """The score, violations, exits and faults are read."""
+        result = RunResult(
+            _RUN,
             {
                 'G': 0.562,
                 'served': 0.845,
@@ -37,26 +37,34 @@
                 'classes': [{'name': 'notes', 'worth': 0.7}],
             },
         )
-        self.assertEqual((given.worth, given.part('served')), (0.562, 0.845))
-        self.assertEqual(given.by_class(), {'notes': 0.7})
-        for told in ('LOST 20', 'own exits 10', 'it ended by itself'):
-            self.assertIn(told, given.rules)
-
-    def test_a_sound_day(self) -> None:
-        """Nothing is told of it."""
+        self.assertEqual((result.worth, result.share('served')), (0.562, 0.845))
+        self.assertEqual(result.worth_by_class(), {'notes': 0.7})
+        for expected in (
+            'LOST 20',
+            'unexpected exits 10',
+            'it ended by itself',
+        ):
+            self.assertIn(expected, result.violations)
+
+    def test_run_without_violations(self) -> None:
+        """The text of the violations is empty."""
         report = {'G': 0.9, 'breaks': {}, 'exits_n': 0, 'fault': None}
-        self.assertEqual(Given(_PLAY, report).rules, '')
+        self.assertEqual(RunResult(_RUN, report).violations, '')
 
-    def test_no_report(self) -> None:
-        """A day that was not played is told, not passed."""
-        self.assertIn('gave up', Given(_PLAY, {}, 'the bench gave up').rules)
+    def test_missing_report(self) -> None:
+        """A run without a report counts as a violation."""
+        self.assertIn(
+            'gave up', RunResult(_RUN, {}, 'the bench gave up').violations
+        )
 
     def test_pairs_are_adjacent(self) -> None:
-        """The two sources play one day after the other."""
-        two = [Path('before'), Path('after')]
-        plays = combine(two, [Path('site')], ['quiet', 'trouble'], ['1', '2'])
-        self.assertEqual([one.checkout for one in plays], two * 4)
-        self.assertEqual(plays[0].seed, plays[1].seed)
+        """Runs of one scenario by two checkouts follow each other."""
+        checkouts = [Path('before'), Path('after')]
+        runs = run_matrix(
+            checkouts, [Path('site')], ['quiet', 'trouble'], ['1', '2']
+        )
+        self.assertEqual([run.checkout for run in runs], checkouts * 4)
+        self.assertEqual(runs[0].seed, runs[1].seed)
 
 
 _PRINTED = """
@@ -69,18 +77,18 @@
 
 
 class SlopesTest(unittest.TestCase):
-    """What a sweep printed, as sections of a page."""
+    """The output of a sweep as sections of the capacity page."""
 
     def test_section(self) -> None:
-        """Days and slopes are tables."""
+        """Scenarios and slopes become tables."""
         tables = section(_PRINTED)
         self.assertIn('| sweep-30 | 0.911 | 0.990 |', tables)
         row = '| node: memory MB | 26 / 27.4 | 26 / 28.9 | 0.13 | 43.7 |'
         self.assertIn(row, tables)
         self.assertNotIn('power: the', tables)
 
-    def test_a_page_takes_it_over(self) -> None:
-        """A second time it takes the place of the first."""
+    def test_section_is_replaced(self) -> None:
+        """A second section with the same name replaces the first."""
         page = put('text\n<!-- end of sweeps -->\n', 'one', 'first')
         page = put(page, 'two', 'other')
         page = put(page, 'one', 'second')
--- a/tools/kinds.py
+++ b/tools/kinds.py
@@ -1,13 +1,13 @@
-"""Play days of one kind of trouble, aimed at each service and domain.
+"""Run scenarios of one kind of fault against each service and domain.
 
 Usage: python -m tools.kinds --bench=PROGRAM --site=FILE [--seeds=N,...]
 [--only=PATTERN] [--keep=FOLDER] [--below=WORTH] TABLE...
-A table, as bench/kinds/*.toml, has rows of fields of an impairment. 'hows'
-lists variants, each a day. 'aims' tells what it is aimed at: 'service',
-'model' (services that serve models), 'plain' (those that don't), 'zone',
-'each' (one zone of a service at a time) or nothing; the names are the site's.
-'beside' lists impairments that strike at the same times, and 'planned' tells
-planned work. Of plays that break a rule or give little, log and report are kept.
+A table, as in bench/kinds/*.toml, has rows with the fields of a fault. 'hows'
+lists variants, each a scenario. 'aims' selects the targets from the site file:
+'service', 'model' (services with models), 'plain' (those without), 'zone',
+'each' (a zone of each service) or nothing. 'beside' lists faults that are
+injected at the same times, and 'planned' marks planned work. Log and report of
+a run are kept if it violates a rule or its score is below --below.
 """
 
 import itertools
@@ -23,201 +23,231 @@
 import attrs
 from absl import app, flags
 
-from tools.plays import Bench, Given, Play
+from tools.plays import Benchmark, BenchmarkRun, RunResult
 
 _FLAGS = flags.FLAGS
-# Impairments last five seconds where nothing else is said: two of them, with
-# the time that a machine needs to be in touch again, and the end of the day.
-_SECONDS = 17.0
-_STRIKES = (3.0, 9.0)
-_SEED = '7'
-_OWN_FIELDS = frozenset(('hows', 'aims', 'beside', 'planned'))
+# Faults last five seconds by default: time for two faults, for machines to
+# reconnect after each, and for the end of the scenario.
+_SCENARIO_SECONDS = 17.0
+_FAULT_TIMES = (3.0, 9.0)
+_DEFAULT_SEED = '7'
+_TABLE_FIELDS = frozenset(('hows', 'aims', 'beside', 'planned'))
 
 _Fields = Mapping[str, Any]
 
 
 @attrs.frozen
-class Trouble:
-    """A day of one kind of trouble, or of some that strike together."""
+class FaultScenario:
+    """A scenario with one kind of fault, or several injected together."""
 
     faults: Sequence[_Fields]
     planned: bool = False
 
     @property
     def kind(self) -> str:
-        """Return the kinds of what strikes."""
-        return ' + '.join(str(one['kind']) for one in self.faults)
+        """Return the kinds of the faults."""
+        return ' + '.join(str(fault['kind']) for fault in self.faults)
 
     @property
     def how(self) -> str:
-        """Return the variants of what strikes."""
-        return ' + '.join(str(one.get('how') or '-') for one in self.faults)
+        """Return the variants of the faults."""
+        return ' + '.join(str(fault.get('how') or '-') for fault in self.faults)
 
     @property
     def aim(self) -> str:
-        """Return where the first of them strikes."""
+        """Return the target of the first fault."""
         first = self.faults[0]
-        named = (first.get(name) for name in ('service', 'zone', 'class'))
-        return ' '.join(str(name) for name in named if name) or 'all'
+        names = (first.get(name) for name in ('service', 'zone', 'class'))
+        return ' '.join(str(name) for name in names if name) or 'all'
 
     @property
     def name(self) -> str:
-        """Return a name that a file may have."""
-        told = f'{self.kind}-{self.how}-{self.aim}'
-        return re.sub('[^a-z0-9]+', '-', told).strip('-')
+        """Return a name that is valid as a file name."""
+        label = f'{self.kind}-{self.how}-{self.aim}'
+        return re.sub('[^a-z0-9]+', '-', label).strip('-')
 
     def day(self, seed: str) -> str:
-        """Return the day as the users' bench reads it."""
+        """Return the scenario as TOML for the benchmark."""
         parts = {'plan' if self.planned else 'faults': self.faults}
         lists = (
-            f'{name} = [\n{_strikes(parts.get(name, ()))}]\n'
+            f'{name} = [\n{_format_faults(parts.get(name, ()))}]\n'
             for name in ('plan', 'faults')
         )
         return (
             f'[[day]]\nname = "{self.name}"\nseed = {seed}\n'
-            f'length_s = {_SECONDS}\n{"".join(lists)}'
+            f'length_s = {_SCENARIO_SECONDS}\n{"".join(lists)}'
         )
 
 
-def troubles(rows: Sequence[_Fields], site: _Fields) -> Iterator[Trouble]:
-    """Return a day for each variant of a row and each aim at the site."""
+def scenarios(
+    rows: Sequence[_Fields], site: _Fields
+) -> Iterator[FaultScenario]:
+    """Return a scenario for each variant and target of each row."""
     for row in rows:
-        own = {name: row[name] for name in row if name not in _OWN_FIELDS}
+        fault_fields = {
+            name: row[name] for name in row if name not in _TABLE_FIELDS
+        }
         beside = row.get('beside', ())
         for how, aim in itertools.product(
             row.get('hows', ('',)),
-            _aims(row.get('aims', ''), site),
+            _targets(row.get('aims', ''), site),
         ):
             variant = {'how': how} if how else {}
-            struck = {**own, **variant, **aim}
-            yield Trouble((struck, *beside), row.get('planned', False))
+            fault = {**fault_fields, **variant, **aim}
+            yield FaultScenario((fault, *beside), row.get('planned', False))
 
 
-def _aims(aims: str, site: _Fields) -> list[Mapping[str, str]]:
+def _targets(aims: str, site: _Fields) -> list[Mapping[str, str]]:
     services = site['services']
     match aims:
         case 'service':
-            return [{'service': one['name']} for one in services]
+            return [{'service': service['name']} for service in services]
         case 'model':
             return [
-                {'service': one['name']} for one in services if _serves(one)
+                {'service': service['name']}
+                for service in services
+                if _serves_model(service)
             ]
         case 'plain':
             return [
-                {'service': one['name']} for one in services if not _serves(one)
+                {'service': service['name']}
+                for service in services
+                if not _serves_model(service)
             ]
         case 'zone':
             return [{'zone': zone['name']} for zone in site['zones']]
         case 'each':
-            # One of a service's zones tells what the others would.
+            # The zones of a service are equivalent, so one is enough.
             return [
-                {'service': one['name'], 'zone': one['servers'][0]['zone']}
-                for one in services
+                {
+                    'service': service['name'],
+                    'zone': service['servers'][0]['zone'],
+                }
+                for service in services
             ]
     return [{}]
 
 
-def _serves(service: _Fields) -> bool:
+def _serves_model(service: _Fields) -> bool:
     return 'model' in service
 
 
-def _strikes(faults: Sequence[_Fields]) -> str:
+def _format_faults(faults: Sequence[_Fields]) -> str:
     return ''.join(
-        f'  {_inline({"at": at, **fault})},\n'
-        for at, fault in itertools.product(_STRIKES, faults)
+        f'  {_inline_table({"at": at, **fault})},\n'
+        for at, fault in itertools.product(_FAULT_TIMES, faults)
     )
 
 
-def _inline(fields: _Fields) -> str:
-    # Strings, numbers and truths are written alike in JSON and TOML.
-    told = (f'{name} = {json.dumps(fields[name])}' for name in fields)
-    return f'{{ {", ".join(told)} }}'
+def _inline_table(fields: _Fields) -> str:
+    # Strings, numbers and booleans have the same syntax in JSON and TOML.
+    pairs = (f'{name} = {json.dumps(fields[name])}' for name in fields)
+    return f'{{ {", ".join(pairs)} }}'
 
 
-def row_of(trouble: Trouble, given: Given) -> str:
-    """Return a row of the table, for a page."""
-    worth = '' if given.worth is None else f'{given.worth:.3f}'
+def table_row(scenario: FaultScenario, run_result: RunResult) -> str:
+    """Return a row of the Markdown table."""
+    worth = '' if run_result.worth is None else f'{run_result.worth:.3f}'
     cells = (
-        trouble.kind,
-        trouble.how,
-        trouble.aim,
-        given.play.seed,
+        scenario.kind,
+        scenario.how,
+        scenario.aim,
+        run_result.run.seed,
         worth,
-        f'{given.part("served"):.3f}',
-        f'{given.part("failed"):.3f}',
-        given.rules,
+        f'{run_result.share("served"):.3f}',
+        f'{run_result.share("failed"):.3f}',
+        run_result.violations,
     )
     return f'| {" | ".join(cells)} |'
 
 
-def _keep(trouble: Trouble, given: Given, folder: Path) -> None:
-    stem = f'days-{Path(given.play.site).stem}-{trouble.name}'
-    target = folder / f'{stem}-{given.play.seed}.txt'
-    target.write_text(given.log, 'utf-8')
-    report = json.dumps(given.report)
+def _save(scenario: FaultScenario, run_result: RunResult, folder: Path) -> None:
+    stem = f'days-{Path(run_result.run.site).stem}-{scenario.name}'
+    target = folder / f'{stem}-{run_result.run.seed}.txt'
+    target.write_text(run_result.log, 'utf-8')
+    report = json.dumps(run_result.report)
     target.with_suffix('.json').write_text(report, 'utf-8')
 
 
-def _say(text: str) -> None:
+def _print_line(text: str) -> None:
     sys.stdout.write(f'{text}\n')
     sys.stdout.flush()
 
 
-def _read(path: str) -> _Fields:
+def _read_toml(path: str) -> _Fields:
     return tomllib.loads(Path(path).read_text('utf-8'))
 
 
-def _write(asked: Sequence[tuple[Trouble, str]], folder: Path) -> list[Play]:
-    plays = []
-    for number, (trouble, seed) in enumerate(asked):
+def _write_scenarios(
+    requested: Sequence[tuple[FaultScenario, str]], folder: Path
+) -> list[BenchmarkRun]:
+    runs = []
+    for number, (scenario, seed) in enumerate(requested):
         day = folder / f'{number}.toml'
-        day.write_text(trouble.day(seed), 'utf-8')
-        plays.append(Play(Path.cwd(), Path(_FLAGS.site), str(day), seed))
-    return plays
+        day.write_text(scenario.day(seed), 'utf-8')
+        runs.append(BenchmarkRun(Path.cwd(), Path(_FLAGS.site), str(day), seed))
+    return runs
 
 
 def main(tables: Sequence[str]) -> int:
-    """Play each table's days; return whether any broke a rule."""
-    site = _read(_FLAGS.site)
-    rows = [row for table in tables[1:] for row in _read(table)['row']]
-    wanted = re.compile(_FLAGS.only)
-    days = [one for one in troubles(rows, site) if wanted.search(one.name)]
-    asked = list(itertools.product(days, _FLAGS.seeds))
-    _say('| kind | how | aimed at | seed | worth | served | failed | broken |')
-    _say(f'|{" --- |" * 8}')
+    """Run the scenarios; return 1 if a run violated a rule, else 0."""
+    site = _read_toml(_FLAGS.site)
+    rows = [row for table in tables[1:] for row in _read_toml(table)['row']]
+    pattern = re.compile(_FLAGS.only)
+    selected = [
+        scenario
+        for scenario in scenarios(rows, site)
+        if pattern.search(scenario.name)
+    ]
+    requested = list(itertools.product(selected, _FLAGS.seeds))
+    _print_line(
+        '| kind | variant | target | seed | worth | served | failed '
+        '| violations |',
+    )
+    _print_line(f'|{" --- |" * 8}')
     with tempfile.TemporaryDirectory() as folder:
-        broken = [_tell(*played) for played in _play(asked, Path(folder))]
-    return int(any(broken))
+        has_violations = [
+            _report(*outcome) for outcome in _run_all(requested, Path(folder))
+        ]
+    return int(any(has_violations))
 
 
-def _play(
-    asked: Sequence[tuple[Trouble, str]],
+def _run_all(
+    requested: Sequence[tuple[FaultScenario, str]],
     folder: Path,
-) -> Iterator[tuple[Trouble, Given]]:
-    bench = Bench(Path(_FLAGS.bench), _FLAGS.why, _FLAGS.jobs, True, True)
+) -> Iterator[tuple[FaultScenario, RunResult]]:
+    bench = Benchmark(Path(_FLAGS.bench), _FLAGS.why, _FLAGS.jobs, True, True)
     bench.build([Path.cwd()])
-    plays = _write(asked, folder)
-    for (trouble, _), given in zip(asked, bench.play_all(plays)):
-        yield trouble, given
+    runs = _write_scenarios(requested, folder)
+    for (scenario, _), run_result in zip(requested, bench.run_all(runs)):
+        yield scenario, run_result
 
 
-def _tell(trouble: Trouble, given: Given) -> bool:
-    """Print the row of a play, and return whether it broke a rule."""
-    _say(row_of(trouble, given))
-    is_poor = given.worth is not None and given.worth < _FLAGS.below
-    if given.rules or is_poor:
-        _keep(trouble, given, Path(_FLAGS.keep))
-    return bool(given.rules)
+def _report(scenario: FaultScenario, run_result: RunResult) -> bool:
+    """Print the row of a run and return whether it violated a rule."""
+    _print_line(table_row(scenario, run_result))
+    is_poor = run_result.worth is not None and run_result.worth < _FLAGS.below
+    if run_result.violations or is_poor:
+        _save(scenario, run_result, Path(_FLAGS.keep))
+    return bool(run_result.violations)
 
 
 if __name__ == '__main__':
-    flags.DEFINE_string('bench', None, "the users' bench program")
+    flags.DEFINE_string('bench', None, 'the benchmark program')
     flags.DEFINE_string('site', None, 'a site file')
-    flags.DEFINE_string('why', 'days of one kind', 'a line for the journal')
-    flags.DEFINE_string('only', '', 'play days whose name has this pattern')
-    flags.DEFINE_string('keep', '.', 'a folder for logs of broken plays')
-    flags.DEFINE_float('below', 0, 'keep the logs of plays of less worth')
-    flags.DEFINE_list('seeds', [_SEED], 'a play for each of them')
-    flags.DEFINE_integer('jobs', 4, 'how many days to play at once', 1, 4)
+    flags.DEFINE_string(
+        'why', 'scenarios of one kind', 'purpose, as recorded in the journal'
+    )
+    flags.DEFINE_string(
+        'only', '', 'run scenarios whose name matches this pattern'
+    )
+    flags.DEFINE_string(
+        'keep', '.', 'folder for logs and reports of failed runs'
+    )
+    flags.DEFINE_float('below', 0, 'keep the logs of runs with a lower score')
+    flags.DEFINE_list(
+        'seeds', [_DEFAULT_SEED], 'random seeds, one run for each'
+    )
+    flags.DEFINE_integer('jobs', 4, 'number of runs in parallel', 1, 4)
     flags.mark_flags_as_required(['bench', 'site'])
     app.run(main)
--- a/tools/pairs.py
+++ b/tools/pairs.py
@@ -1,9 +1,9 @@
-"""Play two sources on the same days and seeds, and judge the difference.
+"""Compare two checkouts on the same scenarios and seeds.
 
 Usage: python -m tools.pairs --bench=PROGRAM --sites=FILE,... --before=CHECKOUT
 --after=CHECKOUT [--seeds=N,...] DAY...
-The processor's time is not charged unless --cpu is given. Two plays of one day
-and seed differ by 0.1 and more, so that nothing is told from one of them.
+Processor time is not charged unless --cpu is given. Two runs of one scenario and
+seed differ by 0.1 and more in score, so a single pair is not conclusive.
 """
 
 import sys
@@ -14,16 +14,16 @@
 from absl import app, flags
 from scipy import stats
 
-from tools.plays import Bench, Given, combine
+from tools.plays import Benchmark, RunResult, run_matrix
 
 _FLAGS = flags.FLAGS
 _CONFIDENCE = 0.95
-_FEWEST = 2
+_MIN_PAIRS = 2
 
 
 @attrs.frozen
 class Difference:
-    """The mean difference of pairs, with the interval that may hold it."""
+    """Mean difference of pairs with its confidence interval."""
 
     mean: float
     low: float
@@ -31,94 +31,100 @@
 
     @property
     def verdict(self) -> str:
-        """Say what may be concluded; an interval with zero says nothing."""
+        """Classify the difference; an interval with zero is inconclusive."""
         if self.low > 0:
-            return 'a gain'
+            return 'improvement'
         if self.high < 0:
-            return 'a loss'
-        return 'not told apart'
+            return 'regression'
+        return 'inconclusive'
 
 
 def compare(pairs: Sequence[tuple[float, float]]) -> Difference | None:
-    """Judge pairs of what was before and after, by Student's distribution."""
-    if len(pairs) < _FEWEST:
+    """Compare pairs (before, after) by the paired t-test."""
+    if len(pairs) < _MIN_PAIRS:
         return None
     before, after = zip(*pairs, strict=True)
-    judged = stats.ttest_rel(after, before)
-    interval = judged.confidence_interval(_CONFIDENCE)
+    test = stats.ttest_rel(after, before)
+    interval = test.confidence_interval(_CONFIDENCE)
     mean = sum(after) / len(after) - sum(before) / len(before)
     return Difference(mean, float(interval.low), float(interval.high))
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Play the pairs and print them; return whether all kept the rules."""
+    """Run and print the pairs; return 1 if a run violated a rule, else 0."""
     checkouts = [Path(_FLAGS.before), Path(_FLAGS.after)]
-    bench = Bench(
+    bench = Benchmark(
         Path(_FLAGS.bench),
         _FLAGS.why,
         _FLAGS.jobs,
-        is_cpu_free=not _FLAGS.cpu,
+        ignores_cpu_cost=not _FLAGS.cpu,
     )
     bench.build(checkouts)
     sites = list(map(Path, _FLAGS.sites))
-    plays = combine(checkouts, sites, arguments[1:], _FLAGS.seeds)
-    given = list(_tell(bench.play_all(plays)))
+    runs = run_matrix(checkouts, sites, arguments[1:], _FLAGS.seeds)
+    run_results = list(_print_pairs(bench.run_all(runs)))
     pairs = [
         (before.worth, after.worth)
-        for before, after in zip(given[::2], given[1::2], strict=True)
+        for before, after in zip(
+            run_results[::2], run_results[1::2], strict=True
+        )
         if before.worth is not None and after.worth is not None
     ]
-    _say_difference(compare(pairs), len(pairs))
-    return int(any(one.rules for one in given))
+    _print_difference(compare(pairs), len(pairs))
+    return int(any(result.violations for result in run_results))
 
 
-def _tell(given: Iterator[Given]) -> Iterator[Given]:
-    """Print each pair as it is there."""
-    for before in given:
-        after = next(given)
-        play = after.play
+def _print_pairs(run_results: Iterator[RunResult]) -> Iterator[RunResult]:
+    """Print each pair as soon as it is complete."""
+    for before in run_results:
+        after = next(run_results)
+        run = after.run
         sys.stdout.write(
-            f'{play.site.stem:24} {play.day:10} {play.seed:>13} '
-            f'{_figures(before)} | {_figures(after)}\n',
+            f'{run.site.stem:24} {run.day:10} {run.seed:>13} '
+            f'{_format_result(before)} | {_format_result(after)}\n',
         )
-        for one in (before, after):
-            if one.rules:
-                sys.stdout.write(f'    {one.play.checkout}: {one.rules}\n')
+        for result in (before, after):
+            if result.violations:
+                sys.stdout.write(
+                    f'    {result.run.checkout}: {result.violations}\n'
+                )
         sys.stdout.flush()
         yield from (before, after)
 
 
-def _figures(given: Given) -> str:
-    worth = given.worth
+def _format_result(result: RunResult) -> str:
+    worth = result.worth
     if worth is None:
-        return 'not played'
+        return 'not run'
     classes = ' '.join(
-        f'{part:.2f}' for part in list(given.by_class().values())[:3]
+        f'{part:.2f}' for part in list(result.worth_by_class().values())[:3]
     )
     return (
-        f'{worth:.3f} refused {given.part("refused"):.3f} '
-        f'failed {given.part("failed"):.3f} by kind {classes}'
+        f'{worth:.3f} refused {result.share("refused"):.3f} '
+        f'failed {result.share("failed"):.3f} by class {classes}'
     )
 
 
-def _say_difference(found: Difference | None, count: int) -> None:
-    if found is None:
-        sys.stdout.write('fewer than two pairs: nothing is told\n')
+def _print_difference(difference: Difference | None, count: int) -> None:
+    if difference is None:
+        sys.stdout.write('fewer than two complete pairs: no comparison\n')
         return
     sys.stdout.write(
-        f'mean difference of {count} pairs: {found.mean:+.3f} '
-        f'[{found.low:+.3f}, {found.high:+.3f}]: {found.verdict}\n',
+        f'mean difference of {count} pairs: {difference.mean:+.3f} '
+        f'[{difference.low:+.3f}, {difference.high:+.3f}]: {difference.verdict}\n',
     )
 
 
 if __name__ == '__main__':
-    flags.DEFINE_string('bench', None, "the users' bench program")
+    flags.DEFINE_string('bench', None, 'the benchmark program')
     flags.DEFINE_list('sites', None, 'site files')
     flags.DEFINE_string('before', None, 'the checkout to compare with')
-    flags.DEFINE_string('after', None, 'the checkout that is judged')
-    flags.DEFINE_string('why', 'paired plays', 'a line for the journal')
-    flags.DEFINE_list('seeds', [], 'other seeds than the days have')
-    flags.DEFINE_integer('jobs', 4, 'how many days to play at once', 1, 8)
+    flags.DEFINE_string('after', None, 'the changed checkout')
+    flags.DEFINE_string(
+        'why', 'paired runs', 'purpose, as recorded in the journal'
+    )
+    flags.DEFINE_list('seeds', [], 'seeds that replace those of the scenarios')
+    flags.DEFINE_integer('jobs', 4, 'number of runs in parallel', 1, 8)
     flags.DEFINE_boolean('cpu', False, 'charge processor time')
     flags.mark_flags_as_required(['bench', 'sites', 'before', 'after'])
     app.run(main)
--- a/tools/plays.py
+++ b/tools/plays.py
@@ -1,4 +1,7 @@
-"""Play days on the users' bench and read what each of them gave."""
+"""Run scenarios on the external benchmark and read their reports.
+
+The benchmark calls a scenario a day: a load and a schedule of faults at a site.
+"""
 
 import itertools
 import json
@@ -11,15 +14,15 @@
 
 import attrs
 
-# The longest day on the users' small sites takes two minutes.
-_SECONDS = 900
-# Where a day was not played, so much of what the bench printed tells why.
-_LAST_SIGNS = 200
+# The longest scenario on the small sites takes two minutes.
+_RUN_TIMEOUT_SECONDS = 900
+# How much of the output is shown if the benchmark wrote no report.
+_ERROR_TAIL_CHARACTERS = 200
 
 
 @attrs.frozen
-class Play:
-    """One day to play: of which sources, where, when, with which luck."""
+class BenchmarkRun:
+    """One scenario to run: checkout, site file, scenario and random seed."""
 
     checkout: Path
     site: Path
@@ -28,54 +31,54 @@
 
 
 @attrs.frozen
-class Given:
-    """What a play gave; ``report`` is the bench's own, empty if not played."""
+class RunResult:
+    """Result of a run; ``report`` is empty if the benchmark wrote none."""
 
-    play: Play
+    run: BenchmarkRun
     report: Mapping[str, Any]
     log: str = ''
 
     @property
     def worth(self) -> float | None:
-        """Return what was earned, less prices, of what was owed."""
+        """Return the score: value earned minus costs, as a share of that due."""
         return self.report.get('G')
 
     @property
-    def rules(self) -> str:
-        """Return the rules that were broken, and how often."""
+    def violations(self) -> str:
+        """Return the violated rules with their counts, empty if there are none."""
         if not self.report:
-            return f'not played: {self.log[-_LAST_SIGNS:]}'
-        broken = {**self.report['breaks'], **self._faults()}
-        return ', '.join(f'{rule} {count}' for rule, count in broken.items())
+            return f'not run: {self.log[-_ERROR_TAIL_CHARACTERS:]}'
+        violated = {**self.report['breaks'], **self._process_faults()}
+        return ', '.join(f'{rule} {count}' for rule, count in violated.items())
 
-    def part(self, name: str) -> float:
-        """Return a part of the requests: served, refused, or failed."""
+    def share(self, name: str) -> float:
+        """Return a share of the requests: served, refused or failed."""
         return float(self.report.get(name, 0))
 
-    def by_class(self) -> Mapping[str, float]:
-        """Return the worth earned by kind of request."""
+    def worth_by_class(self) -> Mapping[str, float]:
+        """Return the score by request class."""
         classes = self.report.get('classes', ())
-        return {one['name']: one['worth'] for one in classes}
+        return {entry['name']: entry['worth'] for entry in classes}
 
-    def _faults(self) -> Mapping[str, int]:
+    def _process_faults(self) -> Mapping[str, int]:
         exits = self.report['exits_n']
         fault = self.report['fault']
-        found = {'own exits': exits} if exits else {}
-        return {**found, str(fault): 1} if fault else found
+        counts = {'unexpected exits': exits} if exits else {}
+        return {**counts, str(fault): 1} if fault else counts
 
 
 @attrs.frozen
-class Bench:
-    """The users' program, and how it is to play."""
+class Benchmark:
+    """The benchmark program and the options to run it with."""
 
     program: Path
-    why: str
+    purpose: str
     jobs: int
-    is_cpu_free: bool = False
+    ignores_cpu_cost: bool = False
     keeps_logs: bool = False
 
     def build(self, checkouts: Iterable[Path]) -> None:
-        """Build each checkout once, as builds must not overlap plays."""
+        """Build each checkout once, as builds must not overlap runs."""
         for checkout in checkouts:
             subprocess.run(
                 [self.program, 'build'],
@@ -84,63 +87,63 @@
                 check=True,
             )
 
-    def play_all(self, plays: Sequence[Play]) -> Iterator[Given]:
-        """Play days, some at a time, and yield what they gave in order."""
+    def run_all(self, runs: Sequence[BenchmarkRun]) -> Iterator[RunResult]:
+        """Run scenarios in parallel and yield their results in order."""
         with ThreadPoolExecutor(self.jobs) as pool:
-            yield from pool.map(self.play, plays)
+            yield from pool.map(self.run, runs)
 
-    def play(self, play: Play) -> Given:
-        """Play one day."""
+    def run(self, run: BenchmarkRun) -> RunResult:
+        """Run one scenario."""
         with tempfile.TemporaryDirectory() as folder:
             report = Path(folder) / 'report.json'
-            played = subprocess.run(
-                self._command(play, report),
-                cwd=play.checkout,
+            process = subprocess.run(
+                self._command(run, report),
+                cwd=run.checkout,
                 stdout=subprocess.PIPE,
-                # Nodes' lines and the reason of a day not played go there.
+                # Node logs and the reason of a failed run are written there.
                 stderr=subprocess.STDOUT,
                 check=False,
                 text=True,
-                timeout=_SECONDS,
+                timeout=_RUN_TIMEOUT_SECONDS,
             )
-            found = {}
+            parsed = {}
             if report.exists():
-                found = json.loads(report.read_text())
-        return Given(play, found, played.stdout)
+                parsed = json.loads(report.read_text())
+        return RunResult(run, parsed, process.stdout)
 
-    def _command(self, play: Play, report: Path) -> list[str]:
-        optional = {
-            '--no-cpu': self.is_cpu_free,
-            f'--seed={play.seed}': bool(play.seed),
+    def _command(self, run: BenchmarkRun, report: Path) -> list[str]:
+        options = {
+            '--no-cpu': self.ignores_cpu_cost,
+            f'--seed={run.seed}': bool(run.seed),
             '--log=all': self.keeps_logs,
         }
         return [
             str(self.program),
             'run',
-            str(play.site),
-            play.day,
+            str(run.site),
+            run.day,
             *(
                 part
-                for option, wanted in optional.items()
-                if wanted
+                for option, is_set in options.items()
+                if is_set
                 for part in option.split('=')
             ),
             '--report',
             str(report),
             '--why',
-            self.why,
+            self.purpose,
         ]
 
 
-def combine(
+def run_matrix(
     checkouts: Sequence[Path],
     sites: Sequence[Path],
     days: Sequence[str],
     seeds: Sequence[str],
-) -> list[Play]:
-    """Return every combination; those that differ by checkout are adjacent."""
+) -> list[BenchmarkRun]:
+    """Return all combinations; runs that differ by checkout are adjacent."""
     return [
-        Play(checkout, site, day, seed)
+        BenchmarkRun(checkout, site, day, seed)
         for site, day, seed, checkout in itertools.product(
             sites,
             days,
