--- a/src/cranecart/fleet/_incarnations.py
+++ b/src/cranecart/fleet/_incarnations.py
@@ -28,7 +28,7 @@
 class IncarnationMatch(enum.Enum):
     """How the incarnation in an entry relates to the known one."""
 
-    # The known incarnation, or one that cannot be told from it.
+    # The known incarnation, or one that cannot be distinguished from it.
     SAME = 'same'
     # The instance has restarted, so the known incarnation has ended.
     NEWER = 'anew'
--- a/tests/unit/test_restarted_instances.py
+++ b/tests/unit/test_restarted_instances.py
@@ -201,12 +201,12 @@
     def test_dead_replica_is_not_ordered_member_by_member(self) -> None:
         """Each order timed out after 0.4 s, so 15 members took 6 s per round."""
         curio.run(self._lose_all_members)
-        asked = [
+        ordered = [
             name
             for order, name in self.testbed.engines.orders
             if order == 'leave' and name in self.testbed.engines.unreachable
         ]
-        self.assertLessEqual(len(asked), 2)
+        self.assertLessEqual(len(ordered), 2)
 
     async def _restart_member(self, rank: int) -> float:
         testbed = self.testbed
--- a/tests/unit/test_restored_list.py
+++ b/tests/unit/test_restored_list.py
@@ -74,8 +74,8 @@
         """The store has dropped the entry meanwhile."""
         self.instance_list.apply({'a': None}, False)
         self.instance_list.apply_restored(self.restored, 0)
-        whole = {name: self.restored[name] for name in ('b', 'c')}
-        self.instance_list.apply(whole, True)
+        complete_list = {name: self.restored[name] for name in ('b', 'c')}
+        self.instance_list.apply(complete_list, True)
         self.assertEqual(self.instance_list.accept_unconfirmed(9), [])
 
     def test_instance_missing_in_the_restored_list(self) -> None:
