--- a/tools/bench/__main__.py
+++ b/tools/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Run all measurements, print a table and keep the figures.
+"""Run all benchmarks, print the results as JSON and record them.
 
 Usage: python -m tools.bench [--short]
 """
@@ -27,11 +27,11 @@
 from tools.bench._measure import Line
 
 _ROOT = Path(__file__).parent.parent.parent
-_LATEST = _ROOT / 'bench' / 'latest.json'
-_HISTORY = _ROOT / 'bench' / 'history.jsonl'
-_INDENT = 2
+_LATEST_FILE = _ROOT / 'bench' / 'latest.json'
+_HISTORY_FILE = _ROOT / 'bench' / 'history.jsonl'
+_JSON_INDENT = 2
 _SEED = 1
-_MEASURED = (
+_CONTROL_COSTS = (
     'cpu_ms',
     'memory_mb',
     'peer_bytes_sent',
@@ -45,16 +45,16 @@
 
 
 def main() -> int:
-    """Measure, print and write."""
+    """Run the benchmarks, then print and store the results."""
     started = time.monotonic()
     figures: dict[str, Any] = {
-        'commit': _commit(),
+        'commit': _current_commit(),
         'relay': {
             name: attrs.asdict(cost) for name, cost in _relay.measure().items()
         },
         'control': {
-            against: _lines(points)
-            for against, points in _control.measure().items()
+            size_kind: _fit_lines(points)
+            for size_kind, points in _control.measure().items()
         },
         'probe': _probe.measure(),
         'policies': _policies.measure(),
@@ -72,16 +72,16 @@
     }
     figures['seconds'] = time.monotonic() - started
     encoded = msgspec.json.encode(figures)
-    text = msgspec.json.format(encoded, indent=_INDENT).decode()
-    _LATEST.parent.mkdir(exist_ok=True)
-    _LATEST.write_text(f'{text}\n', 'utf-8')
-    with _HISTORY.open('ab') as history:
+    text = msgspec.json.format(encoded, indent=_JSON_INDENT).decode()
+    _LATEST_FILE.parent.mkdir(exist_ok=True)
+    _LATEST_FILE.write_text(f'{text}\n', 'utf-8')
+    with _HISTORY_FILE.open('ab') as history:
         history.write(b'%b\n' % encoded)
     sys.stdout.write(f'{text}\n')
     return 0
 
 
-def _lines(points: _control.Points) -> dict[str, Any]:
+def _fit_lines(points: _control.Points) -> dict[str, Any]:
     return {
         name: {
             'points': [(size, rates[name]) for size, rates in points],
@@ -89,11 +89,11 @@
                 Line.through([(size, rates[name]) for size, rates in points]),
             ),
         }
-        for name in _MEASURED
+        for name in _CONTROL_COSTS
     }
 
 
-def _commit() -> str:
+def _current_commit() -> str:
     run = subprocess.run(
         ['git', 'rev-parse', '--short', 'HEAD'],
         cwd=_ROOT,
--- a/tools/bench/_control.py
+++ b/tools/bench/_control.py
@@ -1,4 +1,4 @@
-"""The cost of control of one idle node, against what it depends on."""
+"""Control-plane cost of one idle node by cluster size."""
 
 import subprocess
 import sys
@@ -24,32 +24,32 @@
 _EXAMPLE = Path(__file__).parent.parent.parent / 'examples' / 'katyuszerviz'
 _DOMAIN = 'buda-terem'
 _SETTLE_SECONDS = 7.0
-_WINDOW_SECONDS = 8.0
+_MEASURE_SECONDS = 8.0
 NODE_SIZES = (3, 12, 24, 45)
 INSTANCE_SIZES = (0, 34, 68, 136)
 ORGANISATION_SIZES = (2, 50, 200, 600)
-_FOUR = 4
-_AT_ONCE = 3
-_MOST_WAITS = 25
-_QUIET_BYTES = 4000
-_LOOK_SECONDS = 2.0
+_FIXED_NODES = 4
+_PARALLEL_CLUSTERS = 3
+_MAX_QUIET_CHECKS = 25
+_QUIET_BYTES_PER_SECOND = 4000
+_QUIET_CHECK_SECONDS = 2.0
 
 Rates = dict[str, float]
 Points = list[tuple[int, Rates]]
 
 
 def measure() -> dict[str, Points]:
-    """Measure one node against all sizes, three clusters at a time."""
+    """Measure one node at each size, three clusters in parallel."""
     sizes = (
         *(('nodes', size) for size in reversed(NODE_SIZES)),
         *(('instances', size) for size in INSTANCE_SIZES),
         *(('organisations', size) for size in ORGANISATION_SIZES),
     )
-    with ProcessPoolExecutor(_AT_ONCE) as pool:
+    with ProcessPoolExecutor(_PARALLEL_CLUSTERS) as pool:
         rates = list(pool.map(_measure_size, sizes))
     points: dict[str, Points] = defaultdict(list)
-    for (against, size), measured in zip(sizes, rates, strict=True):
-        points[against].append((size, measured))
+    for (size_kind, size), cost in zip(sizes, rates, strict=True):
+        points[size_kind].append((size, cost))
     return points
 
 
@@ -58,61 +58,63 @@
         case 'nodes', count:
             return _measure(count, 0, None)
         case 'instances', count:
-            # Each of four nodes asks half of them.
-            return _measure(_FOUR, count, None)
+            # Each of the four nodes probes half of the instances.
+            return _measure(_FIXED_NODES, count, None)
         case _, count:
-            return _measure(_FOUR, 0, _with_organisations(count))
+            return _measure(_FIXED_NODES, 0, _declare_organisations(count))
 
 
-def _with_organisations(count: int) -> Declarations:
-    declared = _declared()
-    first = declared.organisations[0]
-    many = tuple(
+def _declare_organisations(count: int) -> Declarations:
+    declarations = _declare_without_models()
+    first = declarations.organisations[0]
+    organisations = tuple(
         attrs.evolve(first, name=f'organisation-{number:05}')
         for number in range(count)
     )
-    return attrs.evolve(declared, organisations=many)
+    return attrs.evolve(declarations, organisations=organisations)
 
 
-def _declared() -> Declarations:
-    declared = compile_folder(_EXAMPLE)
-    # Nothing to place: the cost of idle control is asked for.
-    return attrs.evolve(declared, models=())
+def _declare_without_models() -> Declarations:
+    declarations = compile_folder(_EXAMPLE)
+    # Without models nothing is placed, so the control plane stays idle.
+    return attrs.evolve(declarations, models=())
 
 
 def _measure(
     nodes: int,
     instances: int,
-    declared: Declarations | None,
+    declarations: Declarations | None,
 ) -> Rates:
-    with _cluster(nodes, instances, declared or _declared()) as cluster:
+    with _cluster(
+        nodes, instances, declarations or _declare_without_models()
+    ) as cluster:
         time.sleep(_SETTLE_SECONDS)
         _wait_until_quiet(cluster)
         pid = cluster.processes['node1'].popen.pid
         admin = cluster.entries['node1'].operators
         before = Usage.of_node(pid, admin)
         platform = _platform_counts(cluster)
-        time.sleep(_WINDOW_SECONDS)
+        time.sleep(_MEASURE_SECONDS)
         rates = Usage.of_node(pid, admin).rates_since(before)
         after = _platform_counts(cluster)
     rates['all_platform_reads'] = (
         after['reads'] - platform['reads']
-    ) / _WINDOW_SECONDS
+    ) / _MEASURE_SECONDS
     rates['all_platform_writes'] = (
         after['writes'] - platform['writes']
-    ) / _WINDOW_SECONDS
+    ) / _MEASURE_SECONDS
     return rates
 
 
 def _wait_until_quiet(cluster: LocalCluster) -> None:
-    """Wait until the news of the start has been spread."""
+    """Wait until gossip about the start has died down."""
     pid = cluster.processes['node1'].popen.pid
     admin = cluster.entries['node1'].operators
-    for _ in range(_MOST_WAITS):
+    for _ in range(_MAX_QUIET_CHECKS):
         before = Usage.of_node(pid, admin)
-        time.sleep(_LOOK_SECONDS)
+        time.sleep(_QUIET_CHECK_SECONDS)
         rates = Usage.of_node(pid, admin).rates_since(before)
-        if rates['peer_bytes_sent'] < _QUIET_BYTES:
+        if rates['peer_bytes_sent'] < _QUIET_BYTES_PER_SECOND:
             return
 
 
@@ -124,7 +126,7 @@
 def _cluster(
     nodes: int,
     instances: int,
-    declared: Declarations,
+    declarations: Declarations,
 ) -> Generator[LocalCluster, None, None]:
     options = ClusterOptions(
         domains=(_DOMAIN,),
@@ -136,7 +138,7 @@
         with LocalCluster(Path(folder), options) as cluster:
             engines = _start_engines(cluster, instances)
             try:
-                _bring_up(cluster, declared)
+                _apply_declarations(cluster, declarations)
                 yield cluster
             finally:
                 engines.kill()
@@ -160,18 +162,20 @@
     )
 
 
-def _bring_up(cluster: LocalCluster, declared: Declarations) -> None:
+def _apply_declarations(
+    cluster: LocalCluster, declarations: Declarations
+) -> None:
     control = cluster.control
     wait_until(lambda: control.status() is not None, 'a node answers')
-    curio.run(apply_change, control.operator(), declared, 0, 'bench')
+    curio.run(apply_change, control.operator(), declarations, 0, 'bench')
     wait_until(
-        lambda: _all_know_all(cluster),
-        'all nodes know all and hold the configuration',
+        lambda: _is_converged(cluster),
+        'all nodes know each other and have the configuration',
         60,
     )
 
 
-def _all_know_all(cluster: LocalCluster) -> bool:
+def _is_converged(cluster: LocalCluster) -> bool:
     return all(
         status is not None
         and status.config_version == 1
--- a/tools/bench/_fleet.py
+++ b/tools/bench/_fleet.py
@@ -1,7 +1,7 @@
-"""What one node does with 1,095 instances, in milliseconds of one core.
+"""Processor time of node operations with 1,095 instances.
 
-The sizes are those of the users' large deployment: fifteen fabric domains of 73
-in five failure domains, models of 32 and 8 members, a plain service of five.
+The sizes are those of the users' large deployment: 15 fabric domains of 73 instances
+in 5 failure domains, models with 32 and 8 members, a plain service with 5.
 """
 
 import itertools
@@ -31,16 +31,16 @@
 from cranecart.ports import ListedInstance, MemberPhase, Membership
 from cranecart.routing import RoutingRequest, TargetRouter
 
-_FABRICS = 15
-_FABRIC_SIZE = 73
-_FABRICS_A_DOMAIN = 3
+_FABRIC_DOMAINS = 15
+_FABRIC_DOMAIN_SIZE = 73
+_FABRICS_PER_FAILURE_DOMAIN = 3
 _LARGE = EngineModel('large', 32, 1.0, 0.5, 16, 1.6)
 _SMALL = EngineModel('small', 8, 0.6, 0.5, 12, 1.1)
-_ENGINES = 'engines'
-_PLAIN = 'plain'
+_ENGINE_SERVICE = 'engines'
+_PLAIN_SERVICE = 'plain'
 _PLAIN_INSTANCES = 5
 _ENGINE = EngineProfile((_LARGE, _SMALL), 11, 0.3, 91, 1, 136)
-_PROFILE = ServiceProfile(_ENGINES, _ENGINE)
+_PROFILE = ServiceProfile(_ENGINE_SERVICE, _ENGINE)
 _CONFIG = RouteConfig(
     1,
     (
@@ -57,58 +57,64 @@
             rank=1,
             attempts=2,
             public=True,
-            shares=(Share(_ENGINES, 1),),
+            shares=(Share(_ENGINE_SERVICE, 1),),
         ),
     ),
-    {_ENGINES: _PROFILE, _PLAIN: ServiceProfile(_PLAIN)},
+    {_ENGINE_SERVICE: _PROFILE, _PLAIN_SERVICE: ServiceProfile(_PLAIN_SERVICE)},
 )
 _DEMAND = (('large', 4.0), ('small', 30.0))
-_TURNS = 60
+_REPETITIONS = 60
 _MILLISECONDS = 1000
 _ADDRESS = Address('127.0.0.1', 1)
 
 
 def measure() -> dict[str, float]:
-    """Return the median time of each step, by its name."""
-    size = _Size()
+    """Return the median time of each operation in milliseconds."""
+    fleet = _LargeFleet()
     return {
-        'change_of_the_list_ms': _time(size.change),
-        'judging_own_records_ms': _time(size.judge),
-        'looking_for_witnesses_ms': _time(size.reference_instances),
-        'first_plan_ms': _time(size.plan_first, 5),
-        'plan_after_a_loss_ms': _time(size.plan_loss, 10),
-        'missing_member_ms': _time(size.missing),
-        'choice_of_a_plain_target_ms': _time(size.choose_plain),
-        'choice_of_a_replica_ms': _time(size.choose_head),
+        'change_of_the_list_ms': _median_ms(fleet.apply_entry_change),
+        'judging_own_records_ms': _median_ms(fleet.find_transitions),
+        'looking_for_witnesses_ms': _median_ms(fleet.reference_instances),
+        'first_plan_ms': _median_ms(fleet.plan_initially, 5),
+        'plan_after_a_loss_ms': _median_ms(fleet.plan_after_loss, 10),
+        'missing_member_ms': _median_ms(fleet.find_reassigned_members),
+        'choice_of_a_plain_target_ms': _median_ms(fleet.choose_plain_instance),
+        'choice_of_a_replica_ms': _median_ms(fleet.choose_replica),
     }
 
 
-def _time(step: Callable[[], object], turns: int = _TURNS) -> float:
-    took = []
-    for _turn in range(turns):
+def _median_ms(
+    step: Callable[[], object], repetitions: int = _REPETITIONS
+) -> float:
+    durations = []
+    for _repetition in range(repetitions):
         started = time.perf_counter()
         step()
-        took.append(time.perf_counter() - started)
-    return round(median(took) * _MILLISECONDS, 4)
+        durations.append(time.perf_counter() - started)
+    return round(median(durations) * _MILLISECONDS, 4)
 
 
 @attrs.define
-class _Size:
-    """A fleet of that size, whose replicas all serve."""
+class _LargeFleet:
+    """A fleet of this size in which all replicas serve."""
 
     fleet: Fleet = attrs.field(factory=Fleet, init=False)
     router: TargetRouter = attrs.field(init=False)
     failure_detector: FailureDetector = attrs.field(init=False)
-    own: Sequence[ReplicaRecord] = attrs.field(init=False)
-    _turn: Iterator[str] = attrs.field(init=False)
+    own_records: Sequence[ReplicaRecord] = attrs.field(init=False)
+    _instance_names: Iterator[str] = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """List the instances and record the replicas."""
         instances = {
-            one.id: one for fabric in range(_FABRICS) for one in _fabric(fabric)
+            one.id: one
+            for fabric in range(_FABRIC_DOMAINS)
+            for one in _fabric_instances(fabric)
         }
         records = [
-            record for fabric in range(_FABRICS) for record in _records(fabric)
+            record
+            for fabric in range(_FABRIC_DOMAINS)
+            for record in _replica_records(fabric)
         ]
         for record in records:
             for rank, name in enumerate(record.members):
@@ -121,13 +127,15 @@
                 )
         plain = {
             f'p{number}': ListedInstance(
-                f'p{number}', _PLAIN, _ADDRESS, 'd0', 6
+                f'p{number}', _PLAIN_SERVICE, _ADDRESS, 'd0', 6
             )
             for number in range(_PLAIN_INSTANCES)
         }
         self.fleet.apply_instances({**instances, **plain}, True)
         self.fleet.apply_records({one.key: one for one in records}, True)
-        self.own = [one for one in records if one.failure_domain == 'd0']
+        self.own_records = [
+            one for one in records if one.failure_domain == 'd0'
+        ]
         self.router = TargetRouter(
             self.fleet,
             random.Random(1),
@@ -135,45 +143,45 @@
             DemandMeter().mean_seconds,
             'd0',
         )
-        self.failure_detector = FailureDetector(self.fleet, _nobody)
-        self._turn = itertools.cycle(instances)
+        self.failure_detector = FailureDetector(self.fleet, _ignore_report)
+        self._instance_names = itertools.cycle(instances)
 
-    def change(self) -> object:
-        """Take over a member's entry, and look at who serves."""
-        one = self.fleet.instances[next(self._turn)]
+    def apply_entry_change(self) -> object:
+        """Apply the list entry of a member and find the serving replicas."""
+        one = self.fleet.instances[next(self._instance_names)]
         self.fleet.apply_instances({one.id: one}, False)
-        return self.fleet.heads(_ENGINES, 'small')
+        return self.fleet.heads(_ENGINE_SERVICE, 'small')
 
-    def judge(self) -> object:
-        """Judge all replicas of a failure domain."""
+    def find_transitions(self) -> object:
+        """Evaluate the required transitions of one failure domain."""
         lost = self.failure_detector.lost_instances()
         return [
             required_transition(one, self.fleet, lost, _CONFIG)
-            for one in self.own
+            for one in self.own_records
         ]
 
     def reference_instances(self) -> object:
-        """Look for instances to ask where no member answers."""
-        return self.failure_detector._reference_instances(self.own[0])
+        """Select reference instances to check when no member responds."""
+        return self.failure_detector._reference_instances(self.own_records[0])
 
-    def missing(self) -> object:
-        """Look whether each member of a large replica is bound elsewhere."""
+    def find_reassigned_members(self) -> object:
+        """Check whether members of a large replica belong to another one."""
         return [
             any(
-                record.key != self.own[0].key
+                record.key != self.own_records[0].key
                 for record in self.fleet.replica_records.records_with_member(
                     name
                 )
             )
-            for name in self.own[0].members
+            for name in self.own_records[0].members
         ]
 
-    def plan_first(self) -> object:
-        """Divide everything, before any request."""
+    def plan_initially(self) -> object:
+        """Plan all instances before the first request."""
         free = tuple(
             attrs.evolve(one, membership=None, loaded=(), staged=())
             for one in self.fleet.instances.values()
-            if one.service == _ENGINES
+            if one.service == _ENGINE_SERVICE
         )
         plan_input = PlanInput(
             _PROFILE,
@@ -186,10 +194,11 @@
         )
         return plan(plan_input)
 
-    def plan_loss(self) -> object:
-        """Divide what is left of a large replica in one failure domain."""
+    def plan_after_loss(self) -> object:
+        """Plan the remaining instances of a large replica after a loss."""
         free = tuple(
-            self.fleet.instances[name] for name in self.own[0].members[:28]
+            self.fleet.instances[name]
+            for name in self.own_records[0].members[:28]
         )
         replica_counts = {'large': 14.0, 'small': 76.0}
         plan_input = PlanInput(
@@ -198,43 +207,43 @@
             replica_counts,
             {},
             dict(_DEMAND),
-            instance_count=_FABRICS * _FABRIC_SIZE,
+            instance_count=_FABRIC_DOMAINS * _FABRIC_DOMAIN_SIZE,
         )
         return plan(plan_input, PreemptionScope.WITH_FREE_INSTANCES)
 
-    def choose_plain(self) -> object:
-        """Choose an instance of the plain service."""
+    def choose_plain_instance(self) -> object:
+        """Route a request to an instance of the plain service."""
         return self.router.choose(
-            RoutingRequest(_CONFIG, _CONFIG.routes[0], _PLAIN, '', 0, 1)
+            RoutingRequest(_CONFIG, _CONFIG.routes[0], _PLAIN_SERVICE, '', 0, 1)
         )
 
-    def choose_head(self) -> object:
-        """Choose a replica of the smaller model."""
+    def choose_replica(self) -> object:
+        """Route a request to a replica of the small model."""
         return self.router.choose(
             RoutingRequest(
-                _CONFIG, _CONFIG.routes[0], _ENGINES, 'small', 700, 5
+                _CONFIG, _CONFIG.routes[0], _ENGINE_SERVICE, 'small', 700, 5
             )
         )
 
 
-def _fabric(number: int) -> list[ListedInstance]:
-    domain = f'd{number // _FABRICS_A_DOMAIN}'
+def _fabric_instances(number: int) -> list[ListedInstance]:
+    domain = f'd{number // _FABRICS_PER_FAILURE_DOMAIN}'
     return [
         ListedInstance(
             f'i{number:02}-{place:02}',
-            _ENGINES,
+            _ENGINE_SERVICE,
             _ADDRESS,
             domain,
             11,
             fabric_domain=f'f{number:02}',
         )
-        for place in range(_FABRIC_SIZE)
+        for place in range(_FABRIC_DOMAIN_SIZE)
     ]
 
 
-def _records(number: int) -> list[ReplicaRecord]:
-    names = [one.id for one in _fabric(number)]
-    sizes = [('large', 32), *(('small', 8) for _turn in range(5))]
+def _replica_records(number: int) -> list[ReplicaRecord]:
+    names = [one.id for one in _fabric_instances(number)]
+    sizes = [('large', 32), *(('small', 8) for _repetition in range(5))]
     found = []
     for place, (model, size) in enumerate(sizes):
         members, names = tuple(names[:size]), names[size:]
@@ -242,9 +251,9 @@
             ReplicaRecord(
                 f'f{number:02}-{place}',
                 1,
-                _ENGINES,
+                _ENGINE_SERVICE,
                 model,
-                f'd{number // _FABRICS_A_DOMAIN}',
+                f'd{number // _FABRICS_PER_FAILURE_DOMAIN}',
                 f'f{number:02}',
                 members,
             ),
@@ -252,5 +261,5 @@
     return found
 
 
-async def _nobody(_record: ReplicaRecord) -> None:
-    """Stand for whoever is told of a replica that lost a member."""
+async def _ignore_report(_record: ReplicaRecord) -> None:
+    """Ignore the report of a replica that lost a member."""
--- a/tools/bench/_measure.py
+++ b/tools/bench/_measure.py
@@ -1,4 +1,4 @@
-"""Read processor time, memory and counters of running processes."""
+"""Read resource usage and counters of running processes."""
 
 import os
 import re
@@ -12,18 +12,18 @@
 
 from cranecart.http import Address, Request, exchange
 
-_TICKS = os.sysconf('SC_CLK_TCK')
-_CONTROL = re.compile(r'cranecart_control\{what="(\w+)"\} (\d+)')
+_TICKS_PER_SECOND = os.sysconf('SC_CLK_TCK')
+_CONTROL_COUNTER = re.compile(r'cranecart_control\{what="(\w+)"\} (\d+)')
 _MILLISECONDS = 1000
 _KIB = 1024
-# Positions in /proc/PID/stat behind the command's name.
+# Field positions in /proc/PID/stat after the command name.
 _USER_TIME = 11
 _SYSTEM_TIME = 12
 
 
 @attrs.frozen
 class Usage:
-    """What a process has used so far."""
+    """Resource usage of a process since its start."""
 
     at: float
     cpu_ms: float
@@ -32,7 +32,7 @@
 
     @classmethod
     def of_process(cls, pid: int) -> Self:
-        """Read a process's processor time and resident memory."""
+        """Read processor time and resident memory of a process."""
         stat = Path(f'/proc/{pid}/stat').read_text('ascii')
         fields = stat.rpartition(')')[2].split()
         ticks = int(fields[_USER_TIME]) + int(fields[_SYSTEM_TIME])
@@ -41,22 +41,22 @@
         memory = int(resident.group(1)) / _KIB if resident else 0
         return cls(
             time.monotonic(),
-            ticks / _TICKS * _MILLISECONDS,
+            ticks / _TICKS_PER_SECOND * _MILLISECONDS,
             memory,
         )
 
     @classmethod
     def of_node(cls, pid: int, admin: Address) -> Self:
-        """Read a node's use with its counters of control."""
+        """Read resource usage and control-plane counters of a node."""
         metrics = curio.run(exchange, admin, Request('GET', '/metrics'), 5)
         counts = {
             name: int(number)
-            for name, number in _CONTROL.findall(metrics.body.decode())
+            for name, number in _CONTROL_COUNTER.findall(metrics.body.decode())
         }
         return attrs.evolve(cls.of_process(pid), counts=counts)
 
     def rates_since(self, before: 'Usage') -> dict[str, float]:
-        """Return what was used a second since an earlier reading."""
+        """Return the usage per second since an earlier reading."""
         seconds = self.at - before.at
         rates = {
             name: (number - before.counts.get(name, 0)) / seconds
@@ -69,10 +69,7 @@
 
 @attrs.frozen
 class Line:
-    """A straight line through measurements, and how well it fits.
-
-    ``error`` is the root of the mean squared distance from the line.
-    """
+    """A linear fit; ``error`` is its root mean square error."""
 
     base: float
     slope: float
@@ -82,12 +79,12 @@
     def through(cls, points: list[tuple[float, float]]) -> Self:
         """Fit by least squares."""
         sizes = [size for size, _ in points]
-        heights = [height for _, height in points]
-        slope, base = statistics.linear_regression(sizes, heights)
+        measurements = [measured for _, measured in points]
+        slope, base = statistics.linear_regression(sizes, measurements)
         line = cls(base, slope, 0)
-        squares = [(height - line.at(size)) ** 2 for size, height in points]
+        squares = [(measured - line.at(size)) ** 2 for size, measured in points]
         return attrs.evolve(line, error=statistics.fmean(squares) ** 0.5)
 
     def at(self, size: float) -> float:
-        """Return the line's height."""
+        """Return the fitted value at a size."""
         return self.base + self.slope * size
--- a/tools/bench/_placement.py
+++ b/tools/bench/_placement.py
@@ -1,4 +1,4 @@
-"""How long placement decisions take at the target size of one domain."""
+"""Placement decision time at the target size of a failure domain."""
 
 import random
 import time
@@ -17,9 +17,9 @@
 from cranecart.placement import DomainState, RetireReplica, plan
 
 _DOMAIN = 'd'
-_SIZE = 8
-_FABRICS = 6
-_ONE_IN = 100
+_MEMBERS_PER_REPLICA = 8
+_FABRIC_DOMAINS = 6
+_INSTANCES_PER_LOSS = 100
 _MILLISECONDS = 1000
 _TARGET_REPLICAS = 95
 _TARGET_INSTANCES = 750
@@ -27,64 +27,64 @@
 
 
 def plan_times() -> list[tuple[int, float]]:
-    """Return the time of a plan from nothing, by replicas, in ms."""
-    return [(size, _time_of_plan(_empty(size))) for size in REPLICA_SIZES]
+    """Return the time of an initial plan in ms by number of replicas."""
+    return [(size, _plan_ms(_unplaced_state(size))) for size in REPLICA_SIZES]
 
 
 def after_loss(prefer: Preference, seed: int) -> dict[str, float]:
-    """Lose one instance in a hundred; return what is stranded and down."""
-    state = _placed(_empty(_TARGET_REPLICAS, prefer))
+    """Lose 1 % of the instances; return replicas lost and instances unused."""
+    state = _place_and_start(_unplaced_state(_TARGET_REPLICAS, prefer))
     random.Random(seed)
-    hurt = _lose_some(state, seed)
-    after = _placed(_let_go(_carried_out(hurt)))
-    alive = len(after.instances) - len(hurt.lost)
-    ideal = min(_TARGET_REPLICAS, _most_replicas(hurt))
+    damaged = _lose_instances(state, seed)
+    after = _place_and_start(_release_members(_apply_plan(damaged)))
+    alive = len(after.instances) - len(damaged.lost)
+    ideal = min(_TARGET_REPLICAS, _max_replicas(damaged))
     return {
-        'decision_ms': _time_of_plan(hurt),
-        'lost_instances': len(hurt.lost),
+        'decision_ms': _plan_ms(damaged),
+        'lost_instances': len(damaged.lost),
         'replicas_dissolved': sum(
-            isinstance(one, RetireReplica) for one in plan(hurt)
+            isinstance(one, RetireReplica) for one in plan(damaged)
         ),
         'replicas_after': len(after.rows),
-        'stranded_accelerators': alive - len(after.rows) * _SIZE,
-        'stranded_ideal': alive - ideal * _SIZE,
+        'stranded_accelerators': alive - len(after.rows) * _MEMBERS_PER_REPLICA,
+        'stranded_ideal': alive - ideal * _MEMBERS_PER_REPLICA,
     }
 
 
-def _most_replicas(state: DomainState) -> int:
-    """Return how many replicas fit into the fabric domains at best."""
+def _max_replicas(state: DomainState) -> int:
+    """Return the maximum number of replicas that fit the fabric domains."""
     alive = Counter(
         instance.fabric_domain
         for name, instance in state.instances.items()
         if name not in state.lost
     )
-    return sum(count // _SIZE for count in alive.values())
+    return sum(count // _MEMBERS_PER_REPLICA for count in alive.values())
 
 
-def _lose_some(state: DomainState, seed: int) -> DomainState:
+def _lose_instances(state: DomainState, seed: int) -> DomainState:
     names = sorted(state.instances)
-    count = len(names) // _ONE_IN
+    count = len(names) // _INSTANCES_PER_LOSS
     lost = frozenset(random.Random(seed).sample(names, count))
-    kept = {
+    remaining = {
         name: report
         for name, report in state.reports.items()
         if name not in lost
     }
-    return attrs.evolve(state, lost=lost, reports=kept)
+    return attrs.evolve(state, lost=lost, reports=remaining)
 
 
-def _time_of_plan(state: DomainState) -> float:
+def _plan_ms(state: DomainState) -> float:
     started = time.perf_counter()
     plan(state)
     return (time.perf_counter() - started) * _MILLISECONDS
 
 
-def _empty(
+def _unplaced_state(
     replicas: int,
     prefer: Preference = Preference.DOWNTIME,
 ) -> DomainState:
     count = _TARGET_INSTANCES * replicas // _TARGET_REPLICAS
-    count = max(count, replicas * _SIZE)
+    count = max(count, replicas * _MEMBERS_PER_REPLICA)
     instances = {
         f'i{number:04}': Instance(
             f'i{number:04}',
@@ -92,16 +92,18 @@
             '127.0.0.1',
             number,
             _DOMAIN,
-            f'f{number % _FABRICS}',
+            f'f{number % _FABRIC_DOMAINS}',
         )
         for number in range(count)
     }
-    spec = ModelSpec('m', 'v', replicas, _SIZE, (_DOMAIN,), prefer)
+    spec = ModelSpec(
+        'm', 'v', replicas, _MEMBERS_PER_REPLICA, (_DOMAIN,), prefer
+    )
     reports = {name: MemberReport(name) for name in instances}
     return DomainState(_DOMAIN, (spec,), {}, {}, instances, reports)
 
 
-def _carried_out(state: DomainState) -> DomainState:
+def _apply_plan(state: DomainState) -> DomainState:
     rows = dict(state.rows)
     for action in plan(state):
         if isinstance(action, RetireReplica):
@@ -112,8 +114,8 @@
     return attrs.evolve(state, rows=rows, owners=owners)
 
 
-def _let_go(state: DomainState) -> DomainState:
-    """Let the members of dissolved replicas report that they are idle."""
+def _release_members(state: DomainState) -> DomainState:
+    """Report the members of retired replicas as idle."""
     reports = {
         name: report if name in state.owners else MemberReport(name)
         for name, report in state.reports.items()
@@ -121,15 +123,15 @@
     return attrs.evolve(state, reports=reports)
 
 
-def _placed(state: DomainState) -> DomainState:
-    state = _carried_out(state)
+def _place_and_start(state: DomainState) -> DomainState:
+    state = _apply_plan(state)
     reports = dict(state.reports)
     for row in state.rows.values():
-        reports.update({name: _ready(name, row) for name in row.members})
+        reports.update({name: _ready_report(name, row) for name in row.members})
     return attrs.evolve(state, reports=reports)
 
 
-def _ready(name: str, row: ReplicaRow) -> MemberReport:
+def _ready_report(name: str, row: ReplicaRow) -> MemberReport:
     return MemberReport(
         name,
         MemberState.READY,
--- a/tools/bench/_plain.py
+++ b/tools/bench/_plain.py
@@ -1,9 +1,9 @@
-"""Calls at a plain service of which some instances fail, in three ways.
+"""Simulate outlier ejection at a plain service with faulty instances.
 
-Drawn faults over half a minute: an instance that goes down and up and resets
-what comes meanwhile, one that loses answers after it has run, one that answers
-a part with an error. Each of many nodes sends seldom, so that what it learns
-itself is of little use to it. Told are calls in a thousand that fail in the end.
+Random faults over half a minute: an instance that flaps and resets connections
+while it is down, one that drops responses after the call has run, one that
+returns errors for a share of the calls. Many nodes each send few calls, so what
+a node observes itself is of little use. Reported are failed calls per thousand.
 """
 
 import random
@@ -17,146 +17,160 @@
 _SEEDS = 40
 _NODES = 78
 _INSTANCES = 3
-_PER_SECOND = 23.0
-_SECONDS = 30.0
-# Four of five calls must not run twice, as on the users' sheets.
-_UNSAFE_PART = 0.8
-# From a broken connection until all nodes have heard of it, by relays.
-_TELL_SECONDS = 0.02
-_THOUSAND = 1000
-# What is drawn, in seconds and parts, about as on the users' days.
-_LASTS = (4, 9)
-_PERIODS = (0.8, 1.6)
-_PARTS = (0.03, 0.45)
+_CALLS_PER_SECOND = 23.0
+_SIMULATED_SECONDS = 30.0
+# Four of five calls must not run twice, as in the users' workload.
+_NON_REPEATABLE_SHARE = 0.8
+# From a failed connection until its report has reached all nodes.
+_REPORT_DELAY_SECONDS = 0.02
+_PER_THOUSAND = 1000
+# Ranges of random faults, close to those of the external benchmark.
+_FAULT_SECONDS = (4, 9)
+_FLAP_SECONDS = (0.8, 1.6)
+_FAILURE_SHARES = (0.03, 0.45)
 
 
 @attrs.frozen
 class Fault:
-    """What is wrong with an instance, from when until when.
+    """A fault of an instance with its begin and end.
 
-    One with a ``period`` is down in every other; any other fails a ``part``.
+    With ``flap_seconds`` the instance is down in every other interval of that
+    length; otherwise it fails a share of the calls.
     """
 
     instance: int
     begins: float
     ends: float
-    period: float = 0
-    part: float = 0
+    flap_seconds: float = 0
+    failure_share: float = 0
     is_error: bool = False
 
-    def hits(self, instance: int, now: float, chance: float) -> bool:
-        """Tell whether a call that comes now is hit."""
+    def affects(self, instance: int, now: float, chance: float) -> bool:
+        """Return whether a call at this time is affected."""
         if instance != self.instance or not self.begins <= now < self.ends:
             return False
-        if self.period:
-            return int((now - self.begins) / self.period) % 2 == 0
-        return chance < self.part
+        if self.flap_seconds:
+            return int((now - self.begins) / self.flap_seconds) % 2 == 0
+        return chance < self.failure_share
 
 
 @attrs.frozen
-class Way:
-    """When a target that broke a connection is passed over, and by whom."""
+class EjectionRule:
+    """When a target with a failed connection is ejected, and by which nodes."""
 
     name: str
     at_once: bool
-    told: bool
+    is_reported: bool
 
 
-WAYS = (
-    Way('three in a row, each node for itself', at_once=False, told=False),
-    Way('at once, each node for itself', at_once=True, told=False),
-    Way('at once, told to all', at_once=True, told=True),
+EJECTION_RULES = (
+    EjectionRule(
+        'three in a row, each node for itself', at_once=False, is_reported=False
+    ),
+    EjectionRule(
+        'at once, each node for itself', at_once=True, is_reported=False
+    ),
+    EjectionRule('at once, told to all', at_once=True, is_reported=True),
 )
 
 
-class _World:
-    """Nodes that send calls at drawn moments to instances that fail."""
+class _Simulation:
+    """Nodes that send calls at random times to faulty instances."""
 
-    def __init__(self, seed: int, way: Way) -> None:
-        self._source = random.Random(seed)
-        self._way = way
+    def __init__(self, seed: int, rule: EjectionRule) -> None:
+        self._random = random.Random(seed)
+        self._rule = rule
         self.now = float(0)
-        self._faults = tuple(_draw(self._source))
+        self._faults = tuple(_random_faults(self._random))
         self._ejections = [
             OutlierEjection(self._clock, int) for _node in range(_NODES)
         ]
-        self._heard: list[tuple[float, int]] = []
+        self._pending_reports: list[tuple[float, int]] = []
 
-    def failed_in_thousand(self) -> float:
-        """Play; return how many calls failed in the end."""
+    def failures_per_thousand(self) -> float:
+        """Run the simulation; return the failed calls per thousand."""
         sent = 0
         failed = 0
-        while self.now < _SECONDS:
-            self.now += self._source.expovariate(_PER_SECOND)
-            self._hear()
+        while self.now < _SIMULATED_SECONDS:
+            self.now += self._random.expovariate(_CALLS_PER_SECOND)
+            self._deliver_reports()
             sent += 1
             failed += not self._call()
-        return failed / sent * _THOUSAND
+        return failed / sent * _PER_THOUSAND
 
     def _clock(self) -> float:
         return self.now
 
     def _call(self) -> bool:
-        ejection = self._source.choice(self._ejections)
-        attempts = 1 if self._source.random() < _UNSAFE_PART else 2
-        left = list(range(_INSTANCES))
+        ejection = self._random.choice(self._ejections)
+        attempts = 1 if self._random.random() < _NON_REPEATABLE_SHARE else 2
+        candidates = list(range(_INSTANCES))
         for _attempt in range(attempts):
-            chosen = self._source.choice(ejection.without_ejected(left))
-            left.remove(chosen)
+            chosen = self._random.choice(ejection.without_ejected(candidates))
+            candidates.remove(chosen)
             if self._succeeds(ejection, chosen):
                 return True
         return False
 
     def _succeeds(self, ejection: OutlierEjection, chosen: int) -> bool:
-        chance = self._source.random()
-        hit = [
+        chance = self._random.random()
+        affected = [
             fault
             for fault in self._faults
-            if fault.hits(chosen, self.now, chance)
+            if fault.affects(chosen, self.now, chance)
         ]
-        if not hit:
+        if not affected:
             ejection.record_success(chosen)
             return True
-        broke = not hit[0].is_error
+        connection_failed = not affected[0].is_error
         ejection.record_failure(
-            chosen, reached=not (broke and self._way.at_once)
+            chosen, reached=not (connection_failed and self._rule.at_once)
         )
-        if broke and self._way.told:
-            self._heard.append((self.now + _TELL_SECONDS, chosen))
+        if connection_failed and self._rule.is_reported:
+            self._pending_reports.append(
+                (self.now + _REPORT_DELAY_SECONDS, chosen)
+            )
         return False
 
-    def _hear(self) -> None:
-        due = [name for at, name in self._heard if at <= self.now]
-        self._heard = [one for one in self._heard if one[0] > self.now]
+    def _deliver_reports(self) -> None:
+        due = [name for at, name in self._pending_reports if at <= self.now]
+        self._pending_reports = [
+            one for one in self._pending_reports if one[0] > self.now
+        ]
         for name in due:
             for ejection in self._ejections:
                 ejection.eject_reported(name)
 
 
-def _draw(source: random.Random) -> Sequence[Fault]:
-    hit = [one for one in range(_INSTANCES) if source.getrandbits(1)]
-    return [_draw_fault(source, instance) for instance in hit]
+def _random_faults(random_source: random.Random) -> Sequence[Fault]:
+    affected = [
+        one for one in range(_INSTANCES) if random_source.getrandbits(1)
+    ]
+    return [_random_fault(random_source, instance) for instance in affected]
 
 
-def _draw_fault(source: random.Random, instance: int) -> Fault:
-    kind = source.choice(('flaps', 'loses', 'errs'))
-    begins = source.uniform(0, _SECONDS / 2)
+def _random_fault(random_source: random.Random, instance: int) -> Fault:
+    kind = random_source.choice(('flaps', 'loses', 'errs'))
+    begins = random_source.uniform(0, _SIMULATED_SECONDS / 2)
     return Fault(
         instance,
         begins,
-        begins + source.uniform(*_LASTS),
-        source.uniform(*_PERIODS) if kind == 'flaps' else 0,
-        source.uniform(*_PARTS),
+        begins + random_source.uniform(*_FAULT_SECONDS),
+        random_source.uniform(*_FLAP_SECONDS) if kind == 'flaps' else 0,
+        random_source.uniform(*_FAILURE_SHARES),
         is_error=kind == 'errs',
     )
 
 
 def measure() -> dict[str, float]:
-    """Return the calls in a thousand that fail, by way."""
-    return {way.name: round(_mean_failed(way), 2) for way in WAYS}
+    """Return the failed calls per thousand by ejection rule."""
+    return {
+        rule.name: round(_mean_failures(rule), 2) for rule in EJECTION_RULES
+    }
 
 
-def _mean_failed(way: Way) -> float:
+def _mean_failures(rule: EjectionRule) -> float:
     return statistics.fmean(
-        _World(seed, way).failed_in_thousand() for seed in range(_SEEDS)
+        _Simulation(seed, rule).failures_per_thousand()
+        for seed in range(_SEEDS)
     )
--- a/tools/bench/_policies.py
+++ b/tools/bench/_policies.py
@@ -1,4 +1,4 @@
-"""Routing policies on one seeded load: late reports, one slow, one dead."""
+"""Compare routing policies with delayed reports, a slow and a failed replica."""
 
 import tempfile
 from pathlib import Path
@@ -26,19 +26,19 @@
 _EXAMPLE = Path(__file__).parent.parent.parent / 'examples' / 'katyuszerviz'
 _DOMAIN = 'buda-terem'
 _REPLICAS = 4
-_SIZE = 2
+_MEMBERS_PER_REPLICA = 2
 _CALLS = 700
-_PER_SECOND = 35
-_DIE_AFTER_SECONDS = 10.0
+_CALLS_PER_SECOND = 35
+_KILL_AFTER_SECONDS = 10.0
 _MILLISECONDS = 1000
 _SEED = 11
 _NO_LIMIT = 100000
 _PREFIXES = 24
-_SLOW_FLAGS = ('--token_ms=30', '--first_token_ms=200')
+_SLOW_ENGINE_FLAGS = ('--token_ms=30', '--first_token_ms=200')
 
 
 def measure() -> dict[str, dict[str, float]]:
-    """Return latencies, hits and refusals of each policy."""
+    """Return latencies, cache hit rate and failures of each policy."""
     return {name: _measure(name) for name in POLICIES}
 
 
@@ -51,9 +51,9 @@
     )
     with tempfile.TemporaryDirectory() as folder:
         with LocalCluster(Path(folder), options) as cluster:
-            _bring_up(cluster)
+            _start_replicas(cluster)
             outcomes = curio.run(_run, cluster)
-    firsts = [
+    first_token_ms = [
         outcome.first_token_seconds * _MILLISECONDS
         for outcome in outcomes
         if outcome.first_token_seconds is not None
@@ -61,44 +61,48 @@
     hits = sum(outcome.cache == 'hit' for outcome in outcomes)
     answered = sum(one.kind is OutcomeKind.ANSWERED for one in outcomes)
     return {
-        'first_token_ms_p50': quantile(firsts, P50),
-        'first_token_ms_p95': quantile(firsts, P95),
-        'first_token_ms_p99': quantile(firsts, P99),
+        'first_token_ms_p50': quantile(first_token_ms, P50),
+        'first_token_ms_p95': quantile(first_token_ms, P95),
+        'first_token_ms_p99': quantile(first_token_ms, P99),
         'hit_rate': hits / len(outcomes),
         'not_answered': len(outcomes) - answered,
     }
 
 
-def _bring_up(cluster: LocalCluster) -> None:
+def _start_replicas(cluster: LocalCluster) -> None:
     control = cluster.control
     common = ('--slots=8', '--report_lag_ms=1000', '--prefill_ms=120')
-    for number in range(_REPLICAS * _SIZE):
+    for number in range(_REPLICAS * _MEMBERS_PER_REPLICA):
         # The last replica's engines are slow.
-        slow = _SLOW_FLAGS if number >= (_REPLICAS - 1) * _SIZE else ()
+        slow = (
+            _SLOW_ENGINE_FLAGS
+            if number >= (_REPLICAS - 1) * _MEMBERS_PER_REPLICA
+            else ()
+        )
         name = f'{_DOMAIN}-e{number}'
         cluster.start_engine(name, _DOMAIN, (*common, *slow))
     wait_until(lambda: control.status() is not None, 'a node answers')
-    declared = compile_folder(_EXAMPLE)
+    example = compile_folder(_EXAMPLE)
     spec = attrs.evolve(
-        declared.models[0],
+        example.models[0],
         replicas=_REPLICAS,
-        instances_per_replica=_SIZE,
+        instances_per_replica=_MEMBERS_PER_REPLICA,
         failure_domains=(_DOMAIN,),
     )
     limits = attrs.evolve(
-        declared.organisations[0].limits,
+        example.organisations[0].limits,
         concurrent_requests=_NO_LIMIT,
         tokens_per_second=_NO_LIMIT,
     )
     organisations = tuple(
-        attrs.evolve(one, limits=limits) for one in declared.organisations
+        attrs.evolve(one, limits=limits) for one in example.organisations
     )
-    wanted = attrs.evolve(
-        declared,
+    declarations = attrs.evolve(
+        example,
         models=(spec,),
         organisations=organisations,
     )
-    curio.run(apply_change, control.operator(), wanted, 0, 'bench')
+    curio.run(apply_change, control.operator(), declarations, 0, 'bench')
     wait_until(
         lambda: all(
             len(control.serving(name)) == _REPLICAS for name in cluster.entries
@@ -109,10 +113,10 @@
 
 async def _run(cluster: LocalCluster) -> list[Outcome]:
     balancer = cluster.control.balancer()
-    watching = await curio.spawn(balancer.run, daemon=True)
+    balancer_task = await curio.spawn(balancer.run, daemon=True)
     await curio.sleep(1)
-    victim = await _leader_of_first(cluster)
-    killing = await curio.spawn(_kill_later, cluster, victim)
+    engine_name = await _leader_of_first(cluster)
+    kill_task = await curio.spawn(_kill_later, cluster, engine_name)
     profile = Profile(
         api_keys=('demo-budapest',),
         models=('nyelvi-szerver',),
@@ -126,9 +130,9 @@
         for number in range(_PREFIXES)
     ]
     calls = make_calls(profile, prompts, _CALLS, _SEED)
-    outcomes = await run_load(balancer, calls, _PER_SECOND)
-    await killing.join()
-    await watching.cancel()
+    outcomes = await run_load(balancer, calls, _CALLS_PER_SECOND)
+    await kill_task.join()
+    await balancer_task.cancel()
     return outcomes
 
 
@@ -137,6 +141,6 @@
     return min(replicas, key=lambda replica: replica.id).members[0]
 
 
-async def _kill_later(cluster: LocalCluster, victim: str) -> None:
-    await curio.sleep(_DIE_AFTER_SECONDS)
-    cluster.kill(victim)
+async def _kill_later(cluster: LocalCluster, engine_name: str) -> None:
+    await curio.sleep(_KILL_AFTER_SECONDS)
+    cluster.kill(engine_name)
--- a/tools/bench/_probe.py
+++ b/tools/bench/_probe.py
@@ -1,4 +1,4 @@
-"""What one probe of an unchanged instance costs on the wire."""
+"""Network cost of one health probe of an unchanged instance."""
 
 import socket
 import tempfile
@@ -10,16 +10,16 @@
 from tools.local_cluster import ClusterOptions, LocalCluster
 
 _DOMAIN = 'buda-terem'
-# A request, its answer, and an acknowledgement of each, with the headers of
-# IP and TCP with timestamps.
-_PACKETS = 4
-_PACKET_BYTES = 52
+# A request, its response and an acknowledgement of each; the headers are those
+# of IP and of TCP with timestamps.
+_PACKETS_PER_PROBE = 4
+_HEADER_BYTES_PER_PACKET = 52
 _READ_BYTES = 65536
 _SETTLE_SECONDS = 1.0
 
 
 def measure() -> dict[str, float]:
-    """Return the bytes of one probe, both ways, and probes a second."""
+    """Return the bytes of a probe in both directions and the probe rate."""
     options = ClusterOptions(
         domains=(_DOMAIN,),
         nodes=0,
@@ -28,30 +28,32 @@
     with tempfile.TemporaryDirectory() as folder:
         with LocalCluster(Path(folder), options) as cluster:
             address = cluster.addresses[f'{_DOMAIN}-e0']
-            wait_until(lambda: _listens(address.host, address.port), 'engine')
+            wait_until(
+                lambda: _is_listening(address.host, address.port), 'engine'
+            )
             time.sleep(_SETTLE_SECONDS)
-            payload = _probe(address.host, address.port)
+            payload = _measure_probe(address.host, address.port)
     return {
-        'bytes': payload + _PACKETS * _PACKET_BYTES,
+        'bytes': payload + _PACKETS_PER_PROBE * _HEADER_BYTES_PER_PACKET,
         'per_second': 1 / PROBE_INTERVAL_SECONDS,
     }
 
 
-def _probe(host: str, port: int) -> int:
-    """Ask twice, as a node does, and count the second exchange."""
+def _measure_probe(host: str, port: int) -> int:
+    """Probe twice, as a node does, and return the bytes of the second probe."""
     with socket.create_connection((host, port)) as sock:
         head = f'GET /status HTTP/1.1\r\nhost: {host}:{port}\r\n'
         sock.sendall(f'{head}content-length: 0\r\n\r\n'.encode())
-        first = sock.recv(_READ_BYTES).decode()
-        tag = first.partition('etag: ')[2].partition('\r\n')[0]
-        again = (
-            f'{head}content-length: 0\r\nif-none-match: {tag}\r\n\r\n'
+        response = sock.recv(_READ_BYTES).decode()
+        etag = response.partition('etag: ')[2].partition('\r\n')[0]
+        conditional_request = (
+            f'{head}content-length: 0\r\nif-none-match: {etag}\r\n\r\n'
         ).encode()
-        sock.sendall(again)
-        return len(again) + len(sock.recv(_READ_BYTES))
+        sock.sendall(conditional_request)
+        return len(conditional_request) + len(sock.recv(_READ_BYTES))
 
 
-def _listens(host: str, port: int) -> bool:
+def _is_listening(host: str, port: int) -> bool:
     try:
         socket.create_connection((host, port)).close()
     except OSError:
--- a/tools/bench/_relay.py
+++ b/tools/bench/_relay.py
@@ -1,4 +1,4 @@
-"""The cost of relaying, against a bare byte pump that does the same."""
+"""Cost of relaying streams, compared with a minimal TCP relay (the pump)."""
 
 import subprocess
 import sys
@@ -22,9 +22,9 @@
 
 _EXAMPLE = Path(__file__).parent.parent.parent / 'examples' / 'katyuszerviz'
 _DOMAIN = 'buda-terem'
-_REQUESTS = 120
-_PER_SECOND = 10
-_TOKENS = 390
+_REQUEST_COUNT = 120
+_REQUESTS_PER_SECOND = 10
+_TOKENS_PER_REQUEST = 390
 _TOKEN_MS = 20
 _NO_LIMIT = 1000000
 _MILLISECONDS = 1000
@@ -33,7 +33,7 @@
 
 @attrs.frozen
 class RelayCost:
-    """What one way to relay costs."""
+    """Cost of relaying by one program."""
 
     cpu_us_per_event: float
     first_token_ms: tuple[float, float, float]
@@ -43,13 +43,13 @@
 
 @attrs.define
 class _Stream:
-    started: float
-    first: float = 0
+    started_at: float
+    first_event_at: float = 0
     events: int = 0
 
 
 def measure() -> dict[str, RelayCost]:
-    """Measure the pump, then the node, on the same engine."""
+    """Measure the pump, then the node, with the same engine."""
     options = ClusterOptions(
         domains=(_DOMAIN,),
         nodes=1,
@@ -62,35 +62,35 @@
     )
     with tempfile.TemporaryDirectory() as folder:
         with LocalCluster(Path(folder), options) as cluster:
-            _bring_up(cluster)
+            _start_replica(cluster)
             return {
                 'pump': _measure_pump(cluster),
                 'node': _measure_node(cluster),
             }
 
 
-def _bring_up(cluster: LocalCluster) -> None:
+def _start_replica(cluster: LocalCluster) -> None:
     control = cluster.control
     wait_until(lambda: control.status() is not None, 'the node answers')
-    declared = compile_folder(_EXAMPLE)
+    example = compile_folder(_EXAMPLE)
     models = tuple(
         attrs.evolve(spec, replicas=1, failure_domains=(_DOMAIN,))
-        for spec in declared.models
+        for spec in example.models
     )
     limits = attrs.evolve(
-        declared.organisations[0].limits,
+        example.organisations[0].limits,
         concurrent_requests=1000,
         tokens_per_second=_NO_LIMIT,
     )
     organisations = tuple(
-        attrs.evolve(one, limits=limits) for one in declared.organisations
+        attrs.evolve(one, limits=limits) for one in example.organisations
     )
-    wanted = attrs.evolve(
-        declared,
+    declarations = attrs.evolve(
+        example,
         models=models,
         organisations=organisations,
     )
-    curio.run(apply_change, control.operator(), wanted, 0, 'bench')
+    curio.run(apply_change, control.operator(), declarations, 0, 'bench')
     wait_until(lambda: bool(control.serving()), 'the replica serves')
     time.sleep(3)
 
@@ -123,7 +123,7 @@
     idle = Usage.of_process(pid).rates_since(before)['cpu_ms']
     address = cluster.entries['node0'].clients
     cost = _measure(pid, address, replica)
-    # Control goes on while the node relays and is measured by itself.
+    # Control-plane work continues during the relaying: subtract its idle cost.
     control_us = idle * _MILLISECONDS / cost.events_per_second
     return attrs.evolve(
         cost,
@@ -141,7 +141,8 @@
     after = Usage.of_process(pid)
     events = sum(stream.events for stream in streams)
     firsts = [
-        (stream.first - stream.started) * _MILLISECONDS for stream in streams
+        (stream.first_event_at - stream.started_at) * _MILLISECONDS
+        for stream in streams
     ]
     used = after.cpu_ms - before.cpu_ms
     return RelayCost(
@@ -160,13 +161,13 @@
     address: Address,
     replica: ServingReplica,
 ) -> Sequence[_Stream]:
-    started = time.monotonic()
-    async with curio.TaskGroup(wait=all) as sending:
-        for number in range(_REQUESTS):
-            due = started + number / _PER_SECOND
-            await curio.sleep(max(0, due - time.monotonic()))
-            await sending.spawn(_send, address, replica, number)
-    return list(sending.results)
+    started_at = time.monotonic()
+    async with curio.TaskGroup(wait=all) as tasks:
+        for number in range(_REQUEST_COUNT):
+            send_at = started_at + number / _REQUESTS_PER_SECOND
+            await curio.sleep(max(0, send_at - time.monotonic()))
+            await tasks.spawn(_send, address, replica, number)
+    return list(tasks.results)
 
 
 async def _send(
@@ -177,7 +178,7 @@
     body = {
         'model': replica.model,
         'messages': [{'role': 'user', 'content': f'bench {number}'}],
-        'max_tokens': _TOKENS,
+        'max_tokens': _TOKENS_PER_REQUEST,
         'stream': True,
     }
     headers = {
@@ -197,8 +198,8 @@
         ),
     )
     await connection.read_head()
-    while piece := await connection.read_chunk():
-        stream.first = stream.first or time.monotonic()
-        stream.events += piece.count(_EVENT_END)
+    while chunk := await connection.read_chunk():
+        stream.first_event_at = stream.first_event_at or time.monotonic()
+        stream.events += chunk.count(_EVENT_END)
     await connection.close()
     return stream
--- a/tools/bench/_start.py
+++ b/tools/bench/_start.py
@@ -1,8 +1,8 @@
-"""How long a node needs until it listens, and until it is ready.
+"""Startup time of a node until it listens and until it responds.
 
-The program runs as on the users' platform, with bytecode made beforehand,
-against a stand-in of their store. Processor time is that of the process, read
-while it starts; a machine with a part of a core needs as much more time.
+The program runs as on the users' platform, with precompiled bytecode; no platform
+listens at its address. Processor time is read from the process while it starts; on a fraction
+of a core, startup takes proportionally longer.
 """
 
 import contextlib
@@ -22,9 +22,9 @@
 from cranecart.listening import ADDRESS_VARIABLE
 from tools.processes import Addresses
 
-_PLAYS = 5
-_SECONDS = 20.0
-_LOOK_SECONDS = 0.002
+_REPETITIONS = 5
+_TIMEOUT_SECONDS = 20.0
+_POLL_SECONDS = 0.002
 _NANOSECONDS = 1e9
 _MILLISECONDS = 1000
 _ROOT = Path(__file__).parent.parent.parent
@@ -33,10 +33,10 @@
 
 @attrs.frozen
 class StartCost:
-    """Milliseconds from the start of a process, on a clock and a processor.
+    """Wall-clock and processor time from process start, in milliseconds.
 
-    ``listening`` is when a client's connection is taken, ``up`` when its
-    balancer gets an answer, so that everything is loaded.
+    ``listening`` is when a client connection is accepted, ``up`` when a health
+    check gets a response, so that all modules are loaded.
     """
 
     listening_ms: float
@@ -46,16 +46,16 @@
 
 
 def measure() -> dict[str, float]:
-    """Return the medians of some starts."""
-    _make_bytecode()
+    """Return the start with the median processor time."""
+    _compile_bytecode()
     costs = sorted(
-        (_start() for _play in range(_PLAYS)),
+        (_measure_start() for _repetition in range(_REPETITIONS)),
         key=lambda cost: cost.up_cpu_ms,
     )
-    return attrs.asdict(costs[_PLAYS // 2])
+    return attrs.asdict(costs[_REPETITIONS // 2])
 
 
-def _make_bytecode() -> None:
+def _compile_bytecode() -> None:
     source = _ROOT / 'src' / 'cranecart'
     subprocess.run(
         (sys.executable, '-m', 'compileall', '-q', str(source)),
@@ -63,18 +63,20 @@
     )
 
 
-def _start() -> StartCost:
+def _measure_start() -> StartCost:
     addresses = Addresses()
     with tempfile.TemporaryDirectory() as folder:
-        client, ready = addresses.take(), addresses.take()
+        client_address, ready_address = addresses.take(), addresses.take()
         file = Path(folder) / 'node.json'
-        file.write_text(json.dumps(_settings(addresses, client, ready)))
-        with _running(file, client) as process:
+        file.write_text(
+            json.dumps(_settings(addresses, client_address, ready_address))
+        )
+        with _run_node(file, client_address) as process:
             started = time.monotonic()
-            _wait_for(client, asks=False)
+            _wait_for(client_address, expects_response=False)
             listening = time.monotonic() - started
             listening_cpu = _cpu_ms(process.pid)
-            _wait_for(ready, asks=True)
+            _wait_for(ready_address, expects_response=True)
             addresses.release()
             return StartCost(
                 listening * _MILLISECONDS,
@@ -85,12 +87,12 @@
 
 
 @contextlib.contextmanager
-def _running(
-    file: Path, client: Address
+def _run_node(
+    file: Path, client_address: Address
 ) -> Generator['subprocess.Popen[bytes]', None, None]:
     variables = {
         **os.environ,
-        ADDRESS_VARIABLE: str(client),
+        ADDRESS_VARIABLE: str(client_address),
         'PYTHONPATH': os.pathsep.join(sys.path[1:]),
     }
     command = (sys.executable, '-S', '-m', 'cranecart', 'serve', str(file))
@@ -109,38 +111,38 @@
 
 def _settings(
     addresses: Addresses,
-    client: Address,
-    ready: Address,
+    client_address: Address,
+    ready_address: Address,
 ) -> dict[str, str]:
     return {
         'node_id': 'n',
         'failure_domain': 'east',
-        'client_address': str(client),
-        'ready_address': str(ready),
+        'client_address': str(client_address),
+        'ready_address': str(ready_address),
         'peer_address': str(addresses.take()),
         'metrics_address': str(addresses.take()),
         'platform_address': str(addresses.take()),
     }
 
 
-def _wait_for(address: Address, *, asks: bool) -> None:
-    """Return once an address takes a connection, and answers if asked."""
-    ends = time.monotonic() + _SECONDS
-    while time.monotonic() < ends:
+def _wait_for(address: Address, *, expects_response: bool) -> None:
+    """Return once an address accepts a connection and, if expected, responds."""
+    deadline = time.monotonic() + _TIMEOUT_SECONDS
+    while time.monotonic() < deadline:
         with contextlib.suppress(OSError):
             with socket.create_connection(
                 (address.host, address.port), 1
             ) as sock:
-                if asks:
+                if expects_response:
                     sock.sendall(b'GET / HTTP/1.1\r\nhost: x\r\n\r\n')
                     sock.recv(_READ_BYTES)
                 return
-        time.sleep(_LOOK_SECONDS)
-    raise TimeoutError('nobody listens')
+        time.sleep(_POLL_SECONDS)
+    raise TimeoutError('no response from the node within the time limit')
 
 
 def _cpu_ms(process: int) -> float:
-    """Return the processor time of a process and its threads so far."""
+    """Return the processor time used by all threads of a process."""
     tasks = Path(f'/proc/{process}/task').glob('*/schedstat')
     spent = sum(int(task.read_text().split()[0]) for task in tasks)
     return spent / _NANOSECONDS * _MILLISECONDS
--- a/tools/bench/_times.py
+++ b/tools/bench/_times.py
@@ -1,4 +1,4 @@
-"""How long until all know: of a change, and of a lost instance."""
+"""Propagation time of configuration changes and lost instances."""
 
 import tempfile
 import time
@@ -15,16 +15,16 @@
 
 _EXAMPLE = Path(__file__).parent.parent.parent / 'examples' / 'katyuszerviz'
 _DOMAINS = ('buda-terem', 'pest-terem')
-_CHANGES = 6
-_LOSSES = 3
+_CHANGE_COUNT = 6
+_LOSS_COUNT = 3
 _LOAD_SECONDS = 0.5
-_LONGEST_SECONDS = 30.0
+_TIMEOUT_SECONDS = 30.0
 
 Figures = dict[str, list[float]]
 
 
 def measure() -> Figures:
-    """Return seconds, one figure for each change and each loss."""
+    """Return the times in seconds for each change and each loss."""
     options = ClusterOptions(
         domains=_DOMAINS,
         nodes=9,
@@ -33,39 +33,45 @@
     )
     with tempfile.TemporaryDirectory() as folder:
         with LocalCluster(Path(folder), options) as cluster:
-            declared = compile_folder(_EXAMPLE)
-            wait_until(lambda: _all_answer(cluster), 'all nodes answer')
+            declarations = compile_folder(_EXAMPLE)
+            wait_until(lambda: _all_respond(cluster), 'all nodes answer')
             in_force = [
-                _time_of_change(cluster, declared, number)
-                for number in range(_CHANGES)
+                _change_seconds(cluster, declarations, number)
+                for number in range(_CHANGE_COUNT)
             ]
             wait_until(lambda: _all_serve(cluster), 'all replicas serve', 60)
-            losses = [_time_of_loss(cluster) for _loss in range(_LOSSES)]
+            losses = [_loss_seconds(cluster) for _loss in range(_LOSS_COUNT)]
     return {
         'in_force_seconds': in_force,
-        'absent_everywhere_seconds': [absent for absent, _ in losses],
+        'absent_everywhere_seconds': [
+            until_absent for until_absent, _ in losses
+        ],
         'serving_again_less_load_seconds': [
-            again - _LOAD_SECONDS for _, again in losses
+            until_serving - _LOAD_SECONDS for _, until_serving in losses
         ],
     }
 
 
-def _time_of_change(
+def _change_seconds(
     cluster: LocalCluster,
-    declared: Declarations,
+    declarations: Declarations,
     number: int,
 ) -> float:
     client = cluster.control.operator()
-    changed = attrs.evolve(declared, region=f'{declared.region} {number}')
+    changed = attrs.evolve(
+        declarations, region=f'{declarations.region} {number}'
+    )
     change = curio.run(apply_change, client, changed, None, 'bench')
     started = time.monotonic()
     for node in cluster.entries:
-        other = cluster.control.operator(node)
-        curio.run(wait_until_in_force, other, change.version, _LONGEST_SECONDS)
+        node_client = cluster.control.operator(node)
+        curio.run(
+            wait_until_in_force, node_client, change.version, _TIMEOUT_SECONDS
+        )
     return time.monotonic() - started
 
 
-def _time_of_loss(cluster: LocalCluster) -> tuple[float, float]:
+def _loss_seconds(cluster: LocalCluster) -> tuple[float, float]:
     replica = next(
         one
         for one in cluster.control.serving()
@@ -76,17 +82,18 @@
     wait_until(
         lambda: (
             not any(
-                replica.key in _keys(cluster, name) for name in cluster.entries
+                replica.key in _serving_keys(cluster, name)
+                for name in cluster.entries
             )
         ),
         'the replica is absent on every node',
     )
-    absent = time.monotonic() - started
+    until_absent = time.monotonic() - started
     wait_until(lambda: _all_serve(cluster), 'all replicas serve again')
-    return absent, time.monotonic() - started
+    return until_absent, time.monotonic() - started
 
 
-def _all_answer(cluster: LocalCluster) -> bool:
+def _all_respond(cluster: LocalCluster) -> bool:
     return all(
         cluster.control.status(name) is not None for name in cluster.entries
     )
@@ -94,9 +101,10 @@
 
 def _all_serve(cluster: LocalCluster) -> bool:
     return all(
-        len(_keys(cluster, name)) == len(_DOMAINS) for name in cluster.entries
+        len(_serving_keys(cluster, name)) == len(_DOMAINS)
+        for name in cluster.entries
     )
 
 
-def _keys(cluster: LocalCluster, node: str) -> set[tuple[str, int]]:
+def _serving_keys(cluster: LocalCluster, node: str) -> set[tuple[str, int]]:
     return {replica.key for replica in cluster.control.serving(node)}
