--- a/tests/unit/test_losses.py
+++ b/tests/unit/test_losses.py
@@ -2,9 +2,9 @@
 
 import unittest
 
-from tools.losses import fates, replicas_by_second
+from tools.losses import replicas_by_second, request_outcomes
 from tools.pairs import compare
-from tools.repairs import read_lines
+from tools.repairs import read_events
 
 _ADMITTED = (
     '{"event":"admitted","time":5.0,"at":5.0,"request":"%s","model":"m",'
@@ -33,12 +33,14 @@
 
     def test_causes(self) -> None:
         """Each request is assigned one cause."""
-        causes = [one.cause for one in fates(read_lines(_LOG))]
+        causes = [
+            outcome.cause for outcome in request_outcomes(read_events(_LOG))
+        ]
         self.assertEqual(causes, ['in time', 'pause, moved', 'overloaded'])
 
     def test_replicas(self) -> None:
         """Open replicas are counted by second."""
-        found = replicas_by_second(read_lines(_LOG), 4)
+        found = replicas_by_second(read_events(_LOG), 4)
         self.assertEqual((found[0]['m'], found[2]['m']), (1, 0))
 
 
--- a/tests/unit/test_own_days.py
+++ b/tests/unit/test_own_days.py
@@ -1,4 +1,4 @@
-"""The days that hunts play beside their drawn ones."""
+"""Scenario files that the benchmark runs in addition to random ones."""
 
 import tomllib
 import unittest
@@ -6,7 +6,7 @@
 from typing import Any
 
 _DAYS = Path('deploy/days')
-# What they name stands at a place in a site's tables, as names differ by site.
+# Fields that refer to entries of a site by position, as names differ by site.
 _BY_PLACE = ('service', 'class')
 
 
@@ -16,11 +16,11 @@
     return dict(days[0])
 
 
-class OwnDaysTest(unittest.TestCase):
-    """Each file holds one day, for all deployments."""
+class ScenarioFilesTest(unittest.TestCase):
+    """Each file has one scenario for all deployments."""
 
-    def test_all(self) -> None:
-        """A day bears its file's name, and its troubles end before it does."""
+    def test_names_and_fault_times(self) -> None:
+        """A scenario is named after its file, and its faults end before it."""
         for path in sorted(_DAYS.glob('*.toml')):
             day = _day(path)
             self.assertEqual(day['name'], path.stem)
@@ -30,8 +30,8 @@
                 for name in filter(fault.get, _BY_PLACE):
                     self.assertTrue(fault[name].startswith('@'), path.name)
 
-    def test_deadly(self) -> None:
-        """Requests that end their targets come early, and late beside deaths."""
+    def test_crashing_requests(self) -> None:
+        """Crashing requests come early, or late together with a crash."""
         early = _day(_DAYS / 'deadly.toml')['faults']
         self.assertEqual([one['how'] for one in early], ['deadly'])
         late = _day(_DAYS / 'deadly-late.toml')['faults']
--- a/tests/unit/test_repairs.py
+++ b/tests/unit/test_repairs.py
@@ -1,9 +1,9 @@
-"""What the tool reads out of a played day's logs."""
+"""Recovery times read from the logs of a run."""
 
 import json
 import unittest
 
-from tools.repairs import judge_day, read_lines, report
+from tools.repairs import analyze_events, read_events, report_lines
 
 _EVENTS = (
     {'time': 1, 'event': 'placed', 'why': '4 members must load'},
@@ -36,25 +36,31 @@
     return '\n'.join(['a heading', *reversed(lines)])
 
 
-class RepairsTest(unittest.TestCase):
-    """One replica is lost, one comes back, one never opens."""
+class RecoveryStatsTest(unittest.TestCase):
+    """One replica is lost, one replaces it, one never opens."""
 
     def test_times(self) -> None:
-        """From evidence to stopped, and from placed to open."""
-        repairs = judge_day(read_lines(_log()))
-        self.assertEqual([round(one, 3) for one in repairs.known], [0.04])
-        self.assertEqual([round(one, 3) for one in repairs.repaired], [0.6])
-        self.assertEqual(repairs.loaded, [])
-        self.assertEqual(repairs.never_open, 1)
-        self.assertEqual(repairs.pauses, [0.25])
-        self.assertEqual(repairs.false_alarms, 1)
+        """Detection, formation and pauses are measured."""
+        stats = analyze_events(read_events(_log()))
+        self.assertEqual(
+            [round(seconds, 3) for seconds in stats.detection_seconds], [0.04]
+        )
+        self.assertEqual(
+            [round(seconds, 3) for seconds in stats.reuse_seconds], [0.6]
+        )
+        self.assertEqual(stats.load_seconds, [])
+        self.assertEqual(stats.never_opened, 1)
+        self.assertEqual(stats.stream_pauses, [0.25])
+        self.assertEqual(stats.false_alarms, 1)
 
     def test_open_by_second(self) -> None:
-        """A replica counts until it has stopped."""
-        repairs = judge_day(read_lines(_log()))
-        counts = [one.total() for one in repairs.open_by_second.values()]
+        """A replica is counted until it stops."""
+        stats = analyze_events(read_events(_log()))
+        counts = [models.total() for models in stats.open_by_second.values()]
         self.assertEqual(counts, [1, 1, 1, 1, 1, 1, 1, 1])
 
     def test_a_log_without_decisions(self) -> None:
-        """There is nothing to tell, and no error."""
-        self.assertIn('none', next(iter(report(judge_day(read_lines('x'))))))
+        """Missing durations are reported as none, without an error."""
+        self.assertIn(
+            'none', next(iter(report_lines(analyze_events(read_events('x')))))
+        )
