--- a/tests/functional/test_at_most_once.py
+++ b/tests/functional/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""A non-repeatable call runs at most once, whatever fails around it."""
+"""Non-repeatable calls run at most once, despite failures."""
 
 import itertools
 import time
@@ -15,15 +15,15 @@
 from tools.cluster_control import wait_until
 from tools.local_cluster import LocalCluster
 
-_SLOW_MS = 700
+_SERVICE_DELAY_MS = 700
 _NODES = ('node0', 'node1')
 
 
 class AtMostOnceTest(unittest.TestCase):
-    """Judged by what the services recorded."""
+    """Checked against the services' records."""
 
     cluster: LocalCluster
-    keys = itertools.count()
+    key_numbers = itertools.count()
 
     def setUp(self) -> None:
         """Start two nodes and two slow services, one behind a proxy."""
@@ -33,17 +33,17 @@
             domains=('buda-terem',),
             engines_per_domain=0,
             services_per_domain=1,
-            service_flags=(f'--delay_ms={_SLOW_MS}',),
+            service_flags=(f'--delay_ms={_SERVICE_DELAY_MS}',),
             proxied=frozenset(('buda-terem-s0', 'platform')),
         )
 
-    def test_copies_at_two_nodes_at_one_moment(self) -> None:
-        """Many keys, each sent to both nodes twice, answers delayed."""
+    def test_concurrent_duplicates_at_two_nodes(self) -> None:
+        """20 calls, each sent twice to both nodes, while the store is slow."""
         self.cluster.control.set_platform_faults(delay_ms=30)
         calls = [self._call() for _ in range(20)]
         outcomes = self._send([*calls, *calls], _NODES)
         self.assertEqual(len(outcomes), 80)
-        self._assert_ran(calls, 1)
+        self._assert_run_count(calls, 1)
         kinds = Counter(outcome.kind for outcome in outcomes)
         self.assertGreaterEqual(kinds[OutcomeKind.ANSWERED], 20)
         self.assertLessEqual(
@@ -51,76 +51,82 @@
             {OutcomeKind.ANSWERED, OutcomeKind.UNKNOWN},
         )
 
-    def test_death_of_the_node_that_sent_it(self) -> None:
-        """Another node says that it cannot tell, and does not send it."""
+    def test_crash_of_the_sending_node(self) -> None:
+        """Another node reports an unknown outcome and doesn't send the call."""
         call = self._call()
         curio.run(self._send_and_kill, call)
         outcome = self._send([call], ['node1'])[0]
         self.assertEqual(outcome.kind, OutcomeKind.UNKNOWN)
-        self._assert_ran([call], 1)
+        self._assert_run_count([call], 1)
 
-    def test_lost_answers_of_the_table(self) -> None:
-        """The claim was written though its answer was lost."""
+    def test_lost_responses_of_the_store(self) -> None:
+        """The claim was written, though the response to the write was lost."""
         self.cluster.control.set_platform_faults(
             lose_answers=4,
             lose_prefix='claim/',
         )
         calls = [self._call() for _ in range(4)]
         outcomes = self._send(calls, ['node0'])
-        self._assert_all(outcomes, OutcomeKind.ANSWERED)
-        self._assert_ran(calls, 1)
+        self._assert_outcomes(outcomes, OutcomeKind.ANSWERED)
+        self._assert_run_count(calls, 1)
 
-    def test_platform_away(self) -> None:
-        """Nothing runs under a key that cannot be claimed; later it does."""
+    def test_platform_outage(self) -> None:
+        """A call whose key cannot be claimed is rejected; later it runs."""
         self.cluster.control.set_platform_faults(down=True)
         call = self._call()
         outcome = self._send([call], ['node0'])[0]
         self.assertEqual(outcome.code, 'claim_unreadable')
         self.assertIsNotNone(outcome.retry_after)
         self.assertLess(outcome.ended - outcome.started, 3)
-        self._assert_ran([call], 0)
+        self._assert_run_count([call], 0)
         self.cluster.control.set_platform_faults()
-        self._assert_all(self._send([call], ['node1']), OutcomeKind.ANSWERED)
-        self._assert_ran([call], 1)
+        self._assert_outcomes(
+            self._send([call], ['node1']), OutcomeKind.ANSWERED
+        )
+        self._assert_run_count([call], 1)
 
-    def test_replayed_later_at_another_node(self) -> None:
-        """A repeat hears the recorded answer and runs nothing."""
+    def test_retry_at_another_node(self) -> None:
+        """A retry gets the recorded response and runs nothing."""
         call = self._call()
-        self._assert_all(self._send([call], ['node0']), OutcomeKind.ANSWERED)
-        self._assert_all(self._send([call], ['node1']), OutcomeKind.ANSWERED)
-        self._assert_ran([call], 1)
+        self._assert_outcomes(
+            self._send([call], ['node0']), OutcomeKind.ANSWERED
+        )
+        self._assert_outcomes(
+            self._send([call], ['node1']), OutcomeKind.ANSWERED
+        )
+        self._assert_run_count([call], 1)
 
-    def test_lost_answer_of_the_service(self) -> None:
-        """Nobody can tell, everybody is told so, and nothing runs again."""
+    def test_lost_response_of_the_service(self) -> None:
+        """All attempts get an unknown outcome, and the call runs once."""
         self.cluster.control.set_link_faults(
             'buda-terem-s0',
             drop_answer=True,
         )
         call = self._call()
         first = self._send([call], ['node0'])
-        # The instance must be probed well again before the repeat.
+        # The instance must have passed a health probe before the retry.
         self.cluster.control.set_link_faults('buda-terem-s0')
         time.sleep(1.5)
-        again = self._send([call], _NODES)
-        self._assert_all([*first, *again], OutcomeKind.UNKNOWN)
-        self._assert_ran([call], 1)
+        retried = self._send([call], _NODES)
+        self._assert_outcomes([*first, *retried], OutcomeKind.UNKNOWN)
+        self._assert_run_count([call], 1)
 
     def test_node_paused_between_claim_and_send(self) -> None:
-        """It looks at the deadline again and does not send."""
+        """After the pause the deadline has passed, so it doesn't send the call."""
         self.cluster.control.set_platform_faults(delay_ms=600)
         call = attrs.evolve(self._call(), deadline_ms=1500)
         curio.run(self._send_and_pause, call)
         self.cluster.control.set_platform_faults()
         wait_until(
             lambda: self.cluster.control.status('node0') is not None,
-            'the paused node answers again',
+            'the paused node responds again',
         )
         time.sleep(1.5)
-        self._assert_ran([call], 0)
+        self._assert_run_count([call], 0)
 
     async def _send_and_kill(self, call: LoadCall) -> None:
         sending = await curio.spawn(self._send_to, 'node0', call)
-        while not self._ran(call):
+        while not self._run_count(call):
             await curio.sleep(0.05)
         self.cluster.processes['node0'].kill()
         outcome = await sending.join()
@@ -155,7 +161,7 @@
         return list(sending.results)
 
     def _call(self) -> LoadCall:
-        number = next(self.keys)
+        number = next(self.key_numbers)
         return LoadCall(
             key=f'key-{number}',
             api_key='demo-budapest',
@@ -166,17 +172,17 @@
             deadline_ms=10000,
         )
 
-    def _ran(self, call: LoadCall) -> int:
+    def _run_count(self, call: LoadCall) -> int:
         events = read_record(self.cluster.record)
         return sum(
             event['event'] == 'start' and event['key'] == call.key
             for event in events
         )
 
-    def _assert_ran(self, calls: Sequence[LoadCall], times: int) -> None:
-        self.assertEqual({self._ran(call) for call in calls}, {times})
+    def _assert_run_count(self, calls: Sequence[LoadCall], count: int) -> None:
+        self.assertEqual({self._run_count(call) for call in calls}, {count})
 
-    def _assert_all(
+    def _assert_outcomes(
         self,
         outcomes: Sequence[Outcome],
         kind: OutcomeKind,
--- a/tests/functional/test_binary.py
+++ b/tests/functional/test_binary.py
@@ -1,4 +1,4 @@
-"""The one file that is shipped, where it has been built."""
+"""The binary, if it has been built."""
 
 import os
 import subprocess
@@ -14,12 +14,14 @@
 _BINARY = Path(__file__).parent.parent.parent / 'dist' / 'cranecart'
 
 
-@unittest.skipUnless(_BINARY.exists(), 'make binary was not run')
+@unittest.skipUnless(
+    _BINARY.exists(), 'dist/cranecart is missing; build it with make binary'
+)
 class BinaryTest(unittest.TestCase):
-    """It runs a node in one process."""
+    """The binary runs a node in a single process."""
 
-    def test_a_running_node_has_no_child(self) -> None:
-        """Nor does it write anywhere but where it unpacks itself."""
+    def test_running_node_has_no_child_process(self) -> None:
+        """The node also works if only the unpacking folder is writable."""
         with tempfile.TemporaryDirectory() as folder:
             settings = self._write_settings(Path(folder))
             process = subprocess.Popen(
--- a/tests/functional/test_cold_start.py
+++ b/tests/functional/test_cold_start.py
@@ -1,4 +1,4 @@
-"""Everything starts at once after an outage, and no herd comes of it."""
+"""A simultaneous start of everything doesn't overload the platform."""
 
 import time
 import unittest
@@ -8,13 +8,13 @@
 from tools.local_cluster import LocalCluster
 
 _NODES = 6
-_READS_PER_NODE = 6.0
-_WRITES_PER_SECOND = 10.0
-_SECONDS = 30.0
+_MAX_READS_PER_NODE = 6.0
+_MAX_WRITES_PER_SECOND = 10.0
+_RECOVERY_SECONDS = 30.0
 
 
 class ColdStartTest(unittest.TestCase):
-    """Six nodes and ten engines, with the platform back last."""
+    """Six nodes and ten engines start before the platform is back."""
 
     cluster: LocalCluster
 
@@ -22,8 +22,8 @@
         """Start a cluster."""
         self.cluster = start_cluster(self, nodes=_NODES)
 
-    def test_all_at_once(self) -> None:
-        """All replicas serve again; the platform is asked no more than idle."""
+    def test_simultaneous_start(self) -> None:
+        """All replicas serve again, with reads and writes within their limits."""
         control = self.cluster.control
         control.set_platform_faults(down=True)
         engines = [
@@ -41,13 +41,15 @@
         control.set_platform_faults()
         before = control.platform_counts()
         started = time.monotonic()
-        wait_until(self._all_serve, 'all replicas serve again', _SECONDS)
+        wait_until(
+            self._all_serve, 'all replicas serve again', _RECOVERY_SECONDS
+        )
         seconds = time.monotonic() - started
         after = control.platform_counts()
         reads = (after['reads'] - before['reads']) / seconds
         writes = (after['writes'] - before['writes']) / seconds
-        self.assertLess(reads, _READS_PER_NODE * _NODES)
-        self.assertLess(writes, _WRITES_PER_SECOND)
+        self.assertLess(reads, _MAX_READS_PER_NODE * _NODES)
+        self.assertLess(writes, _MAX_WRITES_PER_SECOND)
 
     def _all_serve(self) -> bool:
         return all(
--- a/tests/functional/test_configuration.py
+++ b/tests/functional/test_configuration.py
@@ -1,4 +1,4 @@
-"""Accepted configuration is in force everywhere soon, and never reverts."""
+"""An accepted configuration takes effect everywhere and never reverts."""
 
 import itertools
 import time
@@ -24,8 +24,8 @@
 from tools.cluster_control import wait_until
 from tools.local_cluster import LocalCluster
 
-_IN_FORCE_SECONDS = 7.0
-_OPERATORS = 6
+_ROLLOUT_SECONDS = 7.0
+_OPERATOR_COUNT = 6
 _ROUNDS = 3
 
 
@@ -44,8 +44,8 @@
         )
         self.declared = compile_folder(Path(EXAMPLES / 'katyuszerviz'))
 
-    def test_operators_race_with_lost_answers(self) -> None:
-        """One history; each operator is told the truth about its change."""
+    def test_concurrent_changes_with_lost_responses(self) -> None:
+        """The history is linear and agrees with what each operator was told."""
         accepted: list[Change] = []
         conflicts: list[str] = []
         for number in range(_ROUNDS):
@@ -54,7 +54,7 @@
                 lose_prefix='config/',
                 delay_ms=20,
             )
-            curio.run(self._race, number, accepted, conflicts)
+            curio.run(self._apply_concurrently, number, accepted, conflicts)
         self.cluster.control.set_platform_faults()
         history = curio.run(self.cluster.control.operator().changes)
         versions = [change.version for change in history]
@@ -65,20 +65,23 @@
         self.assertFalse(set(conflicts) & set(notes))
         self.assertGreaterEqual(len(accepted), 1)
 
-    def test_in_force_everywhere_though_the_platform_is_slow(self) -> None:
-        """Within seven seconds, change after change."""
+    def test_rollout_with_a_slow_platform(self) -> None:
+        """Each change is in force on all nodes within seven seconds."""
         self.cluster.control.set_platform_faults(delay_ms=500)
         for number in range(4):
             seconds = self._apply_and_wait(f'slow {number}')
-            self.assertLess(seconds, _IN_FORCE_SECONDS)
+            self.assertLess(seconds, _ROLLOUT_SECONDS)
 
     def test_never_reverts(self) -> None:
-        """Not on restart, pause or platform outage, on any node."""
+        """No node goes back to an older version.
+
+        Nodes are restarted and paused, and the platform is down.
+        """
         self._apply_and_wait('two')
-        seen: dict[str, list[int]] = defaultdict(list)
+        seen_versions: dict[str, list[int]] = defaultdict(list)
         self.cluster.processes['node1'].pause()
         self._apply('three')
-        # Accepted, and held by others than the node that accepted it.
+        # Other nodes than the one that accepted the change have it too.
         wait_until(
             lambda: set(map(self._last_version, ('node2', 'node3'))) == {3},
             'version 3 is in force on the nodes that run',
@@ -88,28 +91,31 @@
         self.cluster.start_node('node0')
         self.cluster.processes['node1'].resume()
         wait_until(
-            lambda: self._watch(seen) == {3},
+            lambda: self._record_versions(seen_versions) == {3},
             'version 3 is in force without the platform',
         )
         self.cluster.control.set_platform_faults()
-        # Beside load a started node may need longer than the watch below.
+        # On a busy machine a node may need longer to start than the loop below.
         wait_until(
-            lambda: self._watch(seen) == {3} and _all_have_held(seen, 3),
-            'version 3 was in force on every node',
+            lambda: (
+                self._record_versions(seen_versions) == {3}
+                and _all_have_had(seen_versions, 3)
+            ),
+            'version 3 has been in force on every node',
         )
         for _ in range(20):
-            self._watch(seen)
+            self._record_versions(seen_versions)
             time.sleep(0.1)
-        self._assert_only_rising(seen)
+        self._assert_only_rising(seen_versions)
 
-    def _assert_only_rising(self, seen: dict[str, list[int]]) -> None:
-        for versions in seen.values():
-            # A node that was just started holds nothing and serves nothing.
-            held = [version for version in versions if version]
-            self.assertEqual(held, sorted(held))
-            self.assertEqual(held[-1], 3)
+    def _assert_only_rising(self, seen_versions: dict[str, list[int]]) -> None:
+        for versions in seen_versions.values():
+            # A node that was just started has no configuration and serves nothing.
+            applied = [version for version in versions if version]
+            self.assertEqual(applied, sorted(applied))
+            self.assertEqual(applied[-1], 3)
 
-    async def _race(
+    async def _apply_concurrently(
         self,
         number: int,
         accepted: list[Change],
@@ -117,15 +123,17 @@
     ) -> None:
         nodes = itertools.cycle(self.cluster.entries)
         base = (await self.cluster.control.operator().declared()).version
-        async with curio.TaskGroup(wait=all) as racing:
-            for operator, node in zip(range(_OPERATORS), nodes, strict=False):
-                await racing.spawn(
+        async with curio.TaskGroup(wait=all) as applying:
+            for operator, node in zip(
+                range(_OPERATOR_COUNT), nodes, strict=False
+            ):
+                await applying.spawn(
                     self._apply_one,
                     self.cluster.control.operator(node),
                     base,
                     f'{number}/{operator}',
                 )
-        for outcome in racing.results:
+        for outcome in applying.results:
             if isinstance(outcome, Change):
                 accepted.append(outcome)
             elif outcome is not None:
@@ -137,9 +145,9 @@
         base: int,
         note: str,
     ) -> Change | str | None:
-        wanted = self._changed(note)
+        declarations = self._changed(note)
         try:
-            return await client.apply(wanted, base, 'operator', note)
+            return await client.apply(declarations, base, 'operator', note)
         except WriteConflictError:
             return note
         except WriteUnknownError:
@@ -147,8 +155,8 @@
 
     def _apply(self, note: str) -> Change:
         client = self.cluster.control.operator()
-        wanted = self._changed(note)
-        return curio.run(apply_change, client, wanted, None, note)
+        declarations = self._changed(note)
+        return curio.run(apply_change, client, declarations, None, note)
 
     def _apply_and_wait(self, note: str) -> float:
         change = self._apply(note)
@@ -158,7 +166,7 @@
                 wait_until_in_force,
                 self.cluster.control.operator(node),
                 change.version,
-                _IN_FORCE_SECONDS * 2,
+                _ROLLOUT_SECONDS * 2,
             )
             self.assertEqual(behind, [])
         return time.monotonic() - started
@@ -166,10 +174,10 @@
     def _changed(self, note: str) -> Declarations:
         return attrs.evolve(self.declared, region=f'kozep-hu {note}')
 
-    def _watch(self, seen: dict[str, list[int]]) -> set[int]:
+    def _record_versions(self, seen_versions: dict[str, list[int]]) -> set[int]:
         for name in self.cluster.entries:
-            seen[name].extend(self._versions(name))
-        return {versions[-1] for versions in seen.values() if versions}
+            seen_versions[name].extend(self._versions(name))
+        return {versions[-1] for versions in seen_versions.values() if versions}
 
     def _last_version(self, name: str) -> int:
         return max(self._versions(name), default=0)
@@ -182,5 +190,7 @@
         return [status.config_version]
 
 
-def _all_have_held(seen: Mapping[str, Sequence[int]], version: int) -> bool:
-    return all(version in versions for versions in seen.values())
+def _all_have_had(
+    seen_versions: Mapping[str, Sequence[int]], version: int
+) -> bool:
+    return all(version in versions for versions in seen_versions.values())
--- a/tests/functional/test_crossed.py
+++ b/tests/functional/test_crossed.py
@@ -1,4 +1,4 @@
-"""Answers that belong to other requests reach nobody."""
+"""Responses to other requests are not delivered to clients."""
 
 import unittest
 
@@ -13,8 +13,8 @@
 from tools.local_cluster import LocalCluster
 
 
-class CrossedTest(unittest.TestCase):
-    """One engine answers with the ids of other requests for a while."""
+class SwappedResponseTest(unittest.TestCase):
+    """An engine temporarily responds with the ids of other requests."""
 
     cluster: LocalCluster
 
@@ -22,24 +22,24 @@
         """Start a cluster with two replicas."""
         self.cluster = start_cluster(self, nodes=2, engines_per_domain=4)
 
-    def test_crossed_answers(self) -> None:
-        """Clients get their own answers from the other replica."""
+    def test_swapped_responses(self) -> None:
+        """Clients get their own responses from the other replica."""
         leader = next(
             replica.leader
             for replica in self.cluster.control.serving()
             if replica.failure_domain == 'buda-terem'
         )
 
-        async def chaos() -> None:  # noqa: WPS430
-            for crosses in (True, False):
+        async def inject_faults() -> None:  # noqa: WPS430
+            for is_swapping in (True, False):
                 await curio.sleep(2)
-                body = msgspec.json.encode(crosses)
+                body = msgspec.json.encode(is_swapping)
                 request = Request('POST', '/standin/cross', body=body)
                 await exchange(leader, request, 5)
 
         outcomes = run_under_load(
             self.cluster,
-            chaos,
+            inject_faults,
             language_profile(tokens=4, non_repeatable_share=0),
             seconds=7,
             per_second=10,
@@ -49,9 +49,9 @@
             read_record(self.cluster.record),
         )
         self.assertEqual(summary.wrong, 0)
-        crossed = {
+        failure_kinds = {
             one.kind for one in outcomes if one.kind is not OutcomeKind.ANSWERED
         }
-        # The retry budget may run out; then the outcome is told as unknown.
-        self.assertLessEqual(crossed, {OutcomeKind.UNKNOWN})
+        # If the retry budget is exhausted, the outcome is reported as unknown.
+        self.assertLessEqual(failure_kinds, {OutcomeKind.UNKNOWN})
         self.assertGreater(summary.answered, 0.9 * len(outcomes))
--- a/tests/functional/test_leaving.py
+++ b/tests/functional/test_leaving.py
@@ -1,4 +1,4 @@
-"""Planned leaving and stopping cut nothing off."""
+"""Planned shutdowns of instances and nodes interrupt no requests."""
 
 import time
 import unittest
@@ -18,22 +18,22 @@
 )
 from cranecart.standins import read_record
 from tests.lib.clusters import start_cluster
-from tests.lib.loads import Chaos, language_profile, run_under_load
+from tests.lib.loads import FaultInjection, language_profile, run_under_load
 from tools.cluster_control import wait_until
 from tools.local_cluster import LocalCluster
 
-_LATE_SECONDS = 4.0
+_NOTICE_SECONDS = 4.0
 _DOMAIN = 'buda-terem'
 _NODES = ('node0', 'node1', 'node2', 'node3')
 
 
-class LeavingTest(unittest.TestCase):
-    """Long streams run while something leaves as planned."""
+class PlannedShutdownTest(unittest.TestCase):
+    """Long streams run during planned shutdowns."""
 
     cluster: LocalCluster
 
     def setUp(self) -> None:
-        """Start a cluster whose answers take about a second."""
+        """Start a cluster whose responses take about a second."""
         self.cluster = start_cluster(
             self,
             nodes=4,
@@ -43,51 +43,53 @@
             settings={'stop_grace_ms': 20000},
         )
 
-    def test_engine_says_that_it_leaves(self) -> None:
-        """Its replica takes no new work, ends its work, and is repaired."""
-        victim = self._member()
+    def test_engine_reports_that_it_leaves(self) -> None:
+        """Its replica is drained and repaired."""
+        engine = self._member()
 
-        async def chaos() -> None:  # noqa: WPS430
+        async def inject_faults() -> None:  # noqa: WPS430
             await curio.sleep(2)
-            await self.cluster.control.leave(victim)
+            await self.cluster.control.leave(engine)
 
-        self._assert_sound(self._run(chaos, 14))
-        wait_until(lambda: self._is_replaced(victim), f'{victim} is replaced')
+        self._assert_no_failures(self._run(inject_faults, 14))
+        wait_until(lambda: self._is_replaced(engine), f'{engine} is replaced')
 
-    def test_list_says_that_an_engine_leaves(self) -> None:
-        """The platform's word counts as much as the engine's own."""
-        victim = self._member()
+    def test_instance_list_reports_a_leaving_engine(self) -> None:
+        """The platform's list has the same effect as the engine's own report."""
+        engine = self._member()
 
-        async def chaos() -> None:  # noqa: WPS430
+        async def inject_faults() -> None:  # noqa: WPS430
             await curio.sleep(2)
-            await self._list_as_leaving(victim)
+            await self._mark_leaving_in_list(engine)
 
-        self._assert_sound(self._run(chaos, 14))
-        wait_until(lambda: self._is_replaced(victim), f'{victim} is replaced')
+        self._assert_no_failures(self._run(inject_faults, 14))
+        wait_until(lambda: self._is_replaced(engine), f'{engine} is replaced')
 
     def test_service_leaves(self) -> None:
-        """Calls go to the other instance."""
+        """Calls are routed to the other instance."""
 
-        async def chaos() -> None:  # noqa: WPS430
+        async def inject_faults() -> None:  # noqa: WPS430
             await curio.sleep(2)
             await self.cluster.control.leave(f'{_DOMAIN}-s0')
 
         outcomes = self._run(
-            chaos,
+            inject_faults,
             10,
             services=[('brigad-app', '/next')],
             service_share=1.0,
         )
-        self._assert_sound(outcomes)
+        self._assert_no_failures(outcomes)
 
     def test_rolling_restart_of_all_nodes(self) -> None:
-        """No request is cut off, none is lost."""
+        """No request is interrupted or lost."""
 
-        async def chaos() -> None:  # noqa: WPS430
+        async def inject_faults() -> None:  # noqa: WPS430
             for name in _NODES:
                 await curio.run_in_thread(self._restart, name)
 
-        self._assert_sound(self._run(chaos, 40, per_second=8, tokens=80))
+        self._assert_no_failures(
+            self._run(inject_faults, 40, per_second=8, tokens=80)
+        )
         for name in _NODES:
             log = (self.cluster.folder / f'{name}.log').read_text('utf-8')
             self.assertIn('node_stopped', log)
@@ -98,10 +100,12 @@
         code = process.wait(30)
         self.cluster.start_node(name)
         if code:
-            raise AssertionError(f'{name} ended with {code}')
+            raise AssertionError(
+                f'{name} must exit with 0, but exited with {code}'
+            )
         time.sleep(3)
 
-    async def _list_as_leaving(self, name: str) -> None:
+    async def _mark_leaving_in_list(self, name: str) -> None:
         address = self.cluster.addresses[name]
         entry = {
             'id': name,
@@ -124,37 +128,37 @@
 
     def _run(
         self,
-        chaos: Chaos,
+        inject_faults: FaultInjection,
         seconds: float,
         per_second: float = 10,
         **profile: object,
     ) -> list[Outcome]:
         return run_under_load(
             self.cluster,
-            chaos,
+            inject_faults,
             language_profile(**profile),
             seconds,
             per_second,
         )
 
-    def _assert_sound(self, outcomes: Sequence[Outcome]) -> None:
+    def _assert_no_failures(self, outcomes: Sequence[Outcome]) -> None:
         events = read_record(self.cluster.record)
         kinds = Counter(outcome.kind for outcome in outcomes)
         self.assertEqual(set(kinds), {OutcomeKind.ANSWERED}, kinds)
         summary = Summary.from_outcomes(outcomes, events)
         self.assertEqual(summary.violations, 0)
         self.assertEqual(aborted_starts(events), [])
-        late = [
+        delays = [
             one.seconds_since_leaving for one in starts_while_leaving(events)
         ]
-        self.assertLess(max(late, default=0), _LATE_SECONDS)
+        self.assertLess(max(delays, default=0), _NOTICE_SECONDS)
 
     def _member(self) -> str:
         return self._replica()[1]
 
-    def _is_replaced(self, victim: str) -> bool:
+    def _is_replaced(self, engine: str) -> bool:
         members = self._replica()
-        return bool(members) and victim not in members
+        return bool(members) and engine not in members
 
     def _replica(self) -> tuple[str, ...]:
         return next(
--- a/tests/functional/test_limits.py
+++ b/tests/functional/test_limits.py
@@ -1,4 +1,4 @@
-"""An organisation's limit holds over all nodes together."""
+"""An organisation's limit applies to all nodes together."""
 
 import itertools
 import unittest
@@ -17,12 +17,12 @@
 
 
 class LimitsTest(unittest.TestCase):
-    """Three nodes are all asked for more than the limit at one moment."""
+    """Three nodes together get more calls than the limit at once."""
 
     cluster: LocalCluster
 
     def setUp(self) -> None:
-        """Start a cluster with slow services, so that calls pile up."""
+        """Start a cluster with slow services, so that calls overlap."""
         self.cluster = start_cluster(
             self,
             nodes=_NODES,
@@ -31,12 +31,12 @@
             service_flags=('--delay_ms=1500',),
         )
 
-    def test_calls_at_once(self) -> None:
-        """At most the limit and one more a node run; the rest hear at once."""
+    def test_concurrent_calls(self) -> None:
+        """At most the limit plus one call per node run; others fail fast."""
         outcomes = curio.run(self._send_all)
         kinds = Counter(outcome.kind for outcome in outcomes)
         self.assertGreaterEqual(kinds[OutcomeKind.ANSWERED], _LIMIT / 2)
-        self.assertLessEqual(self._most_at_once(), _LIMIT + _NODES)
+        self.assertLessEqual(self._max_concurrent(), _LIMIT + _NODES)
         refused = [
             outcome
             for outcome in outcomes
@@ -60,11 +60,11 @@
                 await sending.spawn(send_call, entry.clients, call)
         return list(sending.results)
 
-    def _most_at_once(self) -> int:
+    def _max_concurrent(self) -> int:
         running = 0
-        most = 0
+        maximum = 0
         for event in read_record(self.cluster.record):
             running += event['event'] == 'start'
             running -= event['event'] == 'finish'
-            most = max(most, running)
-        return most
+            maximum = max(maximum, running)
+        return maximum
--- a/tests/functional/test_node_start.py
+++ b/tests/functional/test_node_start.py
@@ -1,8 +1,8 @@
-"""What clients of a node meet while it starts, as a process of its own.
+"""Clients of a node that is starting, as a separate process.
 
-Loading the program took 0.55 s of processor time, over a second of a small
-machine, and until then nobody listened: after all nodes had lost power at once,
-191 requests found no listener and were lost.
+Importing the program takes 0.55 s of CPU time, over a second on a small
+machine. When the client address was bound only afterwards, 191 requests were
+refused and lost after all nodes had lost power at once.
 """
 
 import json
@@ -33,19 +33,19 @@
 from tools.processes import Addresses
 
 _KEY = 'secret'
-_SECONDS = 15.0
+_TIMEOUT_SECONDS = 15.0
 _TARGET = 't-1'
 _NODES = 6
-# A slow store's answers on the users' sheets.
-_SLOW_SECONDS = 0.25
+# Latency of a slow store, by the users' load sheets.
+_STORE_DELAY_SECONDS = 0.25
 
 
 class _SlowStore(StandinStore):
-    """A stand-in whose answers take their time."""
+    """A stand-in whose responses are delayed."""
 
     async def handle(self, request: Request, responder: Responder) -> None:
-        """Answer one call late."""
-        await curio.sleep(_SLOW_SECONDS)
+        """Answer one call after a delay."""
+        await curio.sleep(_STORE_DELAY_SECONDS)
         await super().handle(request, responder)
 
 
@@ -53,7 +53,9 @@
     await exchange.answer(b'whole')
 
 
-def _fill(store: StandinStore, target: FakeTarget) -> StandinStore:
+def _add_config_and_target(
+    store: StandinStore, target: FakeTarget
+) -> StandinStore:
     route = {
         'name': 'r',
         'host': 'a.example',
@@ -83,8 +85,8 @@
     return store
 
 
-class _Started:
-    """A node's process, begun a moment ago."""
+class _NodeProcess:
+    """A node's process that has just been started."""
 
     def __init__(
         self,
@@ -117,28 +119,28 @@
             )
 
     def started_at(self) -> float | None:
-        """Return when the node said that it has started, once it has."""
-        whole, _, _ = self._log.read_text().rpartition('\n')
-        lines = map(json.loads, whole.splitlines())
+        """Return the logged time of the node's start, or None before it."""
+        complete_lines, _, _ = self._log.read_text().rpartition('\n')
+        lines = map(json.loads, complete_lines.splitlines())
         return next(
             (line['time'] for line in lines if line['event'] == 'node_started'),
             None,
         )
 
-    def end(self) -> None:
-        """Leave nothing behind."""
+    def kill(self) -> None:
+        """Kill the process."""
         self.process.kill()
         self.process.wait()
 
 
 async def _connect(address: Address) -> HttpConnection:
-    ends = time.monotonic() + _SECONDS
-    while time.monotonic() < ends:
+    deadline = time.monotonic() + _TIMEOUT_SECONDS
+    while time.monotonic() < deadline:
         try:
             return await HttpConnection.open(address)
         except HttpError:
             await curio.sleep(0.005)
-    raise AssertionError('nobody listens')
+    raise AssertionError('no listener at the client address before the timeout')
 
 
 def _request() -> Request:
@@ -153,60 +155,64 @@
     )
 
 
-async def _ask(connection: HttpConnection) -> Response:
+async def _send_request(connection: HttpConnection) -> Response:
     head = await connection.send_and_read_head(_request())
     return Response(head.status, head.headers, await connection.read_body())
 
 
-async def _meet(node: _Started) -> tuple[float, int]:
-    """Connect as soon as may be; return when, and what the answer was."""
+async def _connect_and_request(node: _NodeProcess) -> tuple[float, int]:
+    """Connect as early as possible; return the time and the status."""
     connection = await _connect(node.client)
     connected_at = time.time()
-    response = await curio.timeout_after(_SECONDS, _ask, connection)
+    response = await curio.timeout_after(
+        _TIMEOUT_SECONDS, _send_request, connection
+    )
     return connected_at, response.status
 
 
 class NodeStartTest(unittest.TestCase):
-    """A process that starts, seen by its first client."""
+    """The first client of a node's process that is starting."""
 
     def setUp(self) -> None:
-        """Make a folder."""
+        """Create a folder for settings and logs, and reserve addresses."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
         self.addresses = Addresses()
         self.addCleanup(self.addresses.release)
 
-    def test_a_connection_made_before_it_is_there(self) -> None:
-        """It waits, and its request is answered by a target."""
-        curio.run(self._meet_starting_nodes, StandinStore(), 1)
+    def test_connection_before_the_node_has_started(self) -> None:
+        """It stays open, and its request is answered by a target."""
+        curio.run(self._request_from_starting_nodes, StandinStore(), 1)
 
-    def test_the_store_is_slow(self) -> None:
-        """It waits for what the node has to read."""
-        curio.run(self._meet_starting_nodes, _SlowStore(), 1)
+    def test_slow_store(self) -> None:
+        """The request waits until the node has read its configuration."""
+        curio.run(self._request_from_starting_nodes, _SlowStore(), 1)
 
-    def test_all_start_at_one_moment(self) -> None:
-        """No client of any of them is refused."""
-        curio.run(self._meet_starting_nodes, StandinStore(), _NODES)
+    def test_simultaneous_start_of_all_nodes(self) -> None:
+        """Every node serves the client that connected first."""
+        curio.run(self._request_from_starting_nodes, StandinStore(), _NODES)
 
-    def test_the_store_is_away(self) -> None:
-        """The client is told within its time, and when to come back."""
-        curio.run(self._meet_a_node_without_store)
+    def test_store_outage(self) -> None:
+        """The client gets a 503 with a retry time, before its timeout."""
+        curio.run(self._request_without_store)
 
-    def test_stopped_while_it_starts(self) -> None:
-        """The process ends at once, and its client is not left hanging."""
+    def test_stop_during_start(self) -> None:
+        """The process exits within a second and closes the connection."""
         curio.run(self._stop_a_starting_node)
 
-    async def _meet_starting_nodes(
+    async def _request_from_starting_nodes(
         self,
         store: StandinStore,
         count: int,
     ) -> None:
         target = FakeTarget(_TARGET, _answer)
         serving = await curio.spawn(target.run)
-        task, platform = await start(_fill(store, target))
+        task, platform = await start(_add_config_and_target(store, target))
         nodes = [self._start(platform, f'n{one}') for one in range(count)]
-        clients = [await curio.spawn(_meet, node) for node in nodes]
+        clients = [
+            await curio.spawn(_connect_and_request, node) for node in nodes
+        ]
         for node, client in zip(nodes, clients, strict=True):
             connected_at, status = await client.join()
             self.assertEqual(status, 200)
@@ -215,30 +221,34 @@
         await task.cancel()
         await serving.cancel()
 
-    async def _meet_a_node_without_store(self) -> None:
+    async def _request_without_store(self) -> None:
         node = self._start(self.addresses.take())
         connection = await _connect(node.client)
-        response = await curio.timeout_after(_SECONDS, _ask, connection)
+        response = await curio.timeout_after(
+            _TIMEOUT_SECONDS, _send_request, connection
+        )
         self.assertEqual(response.status, 503)
         self.assertIn('retry-after', response.headers)
         before = time.monotonic()
         connection.reset()
-        again = await curio.timeout_after(_SECONDS, _ask, connection)
-        self.assertEqual(again.status, 503)
+        second = await curio.timeout_after(
+            _TIMEOUT_SECONDS, _send_request, connection
+        )
+        self.assertEqual(second.status, 503)
         self.assertLess(time.monotonic() - before, 0.3)
 
     async def _stop_a_starting_node(self) -> None:
         node = self._start(self.addresses.take())
         connection = await _connect(node.client)
         node.process.send_signal(signal.SIGTERM)
-        ends = time.monotonic() + 1
-        while node.process.poll() is None and time.monotonic() < ends:
+        deadline = time.monotonic() + 1
+        while node.process.poll() is None and time.monotonic() < deadline:
             await curio.sleep(0.01)
         self.assertIn(node.process.poll(), {0, -signal.SIGTERM})
         with self.assertRaises(HttpError):
-            await curio.timeout_after(1, _ask, connection)
+            await curio.timeout_after(1, _send_request, connection)
 
     def _start(self, platform: Address, name: str = 'n') -> Any:
-        node = _Started(self.folder, self.addresses, platform, name)
-        self.addCleanup(node.end)
+        node = _NodeProcess(self.folder, self.addresses, platform, name)
+        self.addCleanup(node.kill)
         return node
--- a/tests/functional/test_partitions.py
+++ b/tests/functional/test_partitions.py
@@ -1,4 +1,4 @@
-"""Failure domains and nodes that are cut off go on serving what they can."""
+"""Failure domains and nodes keep serving during network partitions."""
 
 import unittest
 from collections import Counter
@@ -16,18 +16,18 @@
 )
 from cranecart.standins import read_record
 from tests.lib.clusters import start_cluster
-from tests.lib.loads import Chaos, language_profile, run_under_load
+from tests.lib.loads import FaultInjection, language_profile, run_under_load
 from tools.cluster_control import wait_until
 from tools.local_cluster import LocalCluster
 
-_KNOWN_SECONDS = 5.0
+_DETECTION_SECONDS = 5.0
 _DOMAIN = 'buda-terem'
-_OWN = ('node0', 'node2')
+_DOMAIN_NODES = ('node0', 'node2')
 _PEERS = tuple(f'node{number}-peer' for number in range(4))
 
 
 class PartitionsTest(unittest.TestCase):
-    """Each domain has its own link to the platform, each node to peers."""
+    """Proxies on the links of a domain to the platform and of nodes to peers."""
 
     cluster: LocalCluster
 
@@ -42,42 +42,44 @@
             proxied=frozenset(links),
         )
 
-    def test_domain_cut_off_from_the_platform(self) -> None:
-        """It serves on while a member dies, and is repaired afterwards."""
+    def test_domain_partitioned_from_the_platform(self) -> None:
+        """It keeps serving when a member crashes, and is repaired afterwards."""
         victim = self._members()[1]
 
-        async def chaos() -> None:  # noqa: WPS430
+        async def inject_faults() -> None:  # noqa: WPS430
             await self._cut(f'platform-{_DOMAIN}')
             await curio.sleep(2)
             self.cluster.kill(victim)
             await curio.sleep(6)
             await self._heal(f'platform-{_DOMAIN}')
 
-        self._assert_sound(self._run(chaos, 12))
+        self._assert_invariants(self._run(inject_faults, 12))
         wait_until(
             lambda: bool(self._members()) and victim not in self._members(),
             'the replica is repaired',
         )
 
-    def test_domain_cut_off_from_everybody(self) -> None:
-        """Without peers elsewhere and without the platform it serves on."""
+    def test_domain_partitioned_from_everything(self) -> None:
+        """It keeps serving without the platform and peers elsewhere."""
 
-        async def chaos() -> None:  # noqa: WPS430
+        async def inject_faults() -> None:  # noqa: WPS430
             for link in (*_PEERS, f'platform-{_DOMAIN}'):
                 await self._cut(link)
             await curio.sleep(9)
-            await self._check_own_nodes()
+            await self._check_domain_nodes()
             for link in (*_PEERS, f'platform-{_DOMAIN}'):
                 await self._heal(link)
 
-        self._assert_sound(self._run(chaos, 14))
-        wait_until(self._all_know_all, 'the nodes have found each other')
+        self._assert_invariants(self._run(inject_faults, 14))
+        wait_until(
+            self._nodes_know_each_other, 'the nodes know each other again'
+        )
 
-    def test_node_that_hears_nobody(self) -> None:
-        """One way only: it is heard, but hears no other node."""
+    def test_node_that_receives_no_peer_messages(self) -> None:
+        """An asymmetric partition: the others receive its messages."""
         victim = self._members()[2]
 
-        async def chaos() -> None:  # noqa: WPS430
+        async def inject_faults() -> None:  # noqa: WPS430
             await self.cluster.control.link_faults(
                 'node0-peer',
                 freeze_up=True,
@@ -87,23 +89,25 @@
             await curio.sleep(6)
             await self._heal('node0-peer')
 
-        outcomes = self._run(chaos, 14)
-        # While its own replica is down it has nothing to send to: what it
-        # heard of other domains is too old to be sure of. It must say so.
+        outcomes = self._run(inject_faults, 14)
+        # While its domain's replica is down the node has no target: its state
+        # of other domains is outdated. It must refuse with a retry time.
         refused = [
             one for one in outcomes if one.kind is not OutcomeKind.ANSWERED
         ]
-        deaf = str(self.cluster.entries['node0'].clients)
-        self.assertLessEqual({one.node for one in refused}, {deaf})
+        isolated_node = str(self.cluster.entries['node0'].clients)
+        self.assertLessEqual({one.node for one in refused}, {isolated_node})
         self.assertLessEqual({one.code for one in refused}, {'no_replica'})
         self.assertTrue(all(one.retry_after for one in refused))
-        self._assert_sound(
+        self._assert_invariants(
             [one for one in outcomes if one not in refused],
         )
-        wait_until(self._all_know_all, 'the nodes have found each other')
+        wait_until(
+            self._nodes_know_each_other, 'the nodes know each other again'
+        )
 
-    async def _check_own_nodes(self) -> None:
-        for node in _OWN:
+    async def _check_domain_nodes(self) -> None:
+        for node in _DOMAIN_NODES:
             call = LoadCall(
                 key=f'cut-off-{node}',
                 api_key='demo-budapest',
@@ -120,23 +124,25 @@
     async def _heal(self, link: str) -> None:
         await self.cluster.control.link_faults(link)
 
-    def _run(self, chaos: Chaos, seconds: float) -> list[Outcome]:
+    def _run(
+        self, inject_faults: FaultInjection, seconds: float
+    ) -> list[Outcome]:
         profile = language_profile(non_repeatable_share=0)
-        return run_under_load(self.cluster, chaos, profile, seconds, 12)
+        return run_under_load(self.cluster, inject_faults, profile, seconds, 12)
 
-    def _assert_sound(self, outcomes: list[Outcome]) -> None:
+    def _assert_invariants(self, outcomes: list[Outcome]) -> None:
         events = read_record(self.cluster.record)
         kinds = Counter(outcome.kind for outcome in outcomes)
         self.assertEqual(set(kinds), {OutcomeKind.ANSWERED}, kinds)
         self.assertEqual(Summary.from_outcomes(outcomes, events).violations, 0)
         self.assertEqual(shared_instances(events), set())
-        missing = [one.seconds_missing for one in partial_starts(events)]
-        self.assertLess(max(missing, default=0), _KNOWN_SECONDS)
+        durations = [one.seconds_missing for one in partial_starts(events)]
+        self.assertLess(max(durations, default=0), _DETECTION_SECONDS)
 
-    def _all_know_all(self) -> bool:
+    def _nodes_know_each_other(self) -> bool:
         return all(
             status is not None and len(status.nodes) == 2
-            for status in map(self.cluster.control.status, _OWN)
+            for status in map(self.cluster.control.status, _DOMAIN_NODES)
         )
 
     def _members(self) -> tuple[str, ...]:
--- a/tests/functional/test_replicas.py
+++ b/tests/functional/test_replicas.py
@@ -1,7 +1,7 @@
-"""Replicas serve whole or not at all, and no instance is in two.
+"""Replicas serve only with all members, and share no instance.
 
-The stand-in engines here do not look after each other, so that nothing but
-the nodes keeps a replica with a missing member from serving.
+The stand-in engines here don't probe each other, so only the nodes prevent a
+replica with a missing member from serving.
 """
 
 import time
@@ -28,8 +28,8 @@
 from tools.cluster_control import wait_until
 from tools.local_cluster import LocalCluster
 
-# By when every node must have noticed that a member is missing.
-_KNOWN_SECONDS = 5.0
+# Time within which every node must have detected that a member is missing.
+_DETECTION_SECONDS = 5.0
 _DOMAIN = 'buda-terem'
 
 
@@ -39,7 +39,7 @@
     cluster: LocalCluster
 
     def setUp(self) -> None:
-        """Start a cluster whose engines trust their nodes blindly."""
+        """Start a cluster whose engines check neither members nor fencing."""
         self.cluster = start_cluster(
             self,
             nodes=4,
@@ -49,71 +49,71 @@
         )
 
     def test_member_killed(self) -> None:
-        """The replica leaves, is repaired and serves again."""
+        """The replica stops serving, is repaired and serves again."""
         self._kill_under_load(rank=1)
 
     def test_leader_killed(self) -> None:
-        """Streams go on at another replica with the right token."""
+        """Streams are resumed on another replica at the correct token."""
         self._kill_under_load(rank=0)
 
-    def test_member_paused_and_back(self) -> None:
-        """Whoever comes back after it was given up does not serve."""
+    def test_member_paused_and_resumed(self) -> None:
+        """A member that was replaced while it was paused doesn't serve."""
         victim = self._member(2)
 
-        async def chaos() -> None:  # noqa: WPS430
+        async def inject_faults() -> None:  # noqa: WPS430
             await curio.sleep(1)
             self.cluster.pause(victim)
             await curio.sleep(9)
             self.cluster.resume(victim)
 
-        outcomes = self._run(chaos, 14)
-        self._assert_sound(outcomes)
+        outcomes = self._run(inject_faults, 14)
+        self._assert_invariants(outcomes)
         self._wait_for_repair(victim)
 
     def test_placer_paused_past_its_lease(self) -> None:
-        """Another node repairs; the woken one disturbs nothing.
+        """Another node repairs the replica; the resumed one changes nothing.
 
-        The engines take whatever order comes last, as some do.
+        The engines accept orders with outdated fencing tokens, as some do.
         """
         self._declare_ignored_fencing()
         placer = self._placer()
         victim = self._member(1)
 
-        async def chaos() -> None:  # noqa: WPS430
+        async def inject_faults() -> None:  # noqa: WPS430
             await curio.sleep(1)
             self.cluster.processes[placer].pause()
             self.cluster.kill(victim)
             await curio.sleep(17)
             self.cluster.processes[placer].resume()
 
-        outcomes = self._run(chaos, 26, per_second=8)
-        self._assert_sound(outcomes)
+        outcomes = self._run(inject_faults, 26, per_second=8)
+        self._assert_invariants(outcomes)
         self._wait_for_repair(victim)
         self.assertNotEqual(self._placer(), placer)
 
-    def test_platform_away_while_a_member_dies(self) -> None:
-        """The replica is absent at once, and repaired when it can be."""
+    def test_member_crash_during_platform_outage(self) -> None:
+        """The replica stops serving, and is repaired after the outage."""
         victim = self._member(1)
 
-        async def chaos() -> None:  # noqa: WPS430
+        async def inject_faults() -> None:  # noqa: WPS430
             await curio.sleep(1)
             await self.cluster.control.platform_faults(down=True)
             self.cluster.kill(victim)
             await curio.sleep(10)
             await self.cluster.control.platform_faults()
 
-        # Without the table no non-repeatable call can be claimed; that such
-        # calls are refused then is shown in test_at_most_once.
-        outcomes = self._run(chaos, 12, non_repeatable_share=0)
-        self._assert_sound(outcomes)
+        # Non-repeatable calls cannot be claimed without the store; that they
+        # are refused is tested in test_at_most_once.
+        outcomes = self._run(inject_faults, 12, non_repeatable_share=0)
+        self._assert_invariants(outcomes)
         self._assert_answered(outcomes)
         self._wait_for_repair(victim)
 
-    def test_whole_fabric_domain_dark(self) -> None:
-        """The other failure domain serves, and the dark one comes back."""
+    def test_outage_of_a_whole_fabric_domain(self) -> None:
+        """The other failure domain serves, and the failed one recovers."""
         victims = [f'{_DOMAIN}-e{number}' for number in range(5)]
 
-        async def chaos() -> None:  # noqa: WPS430
+        async def inject_faults() -> None:  # noqa: WPS430
             await curio.sleep(1)
             for victim in victims:
                 self.cluster.kill(victim)
@@ -121,52 +121,52 @@
             for victim in victims:
                 self.cluster.start_engine(victim, _DOMAIN)
 
-        outcomes = self._run(chaos, 14)
-        self._assert_sound(outcomes)
+        outcomes = self._run(inject_faults, 14)
+        self._assert_invariants(outcomes)
         self._assert_answered(outcomes)
         wait_until(
             lambda: bool(self._replicas(_DOMAIN)),
-            'the domain is back',
+            'the domain serves again',
         )
 
     def _kill_under_load(self, rank: int) -> None:
         victim = self._member(rank)
 
-        async def chaos() -> None:  # noqa: WPS430
+        async def inject_faults() -> None:  # noqa: WPS430
             await curio.sleep(2)
             self.cluster.kill(victim)
 
-        outcomes = self._run(chaos, 10)
-        self._assert_sound(outcomes)
+        outcomes = self._run(inject_faults, 10)
+        self._assert_invariants(outcomes)
         self._assert_answered(outcomes)
         self._wait_for_repair(victim)
 
     def _run(
         self,
-        chaos: object,
+        inject_faults: object,
         seconds: float,
         per_second: float = 15,
         **profile: object,
     ) -> list[Outcome]:
         return run_under_load(
             self.cluster,
-            chaos,  # type: ignore[arg-type]
+            inject_faults,  # type: ignore[arg-type]
             language_profile(**profile),
             seconds,
             per_second,
         )
 
-    def _assert_sound(self, outcomes: Sequence[Outcome]) -> None:
+    def _assert_invariants(self, outcomes: Sequence[Outcome]) -> None:
         events = read_record(self.cluster.record)
         summary = Summary.from_outcomes(outcomes, events)
         self.assertEqual(summary.violations, 0, summary)
         self.assertEqual(shared_instances(events), set())
-        late = [
+        late_starts = [
             one.seconds_missing
             for one in partial_starts(events)
-            if one.seconds_missing > _KNOWN_SECONDS
+            if one.seconds_missing > _DETECTION_SECONDS
         ]
-        self.assertEqual(late, [])
+        self.assertEqual(late_starts, [])
 
     def _assert_answered(self, outcomes: Sequence[Outcome]) -> None:
         kinds = Counter(outcome.kind for outcome in outcomes)
--- a/tests/functional/test_storm.py
+++ b/tests/functional/test_storm.py
@@ -1,4 +1,4 @@
-"""Retries do not make a storm, and goodput comes back."""
+"""Retries don't cause a retry storm, and goodput recovers."""
 
 import time
 import unittest
@@ -16,12 +16,12 @@
 _SECONDS = 18
 _PER_SECOND = 50
 _FAIL_AT = 4.0
-_BACK_AT = 11.0
+_RECOVER_AT = 11.0
 _RECOVERED_SECONDS = 5.0
 
 
-class StormTest(unittest.TestCase):
-    """Half of the engines break off all requests under full load."""
+class RetryStormTest(unittest.TestCase):
+    """Half of the engines drop all requests under full load."""
 
     cluster: LocalCluster
 
@@ -29,31 +29,31 @@
         """Start a cluster."""
         self.cluster = start_cluster(self, nodes=2, engines_per_domain=4)
 
-    def test_half_of_the_targets_fail(self) -> None:
-        """What is sent to targets stays under 1.2 times the offered."""
+    def test_failure_of_half_of_the_targets(self) -> None:
+        """Targets get less than 1.2 times the offered requests."""
         leader = next(
             replica.leader
             for replica in self.cluster.control.serving()
             if replica.failure_domain == 'buda-terem'
         )
-        back_at = time.monotonic()
+        recovered_at = time.monotonic()
 
-        async def chaos() -> None:  # noqa: WPS430
-            nonlocal back_at  # noqa: WPS420
-            for drops, wait in (
+        async def inject_faults() -> None:  # noqa: WPS430
+            nonlocal recovered_at  # noqa: WPS420
+            for is_dropping, wait in (
                 (True, _FAIL_AT),
-                (False, _BACK_AT - _FAIL_AT),
+                (False, _RECOVER_AT - _FAIL_AT),
             ):
                 await curio.sleep(wait)
-                body = msgspec.json.encode(drops)
+                body = msgspec.json.encode(is_dropping)
                 request = Request('POST', '/standin/drop', body=body)
                 await exchange(leader, request, 5)
-            back_at = time.monotonic()
+            recovered_at = time.monotonic()
 
         profile = language_profile(tokens=8, non_repeatable_share=0)
         outcomes = run_under_load(
             self.cluster,
-            chaos,
+            inject_faults,
             profile,
             _SECONDS,
             _PER_SECOND,
@@ -64,10 +64,10 @@
         self.assertEqual(Summary.from_outcomes(outcomes, events).violations, 0)
         answered = sum(one.kind is OutcomeKind.ANSWERED for one in outcomes)
         self.assertGreater(answered, 0.8 * len(outcomes))
-        later = [
+        later_kinds = [
             one.kind
             for one in outcomes
-            if one.started > back_at + _RECOVERED_SECONDS
+            if one.started > recovered_at + _RECOVERED_SECONDS
         ]
-        self.assertGreater(len(later), 0)
-        self.assertEqual(set(later), {OutcomeKind.ANSWERED})
+        self.assertGreater(len(later_kinds), 0)
+        self.assertEqual(set(later_kinds), {OutcomeKind.ANSWERED})
--- a/tests/functional/test_whole_path.py
+++ b/tests/functional/test_whole_path.py
@@ -1,4 +1,4 @@
-"""A request is served end to end through separate processes."""
+"""End-to-end tests with separate processes."""
 
 import contextlib
 import io
@@ -31,18 +31,18 @@
 _KEY = 'demo-budapest'
 
 
-class WholePathTest(unittest.TestCase):
-    """One cluster, many requests."""
+class EndToEndTest(unittest.TestCase):
+    """Requests of clients and operators to one cluster."""
 
     cluster: LocalCluster
 
     @classmethod
     def setUpClass(cls) -> None:
-        """Start a cluster whose replicas serve."""
+        """Start a cluster and wait until its replicas serve."""
         cls.cluster = start_cluster(cls)
 
     def test_load_is_answered(self) -> None:
-        """Streams, whole answers and service calls, each to its caller."""
+        """Streams, plain responses and service calls get correct responses."""
         profile = Profile(
             api_keys=['demo-budapest', 'demo-gyor'],
             models=['nyelvi-szerver'],
@@ -58,10 +58,10 @@
         self.assertEqual(summary.answered, 60)
         self.assertEqual(summary.violations, 0)
 
-    def test_hostile_requests_get_a_clear_error(self) -> None:
-        """Nothing of them is forwarded."""
-        before = self._starts()
-        for sent, status in (
+    def test_malformed_http_requests(self) -> None:
+        """They get an error status, and nothing is forwarded."""
+        before = self._start_count()
+        for payload, status in (
             (b'nonsense\r\n\r\n', b'400'),
             (b'GET / HTTP/1.1\r\nhost: x\r\n\r\n' * 2, b'400'),
             (
@@ -70,12 +70,12 @@
             ),
             (b'GET / HTTP/1.1\r\nhost: x\r\nx: %b' % (b'y' * 40000), b'431'),
         ):
-            with self.subTest(sent=sent[:20]):
-                self.assertIn(status, self._raw(sent).split(b'\r\n')[0])
-        self.assertEqual(self._starts(), before)
+            with self.subTest(payload=payload[:20]):
+                self.assertIn(status, self._send_raw(payload).split(b'\r\n')[0])
+        self.assertEqual(self._start_count(), before)
 
-    def test_wrong_key_and_model(self) -> None:
-        """An unknown key is 401, a model of somebody else's 404."""
+    def test_unknown_key_and_forbidden_model(self) -> None:
+        """An unknown key gets a 401, an inaccessible model a 404."""
         body = {'model': 'x', 'messages': [{'role': 'user', 'content': 'x'}]}
         self.assertEqual(self._post(body, 'wrong').status, 401)
         response = self._post(body, _KEY)
@@ -85,7 +85,7 @@
         self.assertEqual(response.headers['x-request-id'], error['request_id'])
 
     def test_malformed_bodies(self) -> None:
-        """Each is told what is wrong with it."""
+        """Each gets a 400."""
         message = {'role': 'user', 'content': 'x'}
         good = {'model': 'nyelvi-szerver', 'messages': [message]}
         changes: tuple[dict[str, object], ...] = (
@@ -101,7 +101,7 @@
                 self.assertEqual(response.status, 400)
 
     def test_same_key_runs_once(self) -> None:
-        """Two copies of a non-repeatable call at two nodes at one moment."""
+        """Concurrent duplicates of a non-repeatable call at two nodes."""
         call = LoadCall(
             key='same-key',
             api_key=_KEY,
@@ -110,7 +110,7 @@
             path='/confirm',
             repeatable=False,
         )
-        outcomes = curio.run(self._both_nodes, call)
+        outcomes = curio.run(self._send_to_both_nodes, call)
         kinds = {outcome.kind for outcome in outcomes}
         self.assertIn(OutcomeKind.ANSWERED, kinds)
         self.assertLessEqual(
@@ -121,8 +121,8 @@
         runs = [one for one in events if one.get('key') == 'same-key']
         self.assertEqual(sum(one['event'] == 'start' for one in runs), 1)
 
-    def test_operators_race(self) -> None:
-        """The slower of two operators is told, and nothing is lost."""
+    def test_conflicting_changes(self) -> None:
+        """The second of two operators gets a conflict."""
         client = self.cluster.control.operator()
         declared = compile_folder(EXAMPLES / 'katyuszerviz')
         base = curio.run(client.declared).version
@@ -131,8 +131,8 @@
         with self.assertRaisesRegex(Exception, 'in force'):
             curio.run(apply_change, client, declared, base, 'second')
 
-    def test_operators_commands(self) -> None:
-        """Each command against a running node."""
+    def test_operator_commands(self) -> None:
+        """Each command works against a running node."""
         address = f'--node_address={self.cluster.entries["node0"].operators}'
         folder = str(EXAMPLES / 'katyuszerviz')
         expected = (
@@ -151,7 +151,7 @@
         self.assertEqual(_run_command('status', address)[0], 1)
 
     def test_metrics(self) -> None:
-        """They tell of requests and of control."""
+        """They include requests and control traffic."""
         self._post({}, 'wrong')
         operators = self.cluster.entries['node0'].operators
         request = Request('GET', '/metrics')
@@ -160,7 +160,7 @@
         self.assertIn('cranecart_first_token_ms_count', text)
         self.assertIn('cranecart_control{what="peer_bytes_sent"}', text)
 
-    async def _both_nodes(self, call: LoadCall) -> list[object]:
+    async def _send_to_both_nodes(self, call: LoadCall) -> list[object]:
         async with curio.TaskGroup(wait=all) as sending:
             for entry in self.cluster.entries.values():
                 await sending.spawn(send_call, entry.clients, call)
@@ -175,17 +175,17 @@
         )
         return curio.run(exchange, self._address(), request, 5)
 
-    def _raw(self, sent: bytes) -> bytes:
+    def _send_raw(self, payload: bytes) -> bytes:
         address = self._address()
         with socket.create_connection((address.host, address.port), 5) as sock:
-            sock.sendall(sent)
+            sock.sendall(payload)
             sock.settimeout(15)
             return sock.recv(65536)
 
     def _address(self) -> Address:
         return self.cluster.entries['node0'].clients
 
-    def _starts(self) -> int:
+    def _start_count(self) -> int:
         events = read_record(self.cluster.record)
         return sum(event['event'] == 'start' for event in events)
 
--- a/tests/lib/loads.py
+++ b/tests/lib/loads.py
@@ -7,14 +7,14 @@
 from cranecart.load_testing import Outcome, Profile, make_calls, run_load
 from tools.local_cluster import LocalCluster
 
-Chaos = Callable[[], Awaitable[None]]
+FaultInjection = Callable[[], Awaitable[None]]
 
 _BALANCER_SECONDS = 1.0
 
 
 def run_under_load(
     cluster: LocalCluster,
-    chaos: Chaos,
+    inject_faults: FaultInjection,
     profile: Profile,
     seconds: float,
     per_second: float = 20,
@@ -26,7 +26,7 @@
         balancer = cluster.control.balancer()
         watching = await curio.spawn(balancer.run, daemon=True)
         await curio.sleep(_BALANCER_SECONDS)
-        faults = await curio.spawn(chaos)
+        faults = await curio.spawn(inject_faults)
         count = round(seconds * per_second)
         calls = make_calls(profile, ['one', 'two', 'three'], count, seed=5)
         outcomes = await run_load(balancer, calls, per_second, retries)
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -52,7 +52,7 @@
         'if call.repeatable or not call.idempotency_key:',
         'if call:',
         'tests.functional.test_at_most_once.AtMostOnceTest'
-        '.test_copies_at_two_nodes_at_one_moment',
+        '.test_concurrent_duplicates_at_two_nodes',
     ),
     Mutation(
         'claims-of-others-overwritten',
@@ -60,7 +60,7 @@
         'case ClaimState.NOT_RUN:',
         'case ClaimState.NOT_RUN | ClaimState.CLAIMED:',
         'tests.functional.test_at_most_once.AtMostOnceTest'
-        '.test_death_of_the_node_that_sent_it',
+        '.test_crash_of_the_sending_node',
     ),
     Mutation(
         'claims-released-when-unknown',
@@ -68,7 +68,7 @@
         'error.execution is Execution.NOT_RUN',
         'error.execution is not None',
         'tests.functional.test_at_most_once.AtMostOnceTest'
-        '.test_lost_answer_of_the_service',
+        '.test_lost_response_of_the_service',
     ),
     Mutation(
         'incomplete-replicas-used',
@@ -76,7 +76,7 @@
         'ready == set(members)',
         'members[0] in ready',
         'tests.functional.test_replicas.ReplicasTest'
-        '.test_platform_away_while_a_member_dies',
+        '.test_member_crash_during_platform_outage',
     ),
     Mutation(
         'lease-taken-before-expiry',
@@ -111,8 +111,8 @@
         'targets/_complete_replicas.py',
         'and not report.draining',
         '',
-        'tests.functional.test_leaving.LeavingTest'
-        '.test_engine_says_that_it_leaves',
+        'tests.functional.test_leaving.PlannedShutdownTest'
+        '.test_engine_reports_that_it_leaves',
     ),
     Mutation(
         'engine-responses-to-other-requests-accepted',
@@ -126,7 +126,7 @@
         'node/_node.py',
         'while self._admission.in_progress and',
         'while False and',
-        'tests.functional.test_leaving.LeavingTest'
+        'tests.functional.test_leaving.PlannedShutdownTest'
         '.test_rolling_restart_of_all_nodes',
     ),
     Mutation(
@@ -246,7 +246,7 @@
         'if not host or not port.isdecimal():',
         'if True:',
         'tests.functional.test_node_start.NodeStartTest'
-        '.test_a_connection_made_before_it_is_there',
+        '.test_connection_before_the_node_has_started',
     ),
     Mutation(
         'requests-not-held-during-startup',
