--- a/tests/lib/limit_simulation.py
+++ b/tests/lib/limit_simulation.py
@@ -23,7 +23,7 @@
     ShareRule,
     TargetThrottle,
 )
-from tests.lib.spans import max_in_window
+from tests.lib.time_windows import max_in_window
 
 _INCARNATION = Incarnation('i1', 1)
 _DOMAINS = 3
--- a/tests/lib/run.py
+++ b/tests/lib/synchronous.py
@@ -6,7 +6,7 @@
 Answer = TypeVar('Answer')
 
 
-def run_now(coroutine: Coroutine[Any, Any, Answer]) -> Answer:
+def run_synchronously(coroutine: Coroutine[Any, Any, Answer]) -> Answer:
     """Return what a coroutine returns; fail if it waits for anything."""
     try:
         coroutine.send(None)
--- a/tests/lib/throttling_targets.py
+++ b/tests/lib/throttling_targets.py
@@ -21,7 +21,7 @@
     FakeTarget,
     GatewayTestbed,
 )
-from tests.lib.spans import max_in_window
+from tests.lib.time_windows import max_in_window
 
 _EVENTS = 3
 _EVENT_SECONDS = 0.01
--- a/tests/unit/test_deploy_template.py
+++ b/tests/unit/test_deploy_template.py
@@ -25,7 +25,7 @@
 from cranecart.documents import FindingsError
 from cranecart.exit_codes import ExitCode
 from cranecart.settings import ServingSettings
-from tests.lib.template import render
+from tests.lib.settings_template import render
 
 _ROOT = Path(cranecart.__file__).parent.parent.parent
 _TEMPLATE = _ROOT / 'deploy' / 'node.json'
--- a/tests/unit/test_lease.py
+++ b/tests/unit/test_lease.py
@@ -9,7 +9,7 @@
 from cranecart.exceptions import LeaseLostError, PlatformError
 from cranecart.leases import Lease, LeaseTimeouts
 from tests.lib.fake_platform import FAULTS, FakePlatform
-from tests.lib.run import run_now
+from tests.lib.synchronous import run_synchronously
 
 _NODES = ('a', 'b', 'c')
 _BACKUP = 'backup'
@@ -32,7 +32,7 @@
 
 def _try_acquire(lease: Lease) -> bool:
     try:
-        return run_now(lease.acquire_or_renew())
+        return run_synchronously(lease.acquire_or_renew())
     except PlatformError:
         return lease.is_held
 
@@ -168,23 +168,25 @@
         holder, isolated, other = (
             Lease('placer/x', name, platform, times, clock) for name in _NODES
         )
-        run_now(holder.acquire_or_renew())
+        run_synchronously(holder.acquire_or_renew())
         for _renewal in range(3):
-            run_now(isolated.acquire_or_renew(may_be_isolated=True))
+            run_synchronously(isolated.acquire_or_renew(may_be_isolated=True))
             clock.now += 2
             self.assertFalse(
-                run_now(isolated.acquire_or_renew(may_be_isolated=True))
+                run_synchronously(
+                    isolated.acquire_or_renew(may_be_isolated=True)
+                )
             )
-            run_now(holder.acquire_or_renew())
-        run_now(other.acquire_or_renew())
+            run_synchronously(holder.acquire_or_renew())
+        run_synchronously(other.acquire_or_renew())
         clock.now += 1.3
-        self.assertTrue(run_now(other.acquire_or_renew()))
+        self.assertTrue(run_synchronously(other.acquire_or_renew()))
 
     def test_released_lease_needs_no_wait(self) -> None:
         """The next node acquires a released lease at once."""
         leases = _leases(FakePlatform(), _Clock())
         _try_acquire(leases['a'])
-        run_now(leases['a'].release())
+        run_synchronously(leases['a'].release())
         self.assertTrue(_try_acquire(leases['b']))
 
     def _acquire_with_rising_token(
--- a/tests/unit/test_placement_plan.py
+++ b/tests/unit/test_placement_plan.py
@@ -17,7 +17,7 @@
     plan,
     plan_orders,
 )
-from tests.lib.worlds import (
+from tests.lib.sample_instances import (
     DOMAIN,
     idle_reports,
     make_instances,
--- a/tests/unit/test_replica_reports.py
+++ b/tests/unit/test_replica_reports.py
@@ -10,7 +10,7 @@
 from cranecart.instances import MemberReport, MemberState, ReplicaRow
 from cranecart.targets import ReportRegistry, complete_replicas
 from cranecart.targets._replica_index import ReplicaIndex
-from tests.lib.worlds import DOMAIN, make_instances, ready_reports
+from tests.lib.sample_instances import DOMAIN, make_instances, ready_reports
 
 _INSTANCES = make_instances(6)
 _NAMES = sorted(_INSTANCES)
--- a/tests/unit/test_suspension.py
+++ b/tests/unit/test_suspension.py
@@ -24,7 +24,7 @@
 from cranecart.routing import OutlierEjection
 from cranecart.targets import ServiceCall
 from tests.lib.fake_platform import FakePlatform
-from tests.lib.run import run_now
+from tests.lib.synchronous import run_synchronously
 
 _SUSPENSION_SECONDS = 20
 
@@ -61,7 +61,7 @@
     def test_lease_is_lost_during_suspension(self) -> None:
         """A lease is not held any more, so no order is given under it."""
         lease = Lease('placing', 'n0', FakePlatform(), LeaseTimeouts())
-        self.assertTrue(run_now(lease.acquire_or_renew()))
+        self.assertTrue(run_synchronously(lease.acquire_or_renew()))
         with _suspended():
             self.assertFalse(lease.is_held)
             with self.assertRaises(LeaseLostError):
--- a/tests/unit/test_sweeper.py
+++ b/tests/unit/test_sweeper.py
@@ -16,7 +16,7 @@
 from cranecart.leases import Lease
 from tests.lib.calls import non_repeatable_call
 from tests.lib.fake_platform import FakePlatform
-from tests.lib.run import run_now
+from tests.lib.synchronous import run_synchronously
 
 _DAY = 86400
 _CALL = non_repeatable_call()
@@ -31,7 +31,7 @@
         self.now = time.time()
         self.claims = ClaimStore('n', self.platform)  # type: ignore[arg-type]
         lease = Lease('sweeper', 'n', self.platform)
-        run_now(lease.acquire_or_renew())
+        run_synchronously(lease.acquire_or_renew())
         self.sweeper = Sweeper(
             lease,
             self.platform,  # type: ignore[arg-type]
@@ -71,4 +71,4 @@
     def _sweep(self) -> None:
         swept = True
         while swept:
-            swept = run_now(self.sweeper.sweep_next_bucket())
+            swept = run_synchronously(self.sweeper.sweep_next_bucket())
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -111,7 +111,7 @@
         'targets/_complete_replicas.py',
         'and not report.draining',
         '',
-        'tests.functional.test_leaving.PlannedShutdownTest'
+        'tests.functional.test_planned_shutdown.PlannedShutdownTest'
         '.test_engine_reports_that_it_leaves',
     ),
     Mutation(
@@ -119,14 +119,14 @@
         'targets/_engine.py',
         "if head.headers.get('x-request-id') != call.request_id:",
         'if not head:',
-        'tests.functional.test_crossed',
+        'tests.functional.test_swapped_responses',
     ),
     Mutation(
         'node-stops-without-draining',
         'node/_node.py',
         'while self._admission.in_progress and',
         'while False and',
-        'tests.functional.test_leaving.PlannedShutdownTest'
+        'tests.functional.test_planned_shutdown.PlannedShutdownTest'
         '.test_rolling_restart_of_all_nodes',
     ),
     Mutation(
