--- a/tests/functional/test_at_most_once.py
+++ b/tests/functional/test_at_most_once.py
@@ -141,7 +141,7 @@
         await sending.join()
 
     async def _send_to(self, node: str, call: LoadCall) -> Outcome:
-        return await send_call(self.cluster.entries[node].clients, call)
+        return await send_call(self.cluster.endpoints[node].clients, call)
 
     def _send(
         self,
--- a/tests/functional/test_cold_start.py
+++ b/tests/functional/test_cold_start.py
@@ -31,11 +31,11 @@
             for domain in self.cluster.options.domains
             for number in range(self.cluster.options.engines_per_domain)
         ]
-        for name in (*engines, *self.cluster.entries):
+        for name in (*engines, *self.cluster.endpoints):
             self.cluster.kill(name)
         for name in engines:
             self.cluster.start_engine(name, name.rpartition('-')[0])
-        for name in self.cluster.entries:
+        for name in self.cluster.endpoints:
             self.cluster.start_node(name)
         time.sleep(3)
         control.set_platform_faults()
@@ -53,6 +53,6 @@
 
     def _all_serve(self) -> bool:
         return all(
-            len(self.cluster.control.serving(name)) == 2
-            for name in self.cluster.entries
+            len(self.cluster.control.serving_replicas(name)) == 2
+            for name in self.cluster.endpoints
         )
--- a/tests/functional/test_configuration.py
+++ b/tests/functional/test_configuration.py
@@ -121,7 +121,7 @@
         accepted: list[Change],
         conflicts: list[str],
     ) -> None:
-        nodes = itertools.cycle(self.cluster.entries)
+        nodes = itertools.cycle(self.cluster.endpoints)
         base = (await self.cluster.control.operator().declared()).version
         async with curio.TaskGroup(wait=all) as applying:
             for operator, node in zip(
@@ -161,7 +161,7 @@
     def _apply_and_wait(self, note: str) -> float:
         change = self._apply(note)
         started = time.monotonic()
-        for node in self.cluster.entries:
+        for node in self.cluster.endpoints:
             behind = curio.run(
                 wait_until_in_force,
                 self.cluster.control.operator(node),
@@ -175,7 +175,7 @@
         return attrs.evolve(self.declared, region=f'kozep-hu {note}')
 
     def _record_versions(self, seen_versions: dict[str, list[int]]) -> set[int]:
-        for name in self.cluster.entries:
+        for name in self.cluster.endpoints:
             seen_versions[name].extend(self._versions(name))
         return {versions[-1] for versions in seen_versions.values() if versions}
 
--- a/tests/functional/test_end_to_end.py
+++ b/tests/functional/test_end_to_end.py
@@ -133,7 +133,7 @@
 
     def test_operator_commands(self) -> None:
         """Each command works against a running node."""
-        address = f'--node_address={self.cluster.entries["node0"].operators}'
+        address = f'--node_address={self.cluster.endpoints["node0"].operators}'
         folder = str(EXAMPLES / 'katyuszerviz')
         expected = (
             (('status',), 'duty placer/buda-terem'),
@@ -153,7 +153,7 @@
     def test_metrics(self) -> None:
         """They include requests and control traffic."""
         self._post({}, 'wrong')
-        operators = self.cluster.entries['node0'].operators
+        operators = self.cluster.endpoints['node0'].operators
         request = Request('GET', '/metrics')
         text = curio.run(exchange, operators, request, 5).body.decode()
         self.assertIn('cranecart_requests{outcome="unauthorized"}', text)
@@ -162,7 +162,7 @@
 
     async def _send_to_both_nodes(self, call: LoadCall) -> list[object]:
         async with curio.TaskGroup(wait=all) as sending:
-            for entry in self.cluster.entries.values():
+            for entry in self.cluster.endpoints.values():
                 await sending.spawn(send_call, entry.clients, call)
         return sending.results
 
@@ -183,7 +183,7 @@
             return sock.recv(65536)
 
     def _address(self) -> Address:
-        return self.cluster.entries['node0'].clients
+        return self.cluster.endpoints['node0'].clients
 
     def _start_count(self) -> int:
         events = read_record(self.cluster.record)
--- a/tests/functional/test_limits.py
+++ b/tests/functional/test_limits.py
@@ -47,7 +47,7 @@
         self.assertLess(max(one.ended - one.started for one in refused), 1.4)
 
     async def _send_all(self) -> list[Outcome]:
-        entries = itertools.cycle(self.cluster.entries.values())
+        entries = itertools.cycle(self.cluster.endpoints.values())
         async with curio.TaskGroup(wait=all) as sending:
             for number, entry in zip(range(_CALLS), entries, strict=False):
                 call = LoadCall(
--- a/tests/functional/test_partitions.py
+++ b/tests/functional/test_partitions.py
@@ -95,7 +95,7 @@
         refused = [
             one for one in outcomes if one.kind is not OutcomeKind.ANSWERED
         ]
-        isolated_node = str(self.cluster.entries['node0'].clients)
+        isolated_node = str(self.cluster.endpoints['node0'].clients)
         self.assertLessEqual({one.node for one in refused}, {isolated_node})
         self.assertLessEqual({one.code for one in refused}, {'no_replica'})
         self.assertTrue(all(one.retry_after for one in refused))
@@ -114,7 +114,7 @@
                 prompt='cut off',
                 model='nyelvi-szerver',
             )
-            address = self.cluster.entries[node].clients
+            address = self.cluster.endpoints[node].clients
             outcome = await send_call(address, call)
             self.assertEqual(outcome.kind, OutcomeKind.ANSWERED)
 
@@ -149,7 +149,7 @@
         return next(
             (
                 replica.members
-                for replica in self.cluster.control.serving('node0')
+                for replica in self.cluster.control.serving_replicas('node0')
                 if replica.failure_domain == _DOMAIN
             ),
             (),
--- a/tests/functional/test_planned_shutdown.py
+++ b/tests/functional/test_planned_shutdown.py
@@ -49,7 +49,7 @@
 
         async def inject_faults() -> None:  # noqa: WPS430
             await curio.sleep(2)
-            await self.cluster.control.leave(engine)
+            await self.cluster.control.announce_leaving(engine)
 
         self._assert_no_failures(self._run(inject_faults, 14))
         wait_until(lambda: self._is_replaced(engine), f'{engine} is replaced')
@@ -70,7 +70,7 @@
 
         async def inject_faults() -> None:  # noqa: WPS430
             await curio.sleep(2)
-            await self.cluster.control.leave(f'{_DOMAIN}-s0')
+            await self.cluster.control.announce_leaving(f'{_DOMAIN}-s0')
 
         outcomes = self._run(
             inject_faults,
@@ -164,7 +164,7 @@
         return next(
             (
                 replica.members
-                for replica in self.cluster.control.serving()
+                for replica in self.cluster.control.serving_replicas()
                 if replica.failure_domain == _DOMAIN
             ),
             (),
--- a/tests/functional/test_replicas.py
+++ b/tests/functional/test_replicas.py
@@ -185,14 +185,16 @@
     def _replicas(self, domain: str) -> list[tuple[str, ...]]:
         return [
             replica.members
-            for replica in self.cluster.control.serving(self._node(domain))
+            for replica in self.cluster.control.serving_replicas(
+                self._node(domain)
+            )
             if replica.failure_domain == domain
         ]
 
     def _node(self, domain: str) -> str:
         running = (
             name
-            for number, name in enumerate(self.cluster.entries)
+            for number, name in enumerate(self.cluster.endpoints)
             if self.cluster.options.domains[number % 2] == domain
             and self.cluster.control.status(name) is not None
         )
--- a/tests/functional/test_retry_storm.py
+++ b/tests/functional/test_retry_storm.py
@@ -33,7 +33,7 @@
         """Targets get less than 1.2 times the offered requests."""
         leader = next(
             replica.leader
-            for replica in self.cluster.control.serving()
+            for replica in self.cluster.control.serving_replicas()
             if replica.failure_domain == 'buda-terem'
         )
         recovered_at = time.monotonic()
--- a/tests/functional/test_swapped_responses.py
+++ b/tests/functional/test_swapped_responses.py
@@ -26,7 +26,7 @@
         """Clients get their own responses from the other replica."""
         leader = next(
             replica.leader
-            for replica in self.cluster.control.serving()
+            for replica in self.cluster.control.serving_replicas()
             if replica.failure_domain == 'buda-terem'
         )
 
--- a/tests/lib/clusters.py
+++ b/tests/lib/clusters.py
@@ -44,7 +44,7 @@
     declared = compile_folder(EXAMPLES / 'katyuszerviz')
     curio.run(apply_change, control.operator(), declared, 0, 'test')
     wait_until(
-        lambda: all(_is_up(cluster, name) for name in cluster.entries),
+        lambda: all(_is_up(cluster, name) for name in cluster.endpoints),
         'every node sees all replicas and services, and is ready',
     )
 
@@ -75,8 +75,8 @@
 def _nodes_beside(cluster: LocalCluster, node: str) -> int:
     """Return how many nodes a node's failure domain has, with itself."""
     domains = cluster.options.domains
-    places = [number % len(domains) for number in range(len(cluster.entries))]
-    own = places[list(cluster.entries).index(node)]
+    places = [number % len(domains) for number in range(len(cluster.endpoints))]
+    own = places[list(cluster.endpoints).index(node)]
     return places.count(own)
 
 
--- a/tests/unit/test_dispatch.py
+++ b/tests/unit/test_dispatch.py
@@ -21,10 +21,10 @@
     PROFILE,
     SMALL,
     engines,
-    fewest,
-    forecast,
+    make_fewest_in_flight,
+    make_forecast,
+    mean_utility,
     route,
-    worth,
 )
 
 _REQUEST = DispatchRequest(route(), PROFILE, SMALL, 600, 0, 6, 0.065)
@@ -141,31 +141,37 @@
     def test_load_surge(self) -> None:
         """Requests that can still be in time pass late ones: 0.66 to 0.73."""
         surge = Burst(5, 6, 2.4)
-        before = worth(fewest, lambda: engines(4, 6), surge)
-        after = worth(forecast, lambda: engines(4, 6), surge)
+        before = mean_utility(
+            make_fewest_in_flight, lambda: engines(4, 6), surge
+        )
+        after = mean_utility(make_forecast, lambda: engines(4, 6), surge)
         self.assertGreater(after, before + 0.03)
 
     def test_too_few_replicas(self) -> None:
         """A model that is short of replicas all day: 0.29 to 0.44."""
-        before = worth(fewest, lambda: engines(2, 3))
-        after = worth(forecast, lambda: engines(2, 3))
+        before = mean_utility(make_fewest_in_flight, lambda: engines(2, 3))
+        after = mean_utility(make_forecast, lambda: engines(2, 3))
         self.assertGreater(after, before + 0.1)
 
     def test_replica_failures(self) -> None:
         """Streams resume elsewhere, with fewer replicas for some seconds."""
-        deaths = [
+        crashes = [
             ReplicaCrash(4, 0, 5),
             ReplicaCrash(6, 5, 5),
             ReplicaCrash(9, 1, 5),
         ]
-        before = worth(fewest, lambda: engines(4, 6), deaths=deaths)
-        after = worth(forecast, lambda: engines(4, 6), deaths=deaths)
+        before = mean_utility(
+            make_fewest_in_flight, lambda: engines(4, 6), crashes=crashes
+        )
+        after = mean_utility(
+            make_forecast, lambda: engines(4, 6), crashes=crashes
+        )
         self.assertGreater(after, before)
 
     def test_a_replica_becomes_slow(self) -> None:
         """It gets fewer requests once its first events come late."""
-        before = worth(fewest, _engines_with_a_slow_one)
-        after = worth(forecast, _engines_with_a_slow_one)
+        before = mean_utility(make_fewest_in_flight, _engines_with_a_slow_one)
+        after = mean_utility(make_forecast, _engines_with_a_slow_one)
         self.assertGreater(after, before)
 
 
--- a/tests/unit/test_tools.py
+++ b/tests/unit/test_tools.py
@@ -5,7 +5,7 @@
 
 from tools.plays import BenchmarkRun, RunResult, run_matrix
 from tools.processes import Addresses
-from tools.slopes import put, section
+from tools.slopes import replace_section, section
 
 _RUN = BenchmarkRun(Path(), Path('site'), 'quiet')
 
@@ -67,7 +67,7 @@
         self.assertEqual(runs[0].seed, runs[1].seed)
 
 
-_PRINTED = """
+_SWEEP_OUTPUT = """
 sweep-30     31/300   0.91  0.911  0.990   0.000  0.000  worst windows 0.97
 middle / busiest or longest, by own machines
                           10          30   power  at 362
@@ -81,7 +81,7 @@
 
     def test_section(self) -> None:
         """Scenarios and slopes become tables."""
-        tables = section(_PRINTED)
+        tables = section(_SWEEP_OUTPUT)
         self.assertIn('| sweep-30 | 0.911 | 0.990 |', tables)
         row = '| node: memory MB | 26 / 27.4 | 26 / 28.9 | 0.13 | 43.7 |'
         self.assertIn(row, tables)
@@ -89,9 +89,9 @@
 
     def test_section_is_replaced(self) -> None:
         """A second section with the same name replaces the first."""
-        page = put('text\n<!-- end of sweeps -->\n', 'one', 'first')
-        page = put(page, 'two', 'other')
-        page = put(page, 'one', 'second')
+        page = replace_section('text\n<!-- end of sweeps -->\n', 'one', 'first')
+        page = replace_section(page, 'two', 'other')
+        page = replace_section(page, 'one', 'second')
         self.assertNotIn('first', page)
         self.assertEqual(page.count('<!-- begin one -->'), 1)
         self.assertLess(page.index('second'), page.index('other'))
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Programs for developers: the demo, the bench, the soak; not shipped."""
+"""Developer tools such as demo, benchmarks and soak test; not shipped."""
--- a/tools/bench/__init__.py
+++ b/tools/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measured slopes: what nodes cost, against baselines of the same run."""
+"""Benchmarks of node cost by size, with baselines from the same run."""
--- a/tools/bench/_control.py
+++ b/tools/bench/_control.py
@@ -91,7 +91,7 @@
         time.sleep(_SETTLE_SECONDS)
         _wait_until_quiet(cluster)
         pid = cluster.processes['node1'].popen.pid
-        admin = cluster.entries['node1'].operators
+        admin = cluster.endpoints['node1'].operators
         before = Usage.of_node(pid, admin)
         platform = _platform_counts(cluster)
         time.sleep(_MEASURE_SECONDS)
@@ -109,7 +109,7 @@
 def _wait_until_quiet(cluster: LocalCluster) -> None:
     """Wait until gossip about the start has died down."""
     pid = cluster.processes['node1'].popen.pid
-    admin = cluster.entries['node1'].operators
+    admin = cluster.endpoints['node1'].operators
     for _ in range(_MAX_QUIET_CHECKS):
         before = Usage.of_node(pid, admin)
         time.sleep(_QUIET_CHECK_SECONDS)
@@ -179,6 +179,6 @@
     return all(
         status is not None
         and status.config_version == 1
-        and len(status.nodes) == len(cluster.entries)
-        for status in map(cluster.control.status, cluster.entries)
+        and len(status.nodes) == len(cluster.endpoints)
+        for status in map(cluster.control.status, cluster.endpoints)
     )
--- a/tools/bench/_policies.py
+++ b/tools/bench/_policies.py
@@ -105,7 +105,8 @@
     curio.run(apply_change, control.operator(), declarations, 0, 'bench')
     wait_until(
         lambda: all(
-            len(control.serving(name)) == _REPLICAS for name in cluster.entries
+            len(control.serving_replicas(name)) == _REPLICAS
+            for name in cluster.endpoints
         ),
         'all replicas serve',
     )
@@ -137,7 +138,7 @@
 
 
 async def _leader_of_first(cluster: LocalCluster) -> str:
-    replicas = await cluster.control.replicas_now('node0')
+    replicas = await cluster.control.fetch_replicas('node0')
     return min(replicas, key=lambda replica: replica.id).members[0]
 
 
--- a/tools/bench/_relay.py
+++ b/tools/bench/_relay.py
@@ -91,12 +91,12 @@
         organisations=organisations,
     )
     curio.run(apply_change, control.operator(), declarations, 0, 'bench')
-    wait_until(lambda: bool(control.serving()), 'the replica serves')
+    wait_until(lambda: bool(control.serving_replicas()), 'the replica serves')
     time.sleep(3)
 
 
 def _measure_pump(cluster: LocalCluster) -> RelayCost:
-    replica = cluster.control.serving()[0]
+    replica = cluster.control.serving_replicas()[0]
     address = cluster.reserve()
     pump = subprocess.Popen(
         [
@@ -116,12 +116,12 @@
 
 
 def _measure_node(cluster: LocalCluster) -> RelayCost:
-    replica = cluster.control.serving()[0]
+    replica = cluster.control.serving_replicas()[0]
     pid = cluster.processes['node0'].popen.pid
     before = Usage.of_process(pid)
     time.sleep(3)
     idle = Usage.of_process(pid).rates_since(before)['cpu_ms']
-    address = cluster.entries['node0'].clients
+    address = cluster.endpoints['node0'].clients
     cost = _measure(pid, address, replica)
     # Control-plane work continues during the relaying: subtract its idle cost.
     control_us = idle * _MILLISECONDS / cost.events_per_second
--- a/tools/bench/_times.py
+++ b/tools/bench/_times.py
@@ -63,7 +63,7 @@
     )
     change = curio.run(apply_change, client, changed, None, 'bench')
     started = time.monotonic()
-    for node in cluster.entries:
+    for node in cluster.endpoints:
         node_client = cluster.control.operator(node)
         curio.run(
             wait_until_in_force, node_client, change.version, _TIMEOUT_SECONDS
@@ -74,7 +74,7 @@
 def _loss_seconds(cluster: LocalCluster) -> tuple[float, float]:
     replica = next(
         one
-        for one in cluster.control.serving()
+        for one in cluster.control.serving_replicas()
         if one.failure_domain == _DOMAINS[0]
     )
     started = time.monotonic()
@@ -83,7 +83,7 @@
         lambda: (
             not any(
                 replica.key in _serving_keys(cluster, name)
-                for name in cluster.entries
+                for name in cluster.endpoints
             )
         ),
         'the replica is absent on every node',
@@ -95,16 +95,16 @@
 
 def _all_respond(cluster: LocalCluster) -> bool:
     return all(
-        cluster.control.status(name) is not None for name in cluster.entries
+        cluster.control.status(name) is not None for name in cluster.endpoints
     )
 
 
 def _all_serve(cluster: LocalCluster) -> bool:
     return all(
         len(_serving_keys(cluster, name)) == len(_DOMAINS)
-        for name in cluster.entries
+        for name in cluster.endpoints
     )
 
 
 def _serving_keys(cluster: LocalCluster, node: str) -> set[tuple[str, int]]:
-    return {replica.key for replica in cluster.control.serving(node)}
+    return {replica.key for replica in cluster.control.serving_replicas(node)}
--- a/tools/binary.py
+++ b/tools/binary.py
@@ -1,8 +1,8 @@
-"""Build the one file ``dist/cranecart``.
+"""Build the single-file executable ``dist/cranecart``.
 
-A pex: it unpacks itself into a folder that ``PEX_ROOT`` names (a tmpfs will
-do) and goes on in the same process, so that it has no child. It needs a
-Python 3.11 on the instance.
+The file is a pex: it unpacks itself into the folder in ``PEX_ROOT`` (a tmpfs is
+sufficient) and runs in the same process, without a child. Python 3.11 must be
+installed on the instance.
 """
 
 import subprocess
@@ -14,7 +14,7 @@
 
 
 def main() -> int:
-    """Build; return the builder's exit code."""
+    """Build the executable; return the exit code of pex."""
     _OUTPUT.parent.mkdir(exist_ok=True)
     constraints = _ROOT / 'requirements.txt'
     command = [
--- a/tools/chaos.py
+++ b/tools/chaos.py
@@ -1,4 +1,4 @@
-"""Faults for a soak, drawn by seed."""
+"""Random fault injection for soak tests."""
 
 import itertools
 import random
@@ -12,13 +12,13 @@
 
 DOMAINS = ('buda-terem', 'pest-terem')
 _SLOW_MS = 700
-_LOST_ANSWERS = 10
+_LOST_RESPONSES = 10
 _RESTART_SECONDS = 30.0
 
 
 @attrs.frozen
 class Schedule:
-    """What is drawn, how often, and for how long it lasts."""
+    """Faults to choose from, their number, their duration and the load."""
 
     faults: tuple[str, ...]
     count: int
@@ -28,19 +28,22 @@
 
 
 @attrs.define
-class Chaos:
-    """Injects the drawn faults one after the other."""
+class FaultInjector:
+    """Injects random faults one after the other.
+
+    The schedule names the methods that inject the faults.
+    """
 
     _cluster: LocalCluster
     _schedule: Schedule
     _random: random.Random
-    _numbers: Iterator[int] = attrs.field(
+    _instance_numbers: Iterator[int] = attrs.field(
         factory=lambda: itertools.count(1),
         init=False,
     )
 
     async def run(self) -> None:
-        """Inject all faults of the schedule."""
+        """Inject the scheduled number of faults."""
         for _fault in range(self._schedule.count):
             name = self._random.choice(self._schedule.faults)
             sys.stdout.write(f'fault: {name}\n')
@@ -49,91 +52,91 @@
             await curio.sleep(self._schedule.rest_seconds)
 
     async def kill_member(self) -> None:
-        """Kill a member, and bring a new instance in its place."""
-        await self._kill(await self._member(1))
+        """Kill a member and start a replacement."""
+        await self._replace_instance(await self._random_member(1))
 
     async def kill_leader(self) -> None:
-        """Kill a leader, and bring a new instance in its place."""
-        await self._kill(await self._member(0))
+        """Kill a leader and start a replacement."""
+        await self._replace_instance(await self._random_member(0))
 
     async def pause_member(self) -> None:
-        """Stop a member for longer than it takes to be given up."""
-        victim = await self._member(2)
-        self._cluster.pause(victim)
-        await self._last()
-        self._cluster.resume(victim)
+        """Suspend a member for longer than the failure detection time."""
+        instance = await self._random_member(2)
+        self._cluster.pause(instance)
+        await self._wait_fault_duration()
+        self._cluster.resume(instance)
 
     async def leave_member(self) -> None:
-        """Let a member leave as planned."""
-        victim = await self._member(1)
-        await self._cluster.control.leave(victim)
-        await self._last()
-        self._bring_new(victim)
+        """Make a member announce that it leaves, then start a replacement."""
+        instance = await self._random_member(1)
+        await self._cluster.control.announce_leaving(instance)
+        await self._wait_fault_duration()
+        self._start_replacement(instance)
 
     async def kill_node(self) -> None:
-        """Kill a node and start it again."""
-        name = self._node()
+        """Kill a node and restart it."""
+        name = self._random_node()
         self._cluster.processes[name].kill()
-        await self._last()
+        await self._wait_fault_duration()
         self._cluster.start_node(name)
 
     async def pause_node(self) -> None:
-        """Stop a node past its leases."""
-        name = self._node()
+        """Suspend a node until its leases have expired."""
+        name = self._random_node()
         self._cluster.processes[name].pause()
-        await self._last()
-        await self._last()
+        await self._wait_fault_duration()
+        await self._wait_fault_duration()
         self._cluster.processes[name].resume()
 
     async def stop_node(self) -> None:
-        """Stop a node as planned and start it again."""
-        name = self._node()
+        """Stop a node gracefully and restart it."""
+        name = self._random_node()
         process = self._cluster.processes[name]
         process.terminate()
         await curio.run_in_thread(process.wait, _RESTART_SECONDS)
         self._cluster.start_node(name)
 
     async def platform_down(self) -> None:
-        """Take the platform away."""
+        """Make the platform unavailable."""
         await self._cluster.control.platform_faults(down=True)
-        await self._last()
+        await self._wait_fault_duration()
         await self._cluster.control.platform_faults()
 
     async def platform_slow(self) -> None:
-        """Make every call of the platform slow."""
+        """Delay every response of the platform."""
         await self._cluster.control.platform_faults(delay_ms=_SLOW_MS)
-        await self._last()
+        await self._wait_fault_duration()
         await self._cluster.control.platform_faults()
 
     async def platform_loses_answers(self) -> None:
-        """Apply writes and lose their answers."""
+        """Apply writes of the platform and drop the responses."""
         await self._cluster.control.platform_faults(
-            lose_answers=_LOST_ANSWERS,
+            lose_answers=_LOST_RESPONSES,
         )
-        await self._last()
+        await self._wait_fault_duration()
         await self._cluster.control.platform_faults()
 
-    async def _last(self) -> None:
+    async def _wait_fault_duration(self) -> None:
         await curio.sleep(self._schedule.lasts_seconds)
 
-    async def _kill(self, victim: str) -> None:
-        self._cluster.kill(victim)
-        await self._last()
-        self._bring_new(victim)
+    async def _replace_instance(self, instance: str) -> None:
+        self._cluster.kill(instance)
+        await self._wait_fault_duration()
+        self._start_replacement(instance)
 
-    def _bring_new(self, gone: str) -> None:
-        domain = gone.rpartition('-')[0]
-        number = next(self._numbers)
+    def _start_replacement(self, lost_instance: str) -> None:
+        domain = lost_instance.rpartition('-')[0]
+        number = next(self._instance_numbers)
         self._cluster.start_engine(f'{domain}-n{number}', domain)
 
-    def _node(self) -> str:
-        return self._random.choice(sorted(self._cluster.entries))
+    def _random_node(self) -> str:
+        return self._random.choice(sorted(self._cluster.endpoints))
 
-    async def _member(self, rank: int) -> str:
-        """Return a member of a replica that a node would send to now."""
+    async def _random_member(self, rank: int) -> str:
+        """Return a member of a replica that a node currently routes to."""
         domain = self._random.choice(DOMAINS)
-        for node in self._cluster.entries:
-            replicas = await self._cluster.control.replicas_now(node)
+        for node in self._cluster.endpoints:
+            replicas = await self._cluster.control.fetch_replicas(node)
             members = [
                 replica.members[rank]
                 for replica in replicas
--- a/tools/cluster_control.py
+++ b/tools/cluster_control.py
@@ -1,4 +1,4 @@
-"""Ask the parts of a local cluster, and change what is wrong with them."""
+"""Query the processes of a local cluster and inject faults into them."""
 
 import time
 from collections.abc import Callable, Mapping
@@ -21,40 +21,40 @@
 
 @attrs.frozen
 class ClusterControl:
-    """Talks to the processes of one local cluster."""
+    """Client for the processes of one local cluster."""
 
     addresses: Mapping[str, Address]
-    controls: Mapping[str, Address]
-    entries: Mapping[str, NodeEndpoints]
+    proxy_controls: Mapping[str, Address]
+    endpoints: Mapping[str, NodeEndpoints]
 
-    def reach(self, name: str) -> Address:
-        """Return the address others use, that of its proxy if it has one."""
+    def published_address(self, name: str) -> Address:
+        """Return the address of a process, or of its proxy if it has one."""
         return self.addresses.get(f'proxy-{name}') or self.addresses[name]
 
     def balancer(self) -> Balancer:
         """Return a balancer over all nodes."""
-        return Balancer(list(self.entries.values()))
+        return Balancer(list(self.endpoints.values()))
 
     def operator(self, node: str = 'node0') -> OperatorClient:
-        """Return an operators' client for a node."""
-        return OperatorClient(self.entries[node].operators, OPERATOR_KEY)
+        """Return an operator client for a node."""
+        return OperatorClient(self.endpoints[node].operators, OPERATOR_KEY)
 
     def status(self, node: str = 'node0') -> NodeStatus | None:
-        """Return a node's status, or nothing while it does not answer."""
+        """Return the status of a node, or None while it does not respond."""
         try:
             return curio.run(self.operator(node).status)
         except CranecartError:
             return None
 
-    async def replicas_now(self, node: str) -> list[ServingReplica]:
-        """Return what a node would send to, or nothing if it is away."""
+    async def fetch_replicas(self, node: str) -> list[ServingReplica]:
+        """Return the replicas a node routes to, none if it does not respond."""
         try:
             return list((await self.operator(node).status()).replicas)
         except CranecartError:
             return []
 
-    def serving(self, node: str = 'node0') -> list[ServingReplica]:
-        """Return the replicas that a node would send to."""
+    def serving_replicas(self, node: str = 'node0') -> list[ServingReplica]:
+        """Return the replicas a node routes to, outside coroutines."""
         status = self.status(node)
         return list(status.replicas) if status else []
 
@@ -64,25 +64,25 @@
         target: str,
         body: object = None,
     ) -> Response:
-        """Post a control message and return the answer."""
+        """Post a control message and return the response."""
         request = Request('POST', target, body=msgspec.json.encode(body))
         return await exchange(address, request, _CALL_SECONDS)
 
     async def platform_faults(self, **faults: object) -> None:
-        """Change what is wrong with the platform; none if nothing given."""
+        """Set the faults of the platform; clear them without arguments."""
         address = self.addresses['platform']
         await self.post(address, '/standin/faults', faults)
 
     async def link_faults(self, name: str, **faults: object) -> None:
-        """Change what is wrong with the link to a proxied process."""
-        await self.post(self.controls[name], '/faults', faults)
+        """Set the faults of the link to a proxied process."""
+        await self.post(self.proxy_controls[name], '/faults', faults)
 
-    async def leave(self, name: str) -> None:
-        """Let a target say that it leaves."""
+    async def announce_leaving(self, name: str) -> None:
+        """Make a target announce that it is leaving."""
         await self.post(self.addresses[name], '/standin/leave')
 
     def platform_counts(self) -> dict[str, int]:
-        """Return the reads and writes that the platform has taken."""
+        """Return the number of reads and writes the platform has served."""
         response = curio.run(
             self.post,
             self.addresses['platform'],
@@ -91,15 +91,15 @@
         return msgspec.json.decode(response.body, type=dict[str, int])
 
     def set_platform_faults(self, **faults: object) -> None:
-        """Change what is wrong with the platform, outside coroutines."""
+        """Set the faults of the platform, outside coroutines."""
         curio.run(partial(self.platform_faults, **faults))
 
     def set_link_faults(self, name: str, **faults: object) -> None:
-        """Change what is wrong with a link, outside coroutines."""
+        """Set the faults of a link, outside coroutines."""
         curio.run(partial(self.link_faults, name, **faults))
 
-    def platform_answers(self) -> bool:
-        """Tell whether the platform can be asked."""
+    def is_platform_reachable(self) -> bool:
+        """Return whether the platform responds; this clears its faults."""
         try:
             self.set_platform_faults()
         except CranecartError:
@@ -109,13 +109,15 @@
 
 def wait_until(
     condition: Callable[[], bool],
-    what: str,
+    description: str,
     seconds: float = 30,
 ) -> float:
-    """Wait for a condition; return how long it took, in seconds."""
+    """Wait for a condition; return the elapsed time in seconds."""
     started = time.monotonic()
     while not condition():
         if time.monotonic() - started > seconds:
-            raise TimeoutError(f'not within {seconds} s: {what}')
+            raise TimeoutError(
+                f'timed out after {seconds} s waiting until {description}'
+            )
         time.sleep(_POLL_SECONDS)
     return time.monotonic() - started
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,9 +1,9 @@
-"""Run the whole system for both first users, and judge what it did.
+"""Run the whole system for two example deployments and check the results.
 
 For each deployment it starts a platform, engines, plain services and three
 nodes as separate processes, applies the declarations under examples/, sends
-real prompts, kills one instance midway and watches the replica leave, be
-repaired and serve again.
+prompts, kills one instance midway and waits until its replica has been repaired
+and serves again.
 """
 
 import signal
@@ -33,15 +33,15 @@
 _SEED = flags.DEFINE_integer('seed', 1, 'seed of everything random')
 _EXAMPLES = Path(__file__).parent.parent / 'examples'
 _CALLS = 160
-_PER_SECOND = 20
+_CALLS_PER_SECOND = 20
 _KILL_AFTER_SECONDS = 2.5
-_BALANCER_SECONDS = 1.0
-_REPEATS = 3
+_BALANCER_START_SECONDS = 1.0
+_RETRIES = 3
 
 
 @attrs.frozen
 class DemoDeployment:
-    """One of the first users' deployments, made small."""
+    """A scaled-down example deployment."""
 
     name: str
     domains: tuple[str, str]
@@ -69,15 +69,17 @@
 
 
 def main(_arguments: Sequence[str]) -> int:
-    """Run both deployments; return 1 if anything was violated."""
-    # Ctrl-C and a plain kill both unwind, so that no process is left behind.
+    """Run both deployments; return 1 if there were violations, else 0."""
+    # SIGTERM unwinds like Ctrl-C, so that child processes are stopped.
     signal.signal(signal.SIGTERM, signal.default_int_handler)
-    verdicts = [run_deployment(one, _SEED.value) for one in _DEPLOYMENTS]
+    verdicts = [
+        run_deployment(deployment, _SEED.value) for deployment in _DEPLOYMENTS
+    ]
     return 0 if all(verdicts) else 1
 
 
 def run_deployment(deployment: DemoDeployment, seed: int) -> bool:
-    """Run one deployment; return whether all that must hold did."""
+    """Run one deployment; return whether all calls succeeded correctly."""
     options = ClusterOptions(
         domains=deployment.domains,
         service=deployment.service,
@@ -87,10 +89,10 @@
         cluster = LocalCluster(Path(folder), options)
         with cluster:
             outcomes = _run_cluster(cluster, deployment, seed)
-            ended = time.monotonic()
+            ended_at = time.monotonic()
         events = read_record(cluster.record)
     summary = Summary.from_outcomes(outcomes, events)
-    _say(deployment, summary, group_times(events, ended))
+    _print_results(deployment, summary, group_times(events, ended_at))
     return not summary.violations and summary.answered >= _CALLS
 
 
@@ -101,22 +103,22 @@
 ) -> list[Outcome]:
     _apply(cluster, deployment)
     _wait_for_replicas(cluster)
-    victim = _member_of_first(cluster, deployment)
-    outcomes = curio.run(_send_and_kill, cluster, deployment, victim, seed)
+    instance = _member_in_first_domain(cluster, deployment)
+    outcomes = curio.run(_send_and_kill, cluster, deployment, instance, seed)
     _wait_for_replicas(cluster)
     return outcomes
 
 
 def _wait_for_replicas(cluster: LocalCluster) -> None:
     wait_until(
-        lambda: len(cluster.control.serving()) == 2,
+        lambda: len(cluster.control.serving_replicas()) == 2,
         'both replicas serve',
     )
 
 
 def _apply(cluster: LocalCluster, deployment: DemoDeployment) -> None:
     wait_until(lambda: cluster.control.status() is not None, 'a node answers')
-    address = cluster.entries['node0'].operators
+    address = cluster.endpoints['node0'].operators
     code = cranecart(
         [
             'apply',
@@ -132,7 +134,7 @@
 async def _send_and_kill(
     cluster: LocalCluster,
     deployment: DemoDeployment,
-    victim: str,
+    instance: str,
     seed: int,
 ) -> list[Outcome]:
     profile = Profile(
@@ -144,17 +146,17 @@
         ],
     )
     balancer = cluster.control.balancer()
-    watching = await curio.spawn(balancer.run, daemon=True)
-    await curio.sleep(_BALANCER_SECONDS)
-    killing = await curio.spawn(_kill_later, cluster, victim)
+    balancer_task = await curio.spawn(balancer.run, daemon=True)
+    await curio.sleep(_BALANCER_START_SECONDS)
+    kill_task = await curio.spawn(_kill_later, cluster, instance)
     calls = make_calls(profile, _prompts(), _CALLS, seed)
-    outcomes = await run_load(balancer, calls, _PER_SECOND, _REPEATS)
-    await killing.join()
-    await watching.cancel()
+    outcomes = await run_load(balancer, calls, _CALLS_PER_SECOND, _RETRIES)
+    await kill_task.join()
+    await balancer_task.cancel()
     return outcomes
 
 
-def _member_of_first(
+def _member_in_first_domain(
     cluster: LocalCluster,
     deployment: DemoDeployment,
 ) -> str:
@@ -168,10 +170,10 @@
     )
 
 
-async def _kill_later(cluster: LocalCluster, victim: str) -> None:
+async def _kill_later(cluster: LocalCluster, instance: str) -> None:
     await curio.sleep(_KILL_AFTER_SECONDS)
-    sys.stdout.write(f'killing instance {victim}\n')
-    cluster.kill(victim)
+    sys.stdout.write(f'killing instance {instance}\n')
+    cluster.kill(instance)
 
 
 def _prompts() -> list[str]:
@@ -179,7 +181,7 @@
     return [line for line in lines if line and not line.startswith('#')]
 
 
-def _say(
+def _print_results(
     deployment: DemoDeployment,
     summary: Summary,
     times: GroupTimes,
@@ -187,8 +189,8 @@
     numbers = {**attrs.asdict(summary), **attrs.asdict(times)}
     sys.stdout.write(f'{deployment.name}:\n')
     for name, number in numbers.items():
-        shown = f'{number:.1f}' if isinstance(number, float) else number
-        sys.stdout.write(f'  {name.replace("_", " ")}: {shown}\n')
+        formatted = f'{number:.1f}' if isinstance(number, float) else number
+        sys.stdout.write(f'  {name.replace("_", " ")}: {formatted}\n')
     sys.stdout.flush()
 
 
--- a/tools/downtime.py
+++ b/tools/downtime.py
@@ -1,4 +1,4 @@
-"""Group downtime and stranded accelerators, from what engines recorded."""
+"""Replica downtime and stranded accelerators, from engine state records."""
 
 from collections.abc import Iterable, Mapping
 from typing import Any
@@ -10,41 +10,45 @@
 
 @attrs.frozen(kw_only=True)
 class GroupTimes:
-    """Both in seconds, summed over replicas and over instances."""
+    """Downtime summed over replicas, idle time summed over instances."""
 
     group_downtime_seconds: float
     stranded_accelerator_seconds: float
 
 
 @attrs.define
-class _Watch:
-    """Replays states; a replica is up while all its members are ready."""
+class _StateReplay:
+    """Replays states; a replica serves while all its members are ready."""
 
     states: dict[str, Mapping[str, Any]] = attrs.field(factory=dict)
-    was_up: dict[str, bool] = attrs.field(factory=dict)
+    was_serving: dict[str, bool] = attrs.field(factory=dict)
     down_seconds: float = 0
     stranded_seconds: float = 0
 
-    def pass_time(self, seconds: float) -> None:
-        up = self._members_up()
-        self.stranded_seconds += seconds * (len(self.states) - len(up))
-        serving = {self.states[name]['replica'] for name in up}
-        self.was_up.update(dict.fromkeys(serving, True))
-        missing = [name for name in self.was_up if name not in serving]
+    def advance(self, seconds: float) -> None:
+        ready_instances = self._serving_instances()
+        self.stranded_seconds += seconds * (
+            len(self.states) - len(ready_instances)
+        )
+        serving = {self.states[name]['replica'] for name in ready_instances}
+        self.was_serving.update(dict.fromkeys(serving, True))
+        missing = [name for name in self.was_serving if name not in serving]
         self.down_seconds += seconds * len(missing)
 
-    def note(self, event: Mapping[str, Any]) -> None:
+    def apply(self, event: Mapping[str, Any]) -> None:
         if event['event'] == 'lost':
             self.states.pop(event['source'], None)
         elif event['event'] == 'state':
             self.states[event['source']] = event
 
-    def _members_up(self) -> set[str]:
+    def _serving_instances(self) -> set[str]:
         return {
-            name for name, state in self.states.items() if self._is_up(state)
+            name
+            for name, state in self.states.items()
+            if self._is_serving(state)
         }
 
-    def _is_up(self, state: Mapping[str, Any]) -> bool:
+    def _is_serving(self, state: Mapping[str, Any]) -> bool:
         members = state['members']
         if not members or state['state'] != _READY:
             return False
@@ -60,23 +64,23 @@
 
 def group_times(
     events: Iterable[Mapping[str, Any]],
-    ended: float,
+    ended_at: float,
 ) -> GroupTimes:
-    """Add up, from the first time a replica was up, how long it was not.
+    """Sum the time replicas did not serve since they first did.
 
-    A killed process records nothing, so whoever kills an instance writes a
-    ``lost`` event in its name.
+    A killed process records nothing, so the killer of an instance writes a
+    ``lost`` event on its behalf.
     """
-    watch = _Watch()
-    at = None
+    replay = _StateReplay()
+    last_event_at = None
     for event in events:
-        if at is not None:
-            watch.pass_time(event['at'] - at)
-        at = event['at']
-        watch.note(event)
-    if at is not None:
-        watch.pass_time(max(0, ended - at))
+        if last_event_at is not None:
+            replay.advance(event['at'] - last_event_at)
+        last_event_at = event['at']
+        replay.apply(event)
+    if last_event_at is not None:
+        replay.advance(max(0, ended_at - last_event_at))
     return GroupTimes(
-        group_downtime_seconds=watch.down_seconds,
-        stranded_accelerator_seconds=watch.stranded_seconds,
+        group_downtime_seconds=replay.down_seconds,
+        stranded_accelerator_seconds=replay.stranded_seconds,
     )
--- a/tools/engine_loads.py
+++ b/tools/engine_loads.py
@@ -1,4 +1,4 @@
-"""A deployment of two models and its load, for plays in simulated time."""
+"""A simulated deployment of two models and its workloads."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -33,38 +33,38 @@
         steps_a_pass=5,
     ),
 )
-# A part of a full engine's time, from the timing and the sizes below.
+# Engine time per request at full load, from the timing and sizes below.
 RUN_SECONDS = MappingProxyType({'large': 0.09, 'small': 0.065})
-NODES = 7
-SECONDS = 20
+NODE_COUNT = 7
+SIMULATED_SECONDS = 20
 
 _DRAFTS = (15.0, 1400.0, 27.0)
 _SUMMARIES = (10.0, 2000.0, 5.0)
 _NOTES = (42.0, 670.0, 27.0)
 
-PolicyMaker = Callable[[random.Random], Policy]
+PolicyFactory = Callable[[random.Random], Policy]
 
 
-def fewest(source: random.Random) -> Policy:
-    """Return the way of counts alone."""
-    return FewestInFlight(source)
+def make_fewest_in_flight(random_source: random.Random) -> Policy:
+    """Return a policy that uses in-flight counts only."""
+    return FewestInFlight(random_source)
 
 
-def forecast(source: random.Random) -> Policy:
-    """Return the door's way."""
-    return ForecastPolicy(source, RUN_SECONDS)
+def make_forecast(random_source: random.Random) -> Policy:
+    """Return the policy of the router, which uses forecasts."""
+    return ForecastPolicy(random_source, RUN_SECONDS)
 
 
 def route(objective: float = 0.3, pause: float = 0.2) -> Route:
-    """Return a route of streams that may be taken up elsewhere."""
+    """Return a route with resumable streams."""
     return Route(
         'r', 'a.example', '/', True, True, True, 8, objective, pause, 1, 2,
         False, (),
     )  # fmt: skip
 
 
-def loads(*bursts: Burst) -> Sequence[Workload]:
-    """Return drafts and summaries of the large model, notes of the small."""
+def workloads(*bursts: Burst) -> Sequence[Workload]:
+    """Return workloads: drafts and summaries (large model), notes (small)."""
     slow = route(0.5, 0.3)
     return (
         Workload(slow, LARGE, *_DRAFTS, bursts),
@@ -74,36 +74,46 @@
 
 
 def engines(large: int, small: int) -> list[Engine]:
-    """Return so many replicas of each model."""
+    """Return replicas of both models."""
     return [
         *(Engine(f'large-{number}', LARGE, PROFILE) for number in range(large)),
         *(Engine(f'small-{number}', SMALL, PROFILE) for number in range(small)),
     ]
 
 
-def worth(
-    make: PolicyMaker,
+def mean_utility(
+    make_policy: PolicyFactory,
     make_engines: Callable[[], Sequence[Engine]],
     *bursts: Burst,
-    deaths: Sequence[ReplicaCrash] = (),
+    crashes: Sequence[ReplicaCrash] = (),
     seeds: int = 6,
 ) -> float:
-    """Return what users get in the mean of several seeds."""
-    played = [
-        play_seed(make, make_engines(), bursts, deaths, seed)
+    """Return the mean utility over several seeds."""
+    simulated = [
+        simulate_seed(make_policy, make_engines(), bursts, crashes, seed)
         for seed in range(seeds)
     ]
-    return sum(one.utility for one in played) / seeds
+    return (
+        sum(simulation_result.utility for simulation_result in simulated)
+        / seeds
+    )
 
 
-def play_seed(
-    make: PolicyMaker,
+def simulate_seed(
+    make_policy: PolicyFactory,
     replicas: Sequence[Engine],
     bursts: Sequence[Burst],
-    deaths: Sequence[ReplicaCrash],
+    crashes: Sequence[ReplicaCrash],
     seed: int,
 ) -> Result:
-    """Play one seed of the load."""
-    source = random.Random(seed)
-    policies = [make(source) for _node in range(NODES)]
-    return simulate(replicas, policies, loads(*bursts), SECONDS, source, deaths)
+    """Simulate the workloads with one seed."""
+    random_source = random.Random(seed)
+    policies = [make_policy(random_source) for _node in range(NODE_COUNT)]
+    return simulate(
+        replicas,
+        policies,
+        workloads(*bursts),
+        SIMULATED_SECONDS,
+        random_source,
+        crashes,
+    )
--- a/tools/local_cluster.py
+++ b/tools/local_cluster.py
@@ -1,4 +1,4 @@
-"""Start the whole system as separate processes on loopback addresses."""
+"""Run the whole system as separate processes on loopback addresses."""
 
 import contextlib
 import hashlib
@@ -21,7 +21,7 @@
 
 @attrs.frozen(kw_only=True)
 class ClusterOptions:
-    """What a local cluster is made of."""
+    """Size, flags and settings of a local cluster."""
 
     domains: Sequence[str]
     nodes: int = 3
@@ -36,27 +36,27 @@
 
 
 class LocalCluster:
-    """A platform, targets and nodes; leaves no process behind."""
+    """A platform, targets and nodes; stops all processes on exit."""
 
     def __init__(self, folder: Path, options: ClusterOptions) -> None:
-        """Keep the options; use as a context manager to start it."""
+        """Store the options; the context manager starts the processes."""
         self.folder = folder
         self.options = options
         self.record = folder / 'record.jsonl'
         self.processes: dict[str, Process] = {}
         self.addresses: dict[str, Address] = {}
-        self.controls: dict[str, Address] = {}
-        self.entries: dict[str, NodeEndpoints] = {}
+        self.proxy_controls: dict[str, Address] = {}
+        self.endpoints: dict[str, NodeEndpoints] = {}
         self.control = ClusterControl(
             self.addresses,
-            self.controls,
-            self.entries,
+            self.proxy_controls,
+            self.endpoints,
         )
-        self._free = Addresses()
+        self._addresses = Addresses()
         self._settings: dict[str, dict[str, Any]] = {}
 
     def __enter__(self) -> Self:
-        """Start everything and wait until the platform answers."""
+        """Start all processes."""
         try:
             self._start_all()
         except BaseException:
@@ -70,34 +70,34 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """End every process."""
+        """Stop all processes."""
         self.stop()
 
     def stop(self) -> None:
-        """End every process that still runs, paused ones too."""
+        """Kill all running processes, including paused ones."""
         for process in self.processes.values():
             with contextlib.suppress(OSError):
                 process.popen.kill()
         for process in self.processes.values():
             process.popen.wait()
-        self._free.release()
+        self._addresses.release()
 
     def reserve(self) -> Address:
-        """Return an address that nobody else has."""
-        return self._free.take()
+        """Return an unused address."""
+        return self._addresses.take()
 
     def kill(self, name: str) -> None:
-        """Kill a process and record that it is gone."""
+        """Kill a process and record its loss."""
         self.processes[name].kill()
         EventRecord.from_path(name, str(self.record)).write('lost')
 
     def pause(self, name: str) -> None:
-        """Stop a process where it is, and record it."""
+        """Suspend a process and record it."""
         self.processes[name].pause()
         EventRecord.from_path(name, str(self.record)).write('paused')
 
     def resume(self, name: str) -> None:
-        """Let a paused process go on, and record it."""
+        """Record the resumption of a process and resume it."""
         EventRecord.from_path(name, str(self.record)).write('resumed')
         self.processes[name].resume()
 
@@ -105,9 +105,9 @@
         self,
         name: str,
         domain: str,
-        extra: Sequence[str] = (),
+        extra_flags: Sequence[str] = (),
     ) -> None:
-        """Start an engine instance and list it."""
+        """Start an engine instance and register it."""
         self._start_standin(
             name,
             'engine',
@@ -115,14 +115,14 @@
                 f'--instance={name}',
                 f'--failure_domain={domain}',
                 f'--fabric_domain={domain}-f0',
-                f'--platform={self.control.reach("platform")}',
+                f'--platform={self.control.published_address("platform")}',
                 *self.options.engine_flags,
-                *extra,
+                *extra_flags,
             ],
         )
 
     def start_service(self, name: str, domain: str) -> None:
-        """Start an instance of the plain service and list it."""
+        """Start an instance of the plain service and register it."""
         self._start_standin(
             name,
             'service',
@@ -130,13 +130,13 @@
                 f'--instance={name}',
                 f'--failure_domain={domain}',
                 f'--service={self.options.service}',
-                f'--platform={self.control.reach("platform")}',
+                f'--platform={self.control.published_address("platform")}',
                 *self.options.service_flags,
             ],
         )
 
     def start_node(self, name: str) -> None:
-        """Start a node with the settings planned for it."""
+        """Start a node with its settings."""
         file = self.folder / f'{name}.json'
         file.write_bytes(msgspec.json.encode(self._settings[name]))
         self.processes[name] = Process.start(
@@ -148,14 +148,14 @@
     def _start_all(self) -> None:
         options = self.options
         self._start_standin('platform', 'platform', options.platform_flags)
-        wait_until(self.control.platform_answers, 'the platform answers')
+        wait_until(self.control.is_platform_reachable, 'the platform answers')
         for domain in options.domains:
             for number in range(options.engines_per_domain):
                 self.start_engine(f'{domain}-e{number}', domain)
             if options.service:
                 for number in range(options.services_per_domain):
                     self.start_service(f'{domain}-s{number}', domain)
-        self._plan_nodes()
+        self._configure_nodes()
         for name in self._settings:
             self.start_node(name)
 
@@ -165,10 +165,10 @@
         kind: str,
         arguments: Sequence[str],
     ) -> None:
-        address = self.addresses.setdefault(name, self._free.take())
-        listed = address
+        address = self.addresses.setdefault(name, self._addresses.take())
+        published_address = address
         if name in self.options.proxied:
-            listed = self._start_proxy(name)
+            published_address = self._start_proxy(name)
         self.processes[name] = Process.start(
             name,
             [
@@ -176,7 +176,7 @@
                 kind,
                 str(address),
                 f'--record={self.record}',
-                f'--listed_address={listed}',
+                f'--listed_address={published_address}',
                 *arguments,
             ],
             self.folder / f'{name}.log',
@@ -185,9 +185,9 @@
     def _start_proxy(self, name: str) -> Address:
         proxy = f'proxy-{name}'
         if proxy in self.processes:
-            return self.control.reach(name)
-        self.addresses[proxy] = self._free.take()
-        self.controls[name] = self._free.take()
+            return self.control.published_address(name)
+        self.addresses[proxy] = self._addresses.take()
+        self.proxy_controls[name] = self._addresses.take()
         self.processes[proxy] = Process.start(
             proxy,
             [
@@ -195,48 +195,52 @@
                 'proxy',
                 str(self.addresses[proxy]),
                 f'--upstream={self.addresses[name]}',
-                f'--control={self.controls[name]}',
+                f'--control={self.proxy_controls[name]}',
             ],
             self.folder / f'{proxy}.log',
         )
         return self.addresses[proxy]
 
-    def _plan_nodes(self) -> None:
+    def _configure_nodes(self) -> None:
         names = [f'node{number}' for number in range(self.options.nodes)]
         for name in names:
-            self.addresses[f'{name}-peer'] = self._free.take()
-        reached = {name: self._reached(f'{name}-peer') for name in names}
+            self.addresses[f'{name}-peer'] = self._addresses.take()
+        peer_addresses = {
+            name: self._published_address(f'{name}-peer') for name in names
+        }
         for number, name in enumerate(names):
             domain = self.options.domains[number % len(self.options.domains)]
-            entry = NodeEndpoints(self._free.take(), self._free.take())
-            self.entries[name] = entry
+            endpoint = NodeEndpoints(
+                self._addresses.take(), self._addresses.take()
+            )
+            self.endpoints[name] = endpoint
             self._settings[name] = {
                 'node_id': name,
                 'failure_domain': domain,
-                'client_address': str(entry.clients),
-                'operator_address': str(entry.operators),
+                'client_address': str(endpoint.clients),
+                'operator_address': str(endpoint.operators),
                 'peer_address': str(self.addresses[f'{name}-peer']),
-                'advertised_peer_address': str(reached[name]),
-                'platform_address': str(self._platform_of(domain)),
+                'advertised_peer_address': str(peer_addresses[name]),
+                'platform_address': str(self._platform_address(domain)),
                 'operator_key_sha256': _OPERATOR_SHA256,
                 'peers': [
                     str(address)
-                    for other, address in reached.items()
+                    for other, address in peer_addresses.items()
                     if other != name
                 ],
                 'ready_off_ms': 1000,
                 **self.options.settings,
             }
 
-    def _platform_of(self, domain: str) -> Address:
-        """Return the platform, by a link of the domain's own if proxied."""
+    def _platform_address(self, domain: str) -> Address:
+        """Return the platform address for a domain, its own proxy if it has one."""
         link = f'platform-{domain}'
         if link in self.options.proxied:
             self.addresses[link] = self.addresses['platform']
-            return self._reached(link)
-        return self.control.reach('platform')
+            return self._published_address(link)
+        return self.control.published_address('platform')
 
-    def _reached(self, name: str) -> Address:
+    def _published_address(self, name: str) -> Address:
         if name in self.options.proxied:
             return self._start_proxy(name)
         return self.addresses[name]
--- a/tools/many_engines.py
+++ b/tools/many_engines.py
@@ -1,4 +1,4 @@
-"""Many idle stand-in engines in one process, for measuring nodes.
+"""Run many idle stand-in engines in one process, to benchmark nodes.
 
 Usage: python -m tools.many_engines HOST PLATFORM FAILURE_DOMAIN COUNT
 """
@@ -12,7 +12,7 @@
 from cranecart.standins import EngineOptions, EngineStandin, EventRecord
 
 _CALL_SECONDS = 5.0
-_PER_FABRIC = 40
+_ENGINES_PER_FABRIC_DOMAIN = 40
 
 
 async def serve(
@@ -21,7 +21,7 @@
     domain: str,
     count: int,
 ) -> None:
-    """Run and list so many engines until killed."""
+    """Start and register the engines, and serve until killed."""
     record = EventRecord.from_path('many', '')
     async with curio.TaskGroup(wait=all) as engines:
         for number in range(count):
@@ -39,7 +39,7 @@
                 'host': host,
                 'port': engine.server.address.port,
                 'failure_domain': domain,
-                'fabric_domain': f'{domain}-f{number // _PER_FABRIC}',
+                'fabric_domain': f'{domain}-f{number // _ENGINES_PER_FABRIC_DOMAIN}',
             }
             request = Request(
                 'POST',
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -1,4 +1,4 @@
-"""Child processes of a local run, and the addresses they get."""
+"""Child processes of a local run and the addresses for them."""
 
 import os
 import signal
@@ -14,49 +14,49 @@
 from cranecart.http import Address
 
 _STOP_SECONDS = 15.0
-_HOSTS = 250
+_HOSTS_PER_OCTET = 250
 
 
 def loopback_host() -> str:
     """Return a loopback address that differs between processes.
 
-    Ports that the kernel gave are free again until they are bound for good;
-    on an address of its own, no other test's connections can take them.
+    A port assigned by the kernel is free until its process binds it. With a
+    separate address, connections of other tests cannot take it meanwhile.
     """
-    high, low = divmod(os.getpid(), _HOSTS)
-    return f'127.{1 + high % _HOSTS}.{1 + low}.1'
+    high, low = divmod(os.getpid(), _HOSTS_PER_OCTET)
+    return f'127.{1 + high % _HOSTS_PER_OCTET}.{1 + low}.1'
 
 
 class Addresses:
-    """Addresses with ports that the kernel gave, each given out once.
+    """Allocates unique addresses with ports assigned by the kernel.
 
-    A port is held, bound but not listened on, until the run ends: a port
-    that is merely asked for may be given to somebody else before its process
-    binds it. Both sides allow reuse, so the holder is not in the way.
+    A port stays bound, without listening, until the run ends: otherwise the
+    kernel could assign it again before its process binds it. Both sockets allow
+    address reuse, so the process can still bind the port.
     """
 
     def __init__(self) -> None:
-        """Start with no address given out."""
+        """Start without allocated addresses."""
         self._host = loopback_host()
-        self._held: list[socket.socket] = []
+        self._reserved: list[socket.socket] = []
 
     def take(self) -> Address:
-        """Return an address that nobody else has."""
+        """Allocate an unused address."""
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind((self._host, 0))
-        self._held.append(sock)
+        self._reserved.append(sock)
         return Address(*sock.getsockname())
 
     def release(self) -> None:
-        """Give all addresses back."""
-        for sock in self._held:
+        """Release all addresses."""
+        for sock in self._reserved:
             sock.close()
 
 
 @attrs.define
 class Process:
-    """One child process of a run."""
+    """A child process of a run."""
 
     name: str
     arguments: Sequence[str]
@@ -76,22 +76,22 @@
         return cls(name, arguments, log, popen)
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process."""
         self.popen.kill()
         self.popen.wait()
 
     def pause(self) -> None:
-        """Stop the process where it is."""
+        """Suspend the process."""
         self.popen.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a paused process go on."""
+        """Resume a suspended process."""
         self.popen.send_signal(signal.SIGCONT)
 
     def terminate(self) -> None:
-        """Ask the process to stop."""
+        """Send the process SIGTERM."""
         self.popen.terminate()
 
     def wait(self, seconds: float = _STOP_SECONDS) -> int:
-        """Wait for the end and return the exit code."""
+        """Wait for the process to exit and return the exit code."""
         return self.popen.wait(seconds)
--- a/tools/soak.py
+++ b/tools/soak.py
@@ -1,4 +1,4 @@
-"""Many faults, drawn by seed, under load; ends with what was violated.
+"""Soak test: inject random faults under load and report violations.
 
 Usage: python -m tools.soak [--seed=N]
 """
@@ -28,20 +28,20 @@
     starts_while_leaving,
 )
 from cranecart.standins import read_record
-from tools.chaos import DOMAINS, Chaos, Schedule
+from tools.chaos import DOMAINS, FaultInjector, Schedule
 from tools.cluster_control import wait_until
 from tools.local_cluster import ClusterOptions, LocalCluster
 
 _SEED = flags.DEFINE_integer('seed', 1, 'seed of faults and load')
 _SCHEDULE = Path(__file__).parent / 'soak_schedule.json'
 _EXAMPLE = Path(__file__).parent.parent / 'examples' / 'katyuszerviz'
-_KNOWN_SECONDS = 5.0
-_LATE_SECONDS = 4.0
-_NON_REPEATABLE = 0.4
+_MAX_MISSING_SECONDS = 5.0
+_MAX_LEAVING_SECONDS = 4.0
+_NON_REPEATABLE_SHARE = 0.4
 
 
 def main(_arguments: Sequence[str]) -> int:
-    """Run one soak; return 1 if anything was violated."""
+    """Run one soak test; return 1 if there were violations, else 0."""
     schedule = structure(read_document(_SCHEDULE), Schedule)
     options = ClusterOptions(
         domains=DOMAINS,
@@ -52,7 +52,7 @@
     )
     with tempfile.TemporaryDirectory() as folder:
         with LocalCluster(Path(folder), options) as cluster:
-            _bring_up(cluster)
+            _apply_declarations(cluster)
             outcomes = curio.run(_run, cluster, schedule)
         events = read_record(cluster.record)
     return _report(outcomes, events)
@@ -60,47 +60,50 @@
 
 def _report(outcomes: Sequence[Outcome], events: list[dict[str, Any]]) -> int:
     summary = Summary.from_outcomes(outcomes, events)
-    broken = {
+    violation_counts = {
         'instances in two replicas': len(shared_instances(events)),
         'starts on a replica known to lack a member': sum(
-            one.seconds_missing > _KNOWN_SECONDS
-            for one in partial_starts(events)
+            start.seconds_missing > _MAX_MISSING_SECONDS
+            for start in partial_starts(events)
         ),
         'starts on a leaving target': sum(
-            one.seconds_since_leaving > _LATE_SECONDS
-            for one in starts_while_leaving(events)
+            start.seconds_since_leaving > _MAX_LEAVING_SECONDS
+            for start in starts_while_leaving(events)
         ),
     }
-    for name, number in {**attrs.asdict(summary), **broken}.items():
+    for name, number in {**attrs.asdict(summary), **violation_counts}.items():
         sys.stdout.write(f'{name.replace("_", " ")}: {number:.6g}\n')
-    violations = summary.violations + sum(broken.values())
+    violations = summary.violations + sum(violation_counts.values())
     sys.stdout.write(f'violations: {violations}\n')
     return int(bool(violations))
 
 
-def _bring_up(cluster: LocalCluster) -> None:
+def _apply_declarations(cluster: LocalCluster) -> None:
     control = cluster.control
     wait_until(lambda: control.status() is not None, 'a node answers')
-    declared = compile_folder(_EXAMPLE)
-    curio.run(apply_change, control.operator(), declared, 0, 'soak')
+    declarations = compile_folder(_EXAMPLE)
+    curio.run(apply_change, control.operator(), declarations, 0, 'soak')
     wait_until(
         lambda: all(
-            len(control.serving(name)) == 2 for name in cluster.entries
+            len(control.serving_replicas(name)) == 2
+            for name in cluster.endpoints
         ),
         'all replicas serve',
     )
 
 
 async def _run(cluster: LocalCluster, schedule: Schedule) -> list[Outcome]:
-    source = random.Random(_SEED.value)
-    chaos = await curio.spawn(Chaos(cluster, schedule, source).run)
+    random_source = random.Random(_SEED.value)
+    injector_task = await curio.spawn(
+        FaultInjector(cluster, schedule, random_source).run
+    )
     balancer = cluster.control.balancer()
-    watching = await curio.spawn(balancer.run, daemon=True)
+    balancer_task = await curio.spawn(balancer.run, daemon=True)
     profile = Profile(
         api_keys=('demo-budapest', 'demo-gyor'),
         models=('nyelvi-szerver',),
         services=(('brigad-app', '/next'), ('brigad-app', '/confirm')),
-        non_repeatable_share=_NON_REPEATABLE,
+        non_repeatable_share=_NON_REPEATABLE_SHARE,
     )
     seconds = schedule.count * (schedule.lasts_seconds + schedule.rest_seconds)
     count = seconds * schedule.calls_per_second
@@ -111,8 +114,8 @@
         schedule.calls_per_second,
         retries=2,
     )
-    await chaos.join()
-    await watching.cancel()
+    await injector_task.join()
+    await balancer_task.cancel()
     return outcomes
 
 
--- a/tools/sweep.py
+++ b/tools/sweep.py
@@ -1,10 +1,10 @@
-"""Compare ways to choose a replica in simulation, over many seeds.
+"""Compare routing policies in simulation over many seeds.
 
 Usage: python -m tools.sweep [--seeds=N] [--large=N --small=N] [--surge=X]
 [--slowness=X]
-Each way plays the same seeds; the table says what it is worth, and by how much
-it differs from counts alone, with the interval. The last line says how quickly
-the simulation runs and what memory it took.
+All policies run with the same seeds. The table shows the mean utility of each and
+its difference from in-flight counts alone, with the confidence interval. The last
+line shows the run time and memory use of the simulation.
 """
 
 import random
@@ -24,56 +24,62 @@
     Result,
     TwoChoices,
 )
-from tools.engine_loads import SECONDS, engines, fewest, forecast, play_seed
+from tools.engine_loads import (
+    SIMULATED_SECONDS,
+    engines,
+    make_fewest_in_flight,
+    make_forecast,
+    simulate_seed,
+)
 from tools.pairs import compare
 
 _FLAGS = flags.FLAGS
 _SURGE_BEGINS = 5.0
 _SURGE_SECONDS = 6.0
-# What the system tells of memory is in kilobytes.
-_KILOBYTES = 1024
+# The maximum resident set size is given in kilobytes.
+_KILOBYTES_PER_MEGABYTE = 1024
 
 
 @attrs.frozen
-class _Way:
+class _PolicyResults:
     name: str
-    plays: tuple[Result, ...]
+    runs: tuple[Result, ...]
 
     @property
-    def worths(self) -> list[float]:
-        return [one.utility for one in self.plays]
+    def utilities(self) -> list[float]:
+        return [run.utility for run in self.runs]
 
     def share(self, outcome: Outcome) -> float:
-        shares = [one.share(outcome) for one in self.plays]
+        shares = [run.share(outcome) for run in self.runs]
         return sum(shares) / len(shares)
 
 
 def main(_arguments: Sequence[str]) -> int:
-    """Play all seeds in each way and print the table."""
+    """Simulate all seeds with each policy and print the table."""
     started = time.perf_counter()
-    makers = {
-        'fewest in flight': fewest,
-        'two choices': _two_choices,
-        'forecast': forecast,
+    factories = {
+        'fewest in flight': make_fewest_in_flight,
+        'two choices': _make_two_choices,
+        'forecast': make_forecast,
     }
-    ways = [
-        _Way(
+    all_policies = [
+        _PolicyResults(
             name,
             tuple(
-                play_seed(make, _replicas(), _bursts(), (), seed)
+                simulate_seed(make_policy, _replicas(), _bursts(), (), seed)
                 for seed in range(_FLAGS.seeds)
             ),
         )
-        for name, make in makers.items()
+        for name, make_policy in factories.items()
     ]
-    for way in ways:
-        _say_way(way, ways[0])
-    _say_cost(time.perf_counter() - started, len(ways) * _FLAGS.seeds)
+    for policy_results in all_policies:
+        _print_policy(policy_results, all_policies[0])
+    _print_cost(time.perf_counter() - started, len(all_policies) * _FLAGS.seeds)
     return 0
 
 
-def _two_choices(source: random.Random) -> Policy:
-    return TwoChoices(source)
+def _make_two_choices(random_source: random.Random) -> Policy:
+    return TwoChoices(random_source)
 
 
 def _replicas() -> list[Engine]:
@@ -86,33 +92,47 @@
     return (Burst(_SURGE_BEGINS, _SURGE_SECONDS, _FLAGS.surge),)
 
 
-def _say_way(way: _Way, first: _Way) -> None:
-    mean = sum(way.worths) / len(way.worths)
-    found = compare(list(zip(first.worths, way.worths, strict=True)))
+def _print_policy(
+    policy_results: _PolicyResults, baseline: _PolicyResults
+) -> None:
+    mean = sum(policy_results.utilities) / len(policy_results.utilities)
+    comparison = compare(
+        list(zip(baseline.utilities, policy_results.utilities, strict=True))
+    )
     difference = ''
-    if found is not None and way is not first:
-        difference = f'{found.mean:+.3f} [{found.low:+.3f}, {found.high:+.3f}]'
+    if comparison is not None and policy_results is not baseline:
+        difference = f'{comparison.mean:+.3f} [{comparison.low:+.3f}, {comparison.high:+.3f}]'
     shares = ' '.join(
-        f'{outcome.value} {way.share(outcome):.3f}' for outcome in Outcome
+        f'{outcome.value} {policy_results.share(outcome):.3f}'
+        for outcome in Outcome
+    )
+    _print_line(
+        f'{policy_results.name:18} utility {mean:.3f} {difference:24} {shares}'
     )
-    _say(f'{way.name:18} worth {mean:.3f} {difference:24} {shares}')
 
 
-def _say_cost(seconds: float, plays: int) -> None:
-    used = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / _KILOBYTES
-    _say(
-        f'{plays} plays of {SECONDS} s took {seconds:.1f} s and {used:.0f} MB',
+def _print_cost(seconds: float, runs: int) -> None:
+    memory_mb = (
+        resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
+        / _KILOBYTES_PER_MEGABYTE
+    )
+    _print_line(
+        f'{runs} runs of {SIMULATED_SECONDS} s took {seconds:.1f} s and {memory_mb:.0f} MB',
     )
 
 
-def _say(text: str) -> None:
+def _print_line(text: str) -> None:
     sys.stdout.write(f'{text}\n')
 
 
 if __name__ == '__main__':
-    flags.DEFINE_integer('seeds', 100, 'how many seeds to play', 2)
+    flags.DEFINE_integer('seeds', 100, 'number of random seeds', 2)
     flags.DEFINE_integer('large', 4, 'replicas of the large model', 1)
     flags.DEFINE_integer('small', 6, 'replicas of the small model', 1)
-    flags.DEFINE_float('surge', 1, 'times the requests for six seconds', 1)
-    flags.DEFINE_float('slowness', 1, 'times the time of one replica', 1)
+    flags.DEFINE_float(
+        'surge', 1, 'factor of the request rate for six seconds', 1
+    )
+    flags.DEFINE_float(
+        'slowness', 1, 'factor of the processing time of one replica', 1
+    )
     app.run(main)
