--- a/src/cranecart/claims/_claims.py
+++ b/src/cranecart/claims/_claims.py
@@ -22,17 +22,17 @@
     row_key,
 )
 from cranecart.exceptions import (
+    ClaimStoreUnavailableError,
     ClaimUnreadableError,
-    KeyReusedError,
+    IdempotencyKeyReusedError,
     OutcomeUnknownError,
-    PlatformAwayError,
     PlatformError,
     PlatformUnavailableError,
     WriteConflictError,
     WriteUnknownError,
 )
 from cranecart.http import Response
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.native import WriteBatcher
 from cranecart.ports import Check, Put, Row, Transaction
 from cranecart.targets import Call
@@ -65,10 +65,10 @@
     async def acquire(self, call: Call) -> AcquiredClaim | RecordedResponse:
         """Claim a call's key, or return the response to an earlier copy.
 
-        Raise ``PlatformAwayError`` if no copy was claimed, so none can have
+        Raise ``ClaimStoreUnavailableError`` if no copy was claimed, so none can have
         run; ``OutcomeUnknownError`` if an earlier copy may have run;
         ``ClaimUnreadableError`` if the claim cannot be read;
-        ``KeyReusedError`` if the key belongs to another call.
+        ``IdempotencyKeyReusedError`` if the key belongs to another call.
         """
         try:
             return await curio.timeout_after(
@@ -123,7 +123,7 @@
             outcome = _resolve_existing(existing, new_claim)
             if outcome is not None:
                 return outcome
-        raise PlatformAwayError(
+        raise ClaimStoreUnavailableError(
             'the idempotency key could not be claimed; try again'
         )
 
@@ -169,7 +169,7 @@
         try:
             await self._writes.commit(transaction)
         except PlatformError as error:
-            decision('claim_not_settled', key=row.key, why=str(error))
+            log_decision('claim_not_settled', key=row.key, why=str(error))
 
 
 def _resolve_existing(
@@ -185,7 +185,7 @@
     if found.nonce == new_claim.nonce:
         return AcquiredClaim(existing)
     if found.fingerprint != new_claim.fingerprint:
-        raise KeyReusedError(
+        raise IdempotencyKeyReusedError(
             'the idempotency key was already used for another call'
         )
     match found.state:
--- a/src/cranecart/claims/_sweeper.py
+++ b/src/cranecart/claims/_sweeper.py
@@ -16,7 +16,7 @@
 )
 from cranecart.exceptions import LeaseLostError, PlatformError
 from cranecart.leases import Lease
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.native import PlatformClient
 from cranecart.ports import Check, Put, Row, Transaction
 
@@ -77,7 +77,7 @@
             ),
         )
         if index:
-            decision('claims_swept', bucket=bucket, claims=len(index))
+            log_decision('claims_swept', bucket=bucket, claims=len(index))
         return True
 
     async def _delete(self, index: Sequence[Row]) -> None:
--- a/src/cranecart/cli/_explain.py
+++ b/src/cranecart/cli/_explain.py
@@ -17,9 +17,9 @@
 from cranecart.exit_codes import ExitCode
 from cranecart.log_reading import (
     LogLine,
-    lines_about,
-    lines_about_held,
-    lines_around,
+    lines_about_target_ends,
+    lines_mentioning,
+    lines_with_context,
     read_lines,
 )
 
@@ -39,11 +39,11 @@
     lines = read_lines(
         itertools.chain.from_iterable(map(_read, rest[1:])),
     )
-    about = lines_about(lines, rest[0])
+    about = lines_mentioning(lines, rest[0])
     is_request = any(line.fields.get('request') == rest[0] for line in about)
     if is_request:
-        about = [*about, *lines_about_held(lines, about)]
-    around = lines_around(lines, about) if is_request else []
+        about = [*about, *lines_about_target_ends(lines, about)]
+    around = lines_with_context(lines, about) if is_request else []
     shown = sorted((*about, *around), key=lambda line: line.at)
     text = '\n'.join(
         f'{"" if line in about else "  | "}{_sentence(line)}' for line in shown
--- a/src/cranecart/cli/_plan.py
+++ b/src/cranecart/cli/_plan.py
@@ -23,7 +23,7 @@
     client = _common.make_client(flag_values)
     declared = curio.run(client.declared)
     found = differences(declared.declarations, wanted)
-    moves = list(replica_moves(curio.run(client.status), wanted))
+    moves = list(replica_changes(curio.run(client.status), wanted))
     lines = [
         f'against version {declared.version}:',
         *(f'  {one.what} {one.name}: {one.change}' for one in found),
@@ -43,7 +43,7 @@
     return ExitCode.OK
 
 
-def replica_moves(status: NodeStatus, wanted: Declarations) -> Iterator[str]:
+def replica_changes(status: NodeStatus, wanted: Declarations) -> Iterator[str]:
     """Say for each model how many replicas would come and go."""
     serving = Counter(
         f'{replica.model}@{replica.version}' for replica in status.replicas
--- a/src/cranecart/cli/_serve.py
+++ b/src/cranecart/cli/_serve.py
@@ -10,7 +10,7 @@
 
 from cranecart.exceptions import ConfigError
 from cranecart.exit_codes import ExitCode
-from cranecart.logs import set_up_lines
+from cranecart.logs import set_up_log_queue
 from cranecart.serving import ServingNode
 from cranecart.settings import LiveSettings, ServingSettings
 
@@ -21,11 +21,11 @@
     """Serve until SIGTERM or SIGINT."""
     file = _settings_file(rest)
     settings = ServingSettings.from_file(file)
-    lines = set_up_lines(settings.log_level, settings.node_id)
+    lines = set_up_log_queue(settings.log_level, settings.node_id)
     try:
         curio.run(ServingNode(LiveSettings(settings, file), lines).run)
     finally:
-        lines.write_now()
+        lines.write_queued()
     return ExitCode.OK
 
 
--- a/src/cranecart/client_api/_attempts.py
+++ b/src/cranecart/client_api/_attempts.py
@@ -9,15 +9,15 @@
 
 from cranecart.client_api._errors import client_error_from
 from cranecart.exceptions import (
-    DeadlineError,
+    DeadlineExceededError,
     Execution,
-    HeldError,
     NoReplicaError,
+    QuarantinedRequestError,
     RequestError,
     TargetError,
     TargetTimeoutError,
 )
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.quarantine import RequestGuard
 from cranecart.retries import RetryBudget
 from cranecart.targets import Call
@@ -50,10 +50,12 @@
                 return await attempt()
             except TargetError as error:
                 self._record_failure(error)
-            except (NoReplicaError, HeldError) as error:
+            except (NoReplicaError, QuarantinedRequestError) as error:
                 raise self._final_error(error) from error
         raise self._final_error(
-            DeadlineError('the deadline passed before the call was sent'),
+            DeadlineExceededError(
+                'the deadline passed before the call was sent'
+            ),
         )
 
     def _identity(self) -> str:
@@ -67,7 +69,7 @@
             or self._last_error.execution is Execution.NOT_RUN
         ):
             self._last_error = error
-        decision(
+        log_decision(
             'attempt_failed',
             request=self._call.request_id,
             attempt=self._attempt_count,
@@ -88,7 +90,7 @@
         return is_safe and self._budget.withdraw()
 
     def _final_error(self, error_before_sending: RequestError) -> RequestError:
-        is_held = isinstance(error_before_sending, HeldError)
+        is_held = isinstance(error_before_sending, QuarantinedRequestError)
         last_error = self._last_error
         if last_error is None or (
             is_held and last_error.execution is Execution.NOT_RUN
--- a/src/cranecart/client_api/_errors.py
+++ b/src/cranecart/client_api/_errors.py
@@ -5,8 +5,8 @@
 import attrs
 
 from cranecart.exceptions import (
+    AllTargetsRefusedError,
     Execution,
-    NotTakenError,
     OutcomeUnknownError,
     RequestError,
     TargetError,
@@ -53,7 +53,7 @@
 def client_error_from(error: TargetError) -> RequestError:
     """Convert a target's error to the error that the client gets."""
     if error.execution is Execution.NOT_RUN:
-        return NotTakenError(str(error))
+        return AllTargetsRefusedError(str(error))
     if isinstance(error, TargetTimeoutError):
         return OutcomeUnknownError(f'no response before the deadline: {error}')
     return OutcomeUnknownError(str(error))
--- a/src/cranecart/client_api/_gateway.py
+++ b/src/cranecart/client_api/_gateway.py
@@ -20,7 +20,7 @@
 )
 from cranecart.http import Request, Responder, Response
 from cranecart.limits import Admission
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.ports import Incarnation
 from cranecart.quarantine import NamedRunner, RequestGuard
 from cranecart.retries import RetryBudget
@@ -64,7 +64,7 @@
             await self._serve(request, responder, request_id)
         except RequestError as error:
             outcome = error.code
-            decision(
+            log_decision(
                 'refused',
                 request=request_id,
                 code=error.code,
--- a/src/cranecart/client_api/_relay.py
+++ b/src/cranecart/client_api/_relay.py
@@ -6,10 +6,10 @@
 from cranecart.exceptions import (
     ConnectionBrokenError,
     RequestError,
-    TargetBrokenError,
+    TargetFailedError,
 )
 from cranecart.http import Responder, Response
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.ports import Incarnation
 from cranecart.quarantine import AttemptProgress, NamedRunner, RequestGuard
 from cranecart.selection import Router
@@ -75,7 +75,7 @@
     async def finish_with_error(self, error: RequestError) -> None:
         """Send an error event and end the stream, which has started already."""
         body = ErrorBody.from_error(error, self._call.request_id)
-        decision(
+        log_decision(
             'stream_cut_short',
             request=self._call.request_id,
             tokens=self._event_counter.tokens,
@@ -108,7 +108,7 @@
             # much CPU time.
             await within_deadline(self._call, self._relay_all, answer, progress)
             if not self.is_finished:
-                raise TargetBrokenError(
+                raise TargetFailedError(
                     f'{replica.id} ended its stream before the last event'
                 )
         if not self._has_client_disconnected:
--- a/src/cranecart/clocks.py
+++ b/src/cranecart/clocks.py
@@ -21,7 +21,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-def awake() -> float:
+def awake_seconds() -> float:
     """Return seconds that a suspension leaves out; they start anywhere."""
     return time.monotonic()
 
@@ -30,11 +30,11 @@
 class SuspensionWatch:
     """Notices that the machine was suspended, as its two clocks drift apart."""
 
-    _apart: float = attrs.field(factory=lambda: since_boot() - awake())
+    _apart: float = attrs.field(factory=lambda: since_boot() - awake_seconds())
 
     def slept_seconds(self) -> float:
         """Return for how long the machine was suspended since last asked."""
-        apart = since_boot() - awake()
+        apart = since_boot() - awake_seconds()
         slept = apart - self._apart
         if slept < _LEAST_SECONDS:
             return 0
--- a/src/cranecart/demand/_demand.py
+++ b/src/cranecart/demand/_demand.py
@@ -48,14 +48,14 @@
     _at: float | None = attrs.field(default=None, init=False)
     _since: float | None = attrs.field(default=None, init=False)
 
-    def note_request(self, model: str) -> None:
+    def record_request(self, model: str) -> None:
         """Count a request that came in."""
         if self._since is None:
             self._since = self._clock()
         self._fade()
         self._models.setdefault(model, _ModelDemand()).came += 1
 
-    def note_work(self, model: str, seconds: float) -> None:
+    def record_work(self, model: str, seconds: float) -> None:
         """Count the work of one that was served, as a replica's seconds."""
         self._fade()
         demand = self._models.setdefault(model, _ModelDemand())
--- a/src/cranecart/dispatch/_forecast.py
+++ b/src/cranecart/dispatch/_forecast.py
@@ -26,7 +26,7 @@
     if deferred:
         ahead += replica.deferred
     active = min(ahead + 1, slots)
-    prefill = timing.reading_seconds(request.prompt_tokens)
+    prefill = timing.prompt_seconds(request.prompt_tokens)
     prefill += _FIRST_EVENT_PASSES * timing.pass_seconds(active)
     # A full replica completes one request per completion interval.
     queued = max(0, ahead + 1 - slots)
--- a/src/cranecart/exceptions.py
+++ b/src/cranecart/exceptions.py
@@ -73,15 +73,15 @@
     """Changes since a version cannot be had; read everything anew."""
 
 
-class PlatformSilentError(PlatformUnavailableError):
+class PlatformTimeoutError(PlatformUnavailableError):
     """No answer came in time; other connections may be silent as well."""
 
 
-class ReadRenewedError(PlatformError):
+class ReadAbandonedError(PlatformError):
     """A read was given up, as its connection may be silent; ask anew."""
 
 
-class DamagedObjectError(PlatformError):
+class CorruptObjectError(PlatformError):
     """An object's bytes do not match its checksum."""
 
 
@@ -92,7 +92,7 @@
 
 
 @final
-class TargetNotReachedError(TargetError):
+class TargetUnreachableError(TargetError):
     """The request never left for the target."""
 
     execution = Execution.NOT_RUN
@@ -112,12 +112,12 @@
     execution = Execution.NOT_RUN
 
 
-class TargetBrokenError(TargetError):
+class TargetFailedError(TargetError):
     """The target went away or answered wrongly after the request was sent."""
 
 
 @final
-class TargetDisconnectedError(TargetBrokenError):
+class TargetDisconnectedError(TargetFailedError):
     """The connection ended before the answer did; the target may have ended."""
 
 
@@ -151,7 +151,7 @@
 
 
 @final
-class TargetClosedError(OrderError):
+class TargetNotListeningError(OrderError):
     """The instance takes no connection: it crashed, or leaves soon.
 
     One that leaves stops listening before it has finished what it has, so
@@ -212,14 +212,14 @@
     code = 'not_found'
 
 
-class KeyReusedError(RequestError):
+class IdempotencyKeyReusedError(RequestError):
     """The idempotency key was used with another request."""
 
     status = 422
     code = 'idempotency_key_reused'
 
 
-class LimitedError(RequestError):
+class OverLimitError(RequestError):
     """The organisation is over its share."""
 
     status = 429
@@ -243,7 +243,7 @@
     retry_after = 2.0
 
 
-class HeldError(RequestError):
+class QuarantinedRequestError(RequestError):
     """The request has ended several targets, and is not sent to another.
 
     It is no mistake that its client could mend in the request, and one that is
@@ -256,7 +256,7 @@
     retry_after = 300.0
 
 
-class PlatformAwayError(RequestError):
+class ClaimStoreUnavailableError(RequestError):
     """The claim that a non-repeatable request needs cannot be made."""
 
     status = 503
@@ -272,7 +272,7 @@
     retry_after = 2.0
 
 
-class NotInformedError(RequestError):
+class ReplicasUnknownError(RequestError):
     """The node has started and does not know the replicas yet."""
 
     status = 503
@@ -280,7 +280,7 @@
     retry_after = 1.0
 
 
-class DeadlineError(RequestError):
+class DeadlineExceededError(RequestError):
     """The deadline passed before the request was sent to a target."""
 
     status = 504
@@ -288,7 +288,7 @@
     retry_after = 1.0
 
 
-class NotTakenError(RequestError):
+class AllTargetsRefusedError(RequestError):
     """Every target that was asked refused the request."""
 
     status = 503
@@ -312,7 +312,7 @@
     execution = Execution.OUTCOME_UNKNOWN
 
 
-class TimeoutPassedError(OutcomeUnknownError):
+class RequestTimeoutError(OutcomeUnknownError):
     """The time of the request or of its route passed while it ran."""
 
     status = 504
--- a/src/cranecart/fleet/_fleet.py
+++ b/src/cranecart/fleet/_fleet.py
@@ -8,7 +8,7 @@
 from cranecart.fleet._instance_list import InstanceList
 from cranecart.fleet._record_rows import RecordState, ReplicaRecord
 from cranecart.fleet._replica_records import ReplicaEpoch, ReplicaRecords
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.ports import Incarnation, ListedInstance, MemberPhase
 
 _PRESENT_PHASES = frozenset((MemberPhase.READY, MemberPhase.OPEN))
@@ -286,7 +286,7 @@
     def _log_transition(
         self, event: str, replica_epoch: ReplicaEpoch, reason: str
     ) -> None:
-        decision(
+        log_decision(
             event, replica=replica_epoch[0], epoch=replica_epoch[1], why=reason
         )
         record = self.replica_records.of(replica_epoch)
--- a/src/cranecart/fleet/_incarnations.py
+++ b/src/cranecart/fleet/_incarnations.py
@@ -12,7 +12,7 @@
 import attrs
 
 from cranecart.clocks import since_boot
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.ports import Incarnation, ListedInstance
 
 # A running instance writes its entry every heartbeat (1.2 s by the platform's
@@ -57,7 +57,7 @@
     ) -> IncarnationMatch:
         """Compare an entry of a known instance with the known incarnation."""
         pending = self._uncertain.pop(entry.id, None)
-        if not entry.incarnation.is_another(known.incarnation):
+        if not entry.incarnation.differs_from(known.incarnation):
             return IncarnationMatch.SAME
         if entry.incarnation in self._ended.get(entry.id, ()):
             return IncarnationMatch.STALE
@@ -90,7 +90,7 @@
         self, known: ListedInstance, entry: ListedInstance
     ) -> None:
         """Record that the incarnation of a confirmed entry replaces another."""
-        decision(
+        log_decision(
             'birth_went_back',
             instance=entry.id,
             born=entry.born,
--- a/src/cranecart/fleet/_instance_list.py
+++ b/src/cranecart/fleet/_instance_list.py
@@ -9,7 +9,7 @@
     RecentIncarnations,
     UnconfirmedEntries,
 )
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.ports import Incarnation, ListedInstance
 
 # During a store outage instances cannot renew their entries, so many lapse at
@@ -172,7 +172,7 @@
         known = self.find_instance(incarnation.id)
         if known is None or not incarnation.born:
             return False
-        return known.incarnation.is_another(incarnation)
+        return known.incarnation.differs_from(incarnation)
 
     def has_ended(self, incarnation: Incarnation) -> bool:
         """Return whether a later incarnation proves that one has ended.
@@ -213,7 +213,7 @@
         """Keep missing instances for the grace period; return their ids."""
         retained = {name for name in gone if not self.instances[name].leaving}
         self._missing.update(dict.fromkeys(retained, until))
-        decision('instances_missing', instances=len(retained))
+        log_decision('instances_missing', instances=len(retained))
         return retained
 
     def _lapse(self, name: str) -> None:
@@ -224,7 +224,7 @@
         self._by_service[instance.service].pop(name)
         self._available.pop(instance.service, None)
         self._incarnations.forget(name)
-        decision('instance_lapsed', instance=name)
+        log_decision('instance_lapsed', instance=name)
 
     def _apply_entry(self, entry: ListedInstance) -> bool:
         """Apply an entry; return whether its instance has restarted."""
@@ -242,7 +242,7 @@
                 IncarnationMatch.STALE
                 | IncarnationMatch.UNCERTAIN as match_kind
             ):
-                decision(
+                log_decision(
                     'entry_put_off',
                     instance=entry.id,
                     born=entry.born,
@@ -255,7 +255,7 @@
         self, known: ListedInstance, entry: ListedInstance
     ) -> None:
         """Replace an incarnation; nothing known of the old one is kept."""
-        decision(
+        log_decision(
             'instance_lives_anew',
             instance=entry.id,
             born=entry.born,
--- a/src/cranecart/fleet/_leaving.py
+++ b/src/cranecart/fleet/_leaving.py
@@ -1,7 +1,7 @@
 """Mark instances as leaving that announce it themselves."""
 
 from cranecart.fleet._fleet import Fleet
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.ports import Incarnation
 
 
@@ -12,7 +12,7 @@
     """
     if not fleet.instance_list.mark_leaving(incarnation):
         return False
-    decision(
+    log_decision(
         'target_leaving',
         instance=incarnation.id,
         born=incarnation.born,
--- a/src/cranecart/fleet/_recent_entries.py
+++ b/src/cranecart/fleet/_recent_entries.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.ports import Incarnation, ListedInstance
 
 # The remembered incarnations end within a minute.
@@ -54,7 +54,7 @@
     ) -> None:
         """Hold back these entries from now on, and no others."""
         for name in entries:
-            decision('entry_awaited', instance=name)
+            log_decision('entry_awaited', instance=name)
         self._entries = {name: (item, now) for name, item in entries.items()}
 
     def contains(self, entry: ListedInstance) -> bool:
--- a/src/cranecart/fleet/_record_rows.py
+++ b/src/cranecart/fleet/_record_rows.py
@@ -7,7 +7,7 @@
 import attrs
 import msgspec
 
-from cranecart.logs import UnreadableRows
+from cranecart.logs import UnreadableRowLog
 from cranecart.ports import Incarnation, Row
 
 RECORDS_TABLE = 'placement'
@@ -17,7 +17,7 @@
 RECORDS_PART = 'all'
 _NODE = 'node/'
 _REPLICA = 'replica/'
-_UNREADABLE_ROWS = UnreadableRows('record_unreadable')
+_UNREADABLE_ROWS = UnreadableRowLog('record_unreadable')
 
 
 class RecordState(enum.Enum):
@@ -109,10 +109,10 @@
     try:
         record = msgspec.json.decode(row.value, type=ReplicaRecord)
     except (msgspec.MsgspecError, RecursionError) as error:
-        _UNREADABLE_ROWS.note(row.key, str(error))
+        _UNREADABLE_ROWS.report(row.key, str(error))
         return None
     if record.key != row.key or not record.members:
-        _UNREADABLE_ROWS.note(
+        _UNREADABLE_ROWS.report(
             row.key, 'the record does not match the key, or has no members'
         )
         return None
--- a/src/cranecart/fleet/_source_follower.py
+++ b/src/cranecart/fleet/_source_follower.py
@@ -14,9 +14,9 @@
 from cranecart.clocks import since_boot
 from cranecart.exceptions import (
     HistoryLostError,
-    PlatformSilentError,
+    PlatformTimeoutError,
     PlatformUnavailableError,
-    ReadRenewedError,
+    ReadAbandonedError,
 )
 from cranecart.fleet._item_cache import ItemCache
 from cranecart.fleet._store_reachability import StoreReachability
@@ -27,7 +27,7 @@
     SourceUpdate,
     UpdateSharing,
 )
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.ports import Source, era_of
 
 Item = TypeVar('Item')
@@ -137,11 +137,11 @@
                 await self._read()
             except HistoryLostError as error:
                 self._has_snapshot = False
-                decision('history_lost', source=self.name, why=str(error))
+                log_decision('history_lost', source=self.name, why=str(error))
             except PlatformUnavailableError as error:
                 await self._wait_after_failure(error)
-            except ReadRenewedError:
-                decision('feed_renewed', source=self.name)
+            except ReadAbandonedError:
+                log_decision('feed_renewed', source=self.name)
             else:
                 await self._wait_before_next_read(started)
 
@@ -222,7 +222,7 @@
         if 0 <= earlier and era_of(earlier) < era_of(version):
             if self._apply_restored is not None:
                 self._resync_at = self._clock() + _REPOPULATION_SECONDS
-            decision(
+            log_decision(
                 'source_restored',
                 source=self.name,
                 earlier=earlier,
@@ -284,7 +284,7 @@
             self._is_stalled = False
             await self._reachability.restart_reads()
         if self._is_unreachable:
-            decision('source_back', source=self.name, version=self._version)
+            log_decision('source_back', source=self.name, version=self._version)
         self._is_unreachable = False
         self._reachability.mark_reachable()
         self._read_at = self._clock()
@@ -378,8 +378,8 @@
     ) -> None:
         if not self._is_unreachable:
             self._is_unreachable = True
-            decision('source_lost', source=self.name, why=str(error))
-        if isinstance(error, PlatformSilentError) and not self._is_stalled:
+            log_decision('source_lost', source=self.name, why=str(error))
+        if isinstance(error, PlatformTimeoutError) and not self._is_stalled:
             self._is_stalled = True
             await self._reachability.restart_reads()
         spread = 1 + self._random.uniform(-_JITTER, _JITTER)
--- a/src/cranecart/fleet/_store_reachability.py
+++ b/src/cranecart/fleet/_store_reachability.py
@@ -11,7 +11,7 @@
 import curio
 
 from cranecart.clocks import since_boot
-from cranecart.exceptions import PlatformError, ReadRenewedError
+from cranecart.exceptions import PlatformError, ReadAbandonedError
 
 Answer = TypeVar('Answer')
 
@@ -75,13 +75,13 @@
     ) -> Answer:
         """Wait for changes of a source.
 
-        Raise ``ReadRenewedError`` if ``restart_reads`` was called meanwhile.
+        Raise ``ReadAbandonedError`` if ``restart_reads`` was called meanwhile.
         """
         async with curio.TaskGroup(wait=any) as tasks:
             reading = await tasks.spawn(_read_or_error, call, since, seconds)
             await tasks.spawn(self._restart_requested.wait)
         if tasks.completed is not reading:
-            raise ReadRenewedError(
+            raise ReadAbandonedError(
                 'the read was restarted to use a new connection'
             )
         answer: Answer | PlatformError = reading.result
--- a/src/cranecart/forwarding/_admit.py
+++ b/src/cranecart/forwarding/_admit.py
@@ -12,14 +12,14 @@
 from cranecart.http import Request
 from cranecart.logs import RequestTrace
 from cranecart.models import KeyHolder, Route, RouteConfig
-from cranecart.ports import CallFacts
+from cranecart.ports import RequestInfo
 
 _STARTUP_RETRY_AFTER_SECONDS = 0.5
 
 
 def admit(
     request: Request,
-    facts: CallFacts,
+    facts: RequestInfo,
     config: RouteConfig | None,
     random_source: random.Random,
     trace: RequestTrace,
@@ -66,7 +66,7 @@
 def _find_key_holder(
     config: RouteConfig,
     route: Route,
-    facts: CallFacts,
+    facts: RequestInfo,
 ) -> KeyHolder | None:
     if config.holders is None:
         return None
--- a/src/cranecart/forwarding/_attempts.py
+++ b/src/cranecart/forwarding/_attempts.py
@@ -5,19 +5,19 @@
 import attrs
 
 from cranecart.exceptions import (
+    AllTargetsRefusedError,
     Execution,
-    HeldError,
     NoReplicaError,
-    NotTakenError,
     OutcomeUnknownError,
     OverloadedError,
+    QuarantinedRequestError,
     RequestError,
+    RequestTimeoutError,
     TargetDisconnectedError,
     TargetError,
-    TargetNotReachedError,
     TargetTimeoutError,
+    TargetUnreachableError,
     TargetWithdrawnError,
-    TimeoutPassedError,
 )
 from cranecart.forwarding._call import RoutedCall, routing_request
 from cranecart.quarantine import AttemptProgress, RequestGuard
@@ -33,8 +33,13 @@
 # Unreachable targets do not count towards the route's limit of attempts, so
 # they need a limit of their own.
 _MAX_UNREACHABLE_TARGETS = 3
-_NOT_SENT_ERRORS = (TargetNotReachedError, TargetWithdrawnError)
-_NO_TARGET_ERRORS = (HeldError, NoReplicaError, NotTakenError, OverloadedError)
+_NOT_SENT_ERRORS = (TargetUnreachableError, TargetWithdrawnError)
+_NO_TARGET_ERRORS = (
+    QuarantinedRequestError,
+    NoReplicaError,
+    AllTargetsRefusedError,
+    OverloadedError,
+)
 
 
 @attrs.define
@@ -125,7 +130,7 @@
             self._check_time_left()
             target = self._router.choose(self._routing_request())
         except _NO_TARGET_ERRORS as error:
-            if isinstance(error, HeldError):
+            if isinstance(error, QuarantinedRequestError):
                 call.trace.add('held', identity=call.identity)
             if self._last_error is None or not self._outweighs(error):
                 raise
@@ -151,7 +156,7 @@
             _MIN_SECONDS_LEFT,
         )
         if not self.has_begun and self.call.seconds_left <= min_seconds:
-            raise NotTakenError(
+            raise AllTargetsRefusedError(
                 'no time is left for any target',
                 retry_after=_NO_TIME_RETRY_AFTER_SECONDS,
             )
@@ -189,7 +194,7 @@
         ):
             self._router.record_broken_connection(incarnation)
             return
-        is_reached = not isinstance(error, TargetNotReachedError)
+        is_reached = not isinstance(error, TargetUnreachableError)
         self._router.record_failure(incarnation, reached=is_reached)
 
     def _log_disconnect(self, target: Target) -> None:
@@ -211,9 +216,11 @@
     def _outweighs(self, error: RequestError) -> bool:
         """Return whether the earlier outcome takes precedence over an error.
 
-        ``HeldError`` is reported unless the request may have run.
+        ``QuarantinedRequestError`` is reported unless the request may have run.
         """
-        return self._may_have_run or not isinstance(error, HeldError)
+        return self._may_have_run or not isinstance(
+            error, QuarantinedRequestError
+        )
 
     @property
     def _may_have_run(self) -> bool:
@@ -245,10 +252,10 @@
             request_for_retry = routing_request(
                 self.call, (), has_begun=self.has_begun
             )
-            return NotTakenError(
+            return AllTargetsRefusedError(
                 str(last_error),
                 retry_after=self._router.retry_after_seconds(request_for_retry),
             )
         if isinstance(last_error, TargetTimeoutError):
-            return TimeoutPassedError(str(last_error))
+            return RequestTimeoutError(str(last_error))
         return OutcomeUnknownError(str(last_error))
--- a/src/cranecart/forwarding/_buffered.py
+++ b/src/cranecart/forwarding/_buffered.py
@@ -3,7 +3,7 @@
 import attrs
 
 from cranecart.clocks import since_boot
-from cranecart.exceptions import TargetBrokenError
+from cranecart.exceptions import TargetFailedError
 from cranecart.forwarding._attempts import RoutedAttempts
 from cranecart.forwarding._sender import Sender, SilenceLimits, TargetAnswer
 from cranecart.http import Response
@@ -39,7 +39,7 @@
             elapsed = since_boot() - started
             self._sender.router.gaps.record(call.service, elapsed)
         if self._should_try_another(answer):
-            raise TargetBrokenError(
+            raise TargetFailedError(
                 f'{target.instance.id} failed with {answer.head.status}',
             )
 
@@ -66,5 +66,5 @@
         return Response(
             answer.head.status,
             body=body,
-            header_lines=self._sender.form.answer_lines(answer.head),
+            header_lines=self._sender.translator.response_headers(answer.head),
         )
--- a/src/cranecart/forwarding/_call.py
+++ b/src/cranecart/forwarding/_call.py
@@ -9,7 +9,7 @@
 from cranecart.http import Request
 from cranecart.logs import RequestTrace
 from cranecart.models import Route, RouteConfig
-from cranecart.ports import CallFacts
+from cranecart.ports import RequestInfo
 from cranecart.quarantine import request_identity
 from cranecart.routing import RoutingRequest
 
@@ -27,7 +27,7 @@
     """
 
     request: Request
-    facts: CallFacts
+    facts: RequestInfo
     config: RouteConfig
     route: Route
     service: str
@@ -91,7 +91,7 @@
     )
 
 
-def expiry_of(route: Route, facts: CallFacts, now: float) -> float:
+def expiry_of(route: Route, facts: RequestInfo, now: float) -> float:
     """Return when a request expires, as a time of ``since_boot``."""
     deadline = facts.deadline_seconds
     client_seconds = _NO_DEADLINE if deadline is None else deadline
--- a/src/cranecart/forwarding/_connections.py
+++ b/src/cranecart/forwarding/_connections.py
@@ -7,9 +7,9 @@
 import attrs
 
 from cranecart.clocks import since_boot
-from cranecart.exceptions import ConnectFailedError, TargetNotReachedError
+from cranecart.exceptions import ConnectFailedError, TargetUnreachableError
 from cranecart.http import HttpConnection, ResponseHead
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.ports import Incarnation, ListedInstance
 
 # A live target accepts a connection within a few milliseconds. The kernel
@@ -70,7 +70,7 @@
         require_recent: bool,
         require_new: bool = False,
     ) -> HttpConnection:
-        """Return a connection; raise ``TargetNotReachedError``.
+        """Return a connection; raise ``TargetUnreachableError``.
 
         With ``require_recent`` an idle connection is reused only if it was in
         use a moment ago, with ``require_new`` a new one is always opened.
@@ -99,7 +99,7 @@
                 _CONNECT_TIMEOUT_SECONDS,
             )
         except ConnectFailedError as error:
-            raise TargetNotReachedError(str(error)) from error
+            raise TargetUnreachableError(str(error)) from error
         self.opened += 1
         return connection
 
@@ -121,7 +121,7 @@
         if connection.has_surplus_data:
             self.desynchronized += 1
             self.mark_unreliable(instance)
-            decision(
+            log_decision(
                 'left_over',
                 instance=instance.id,
                 bytes=connection.surplus_bytes,
--- a/src/cranecart/forwarding/_gateway.py
+++ b/src/cranecart/forwarding/_gateway.py
@@ -94,7 +94,7 @@
         trace = RequestTrace('')
         outcome = 'answered'
         try:
-            facts = self._sender.form.read_request(request)
+            facts = self._sender.translator.read_request(request)
             trace.request_id = facts.request_id
             await self._startup_gate.wait(facts.deadline_seconds)
             call = self._with_retry_time(
@@ -214,7 +214,7 @@
                 'response aborted after it had started',
             ) from error
         await responder.send(
-            self._sender.form.refusal(
+            self._sender.translator.error_response(
                 trace.request_id,
                 error.status,
                 error.code,
--- a/src/cranecart/forwarding/_own_response.py
+++ b/src/cranecart/forwarding/_own_response.py
@@ -4,7 +4,7 @@
 
 from cranecart.forwarding._call import RoutedCall
 from cranecart.http import HttpConnection, ResponseHead
-from cranecart.ports import CallForm
+from cranecart.ports import CallTranslator
 
 
 @attrs.define
@@ -16,7 +16,7 @@
     anything else was once taken for the response of the next request.
     """
 
-    _form: CallForm
+    _form: CallTranslator
     _call: RoutedCall
     _connection: HttpConnection
     _has_foreign_response: bool = attrs.field(default=False, init=False)
@@ -28,7 +28,7 @@
                 await self._connection.discard_response()
                 self._has_foreign_response = False
             head = await self._connection.read_head()
-            answered_id = self._form.read_answer(head).request_id
+            answered_id = self._form.read_response(head).request_id
             if answered_id == self._call.request_id:
                 return head
             self._has_foreign_response = True
--- a/src/cranecart/forwarding/_sender.py
+++ b/src/cranecart/forwarding/_sender.py
@@ -11,18 +11,18 @@
 from cranecart.clocks import since_boot
 from cranecart.exceptions import (
     HttpError,
-    TargetBrokenError,
     TargetDisconnectedError,
-    TargetNotReachedError,
+    TargetFailedError,
     TargetRefusedError,
     TargetTimeoutError,
+    TargetUnreachableError,
     TargetWithdrawnError,
 )
 from cranecart.forwarding._call import RoutedCall
 from cranecart.forwarding._connections import TargetConnectionPool
 from cranecart.forwarding._own_response import OwnResponseReader
 from cranecart.http import HttpConnection, ResponseHead
-from cranecart.ports import AnswerFacts, CallForm, Dispatch
+from cranecart.ports import CallTranslator, Dispatch, ResponseInfo
 from cranecart.routing import Target, TargetRouter
 
 AnswerT = TypeVar('AnswerT')
@@ -52,7 +52,7 @@
     """
 
     head: ResponseHead
-    facts: AnswerFacts
+    facts: ResponseInfo
     connection: HttpConnection
 
 
@@ -79,7 +79,7 @@
     ``_has_stopped`` returns whether a replica is known to have stopped.
     """
 
-    form: CallForm
+    translator: CallTranslator
     router: TargetRouter
     connections: TargetConnectionPool
     _has_stopped: Callable[[tuple[str, int]], bool]
@@ -102,12 +102,12 @@
         try:
             sent_at = since_boot()
             await self._send(call, target, connection, resume_after)
-            reader = OwnResponseReader(self.form, call, connection)
+            reader = OwnResponseReader(self.translator, call, connection)
             head = await self.read_with_limits(
                 call, target, limits, reader.read
             )
             yield await self._verify(target, connection, head, sent_at)
-        except (TargetBrokenError, TargetTimeoutError):
+        except (TargetFailedError, TargetTimeoutError):
             await self.connections.close_idle(target.instance)
             raise
         finally:
@@ -123,7 +123,7 @@
         """Await ``read`` while checking the target against the limits.
 
         Raise ``TargetTimeoutError`` at the call's deadline and
-        ``TargetBrokenError`` if the target is given up or disconnects. ``read``
+        ``TargetFailedError`` if the target is given up or disconnects. ``read``
         is interrupted and called again, so it must not lose what it has read.
         """
         started = since_boot()
@@ -165,16 +165,16 @@
         epoch = target.replica_epoch
         is_stopped = epoch is not None and self._has_stopped(epoch)
         if is_stopped and not limits.is_final_attempt:
-            raise TargetBrokenError(f'{target.instance.id} has stopped')
+            raise TargetFailedError(f'{target.instance.id} has stopped')
         model = call.facts.model
         if silence > limits.stalled_after and self.router.is_stalled(
             target, model
         ):
-            raise TargetBrokenError(
+            raise TargetFailedError(
                 f'{target.instance.id} sends no events on any of its streams',
             )
         if silence > limits.give_up_after:
-            raise TargetBrokenError(
+            raise TargetFailedError(
                 f'{target.instance.id} was silent for {silence:.3f} s',
             )
 
@@ -191,7 +191,7 @@
                 # new connection makes sure that the response is its own.
                 require_new=not call.request_id,
             )
-        except TargetNotReachedError as error:
+        except TargetUnreachableError as error:
             await self.report_suspicion(target, str(error))
             raise
 
@@ -218,7 +218,7 @@
         )
         try:
             await connection.start_sending(
-                self.form.request_for(call.request, dispatch)
+                self.translator.request_for(call.request, dispatch)
             )
         except HttpError as error:
             self.connections.mark_unreliable(target.instance)
@@ -231,14 +231,14 @@
         head: ResponseHead,
         sent_at: float,
     ) -> TargetAnswer:
-        facts = self.form.read_answer(head)
+        facts = self.translator.read_response(head)
         self.connections.record_keep_alive(target.instance, head)
         self.router.throttle.record_response(
             target.instance.incarnation, facts, sent_at
         )
-        if facts.at_fault:
+        if facts.failed_instance:
             await self.report_suspicion(
-                target, f'cannot work without {facts.at_fault}'
+                target, f'cannot work without {facts.failed_instance}'
             )
         _raise_for_answer(target, head, facts)
         return TargetAnswer(head, facts, connection)
@@ -257,16 +257,16 @@
 def _raise_for_answer(
     target: Target,
     head: ResponseHead,
-    facts: AnswerFacts,
+    facts: ResponseInfo,
 ) -> None:
     name = target.instance.id
     if facts.not_run:
         raise TargetRefusedError(f'{name} refused with {head.status}')
     if head.status in _NOT_RUN_STATUSES:
-        raise TargetBrokenError(
+        raise TargetFailedError(
             f'{name} answered {head.status} without saying "not run"'
         )
     if head.is_success and not facts.is_genuine:
-        raise TargetBrokenError(
+        raise TargetFailedError(
             f'{name} sent a response without a valid signature'
         )
--- a/src/cranecart/forwarding/_sse.py
+++ b/src/cranecart/forwarding/_sse.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from cranecart.exceptions import TargetBrokenError
+from cranecart.exceptions import TargetFailedError
 
 _EVENT_END = b'\n\n'
 _ID_FIELD = re.compile(rb'^id: ?(.*)$', re.MULTILINE)
@@ -31,7 +31,7 @@
     def feed(self, chunk: bytes) -> bytes:
         """Add received bytes; return the events that are complete by now.
 
-        Raise ``TargetBrokenError`` if event ids do not ascend, as in a resumed
+        Raise ``TargetFailedError`` if event ids do not ascend, as in a resumed
         stream that starts over: the client would get events twice.
         """
         buffered = self._partial + chunk if self._partial else chunk
@@ -62,6 +62,6 @@
         ]
         numbers = [int(one) for one in ids_so_far if one.isdecimal()]
         if any(later <= one for one, later in itertools.pairwise(numbers)):
-            raise TargetBrokenError(
+            raise TargetFailedError(
                 f'event ids do not ascend after {self.last_id}',
             )
--- a/src/cranecart/forwarding/_startup.py
+++ b/src/cranecart/forwarding/_startup.py
@@ -14,7 +14,7 @@
 from cranecart.clocks import since_boot
 from cranecart.exceptions import (
     NoReplicaError,
-    NotInformedError,
+    ReplicasUnknownError,
     RequestError,
 )
 
@@ -55,7 +55,7 @@
         """
         if self._is_informed() or not isinstance(error, NoReplicaError):
             return error
-        return NotInformedError(
+        return ReplicasUnknownError(
             'this node has started and has not read the list of replicas yet',
             retry_after=_RETRY_AFTER_SECONDS,
         )
--- a/src/cranecart/forwarding/_stream.py
+++ b/src/cranecart/forwarding/_stream.py
@@ -3,7 +3,7 @@
 import attrs
 
 from cranecart.clocks import since_boot
-from cranecart.exceptions import TargetBrokenError, TargetDisconnectedError
+from cranecart.exceptions import TargetDisconnectedError, TargetFailedError
 from cranecart.forwarding._attempts import RoutedAttempts
 from cranecart.forwarding._sender import Sender, SilenceLimits, TargetAnswer
 from cranecart.forwarding._sse import EventSplitter
@@ -88,7 +88,7 @@
         if not self._responder.has_started:
             await self._responder.start(
                 answer.head.status,
-                self._sender.form.answer_lines(answer.head),
+                self._sender.translator.response_headers(answer.head),
             )
         incarnation = target.instance.incarnation
         with self._sender.router.stalls.track_stream(incarnation) as pulse:
@@ -137,11 +137,11 @@
         )
         failure = f'{target.instance.id} failed with {answer.head.status}'
         if self._responder.has_started or self._attempts.may_try_another():
-            raise TargetBrokenError(failure)
+            raise TargetFailedError(failure)
         self.response = Response(
             answer.head.status,
             body=body,
-            header_lines=self._sender.form.answer_lines(answer.head),
+            header_lines=self._sender.translator.response_headers(answer.head),
         )
 
     def _silence_limits(self) -> SilenceLimits:
--- a/src/cranecart/gossip/_config_exchange.py
+++ b/src/cranecart/gossip/_config_exchange.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from cranecart.clocks import since_boot
-from cranecart.exceptions import DamagedObjectError
+from cranecart.exceptions import CorruptObjectError
 from cranecart.gossip._entries import (
     Entry,
     MemberInfo,
@@ -14,7 +14,7 @@
     MessageKind,
 )
 from cranecart.gossip._sender import GossipSender
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 
 _REQUEST_INTERVAL_SECONDS = 0.3
 
@@ -70,8 +70,8 @@
         config = EncodedConfig(message.number, message.about, message.payload)
         try:
             self._accept(config)
-        except DamagedObjectError as error:
-            decision(
+        except CorruptObjectError as error:
+            log_decision(
                 'config_refused',
                 sender=message.sender,
                 version=config.version,
--- a/src/cranecart/gossip/_members.py
+++ b/src/cranecart/gossip/_members.py
@@ -14,7 +14,7 @@
     Topic,
 )
 from cranecart.gossip._store import EntryStore
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 
 _SUSPICION_TIMEOUT_SECONDS = 2.5
 _DEAD_ENTRY_SECONDS = 60.0
@@ -88,7 +88,7 @@
         self._changed_at[name] = self._clock()
         if self._last_status.get(name) is not entry.status:
             self._last_status[name] = entry.status
-            decision(
+            log_decision(
                 'member_changed',
                 member=name,
                 status=entry.status.name.lower(),
--- a/src/cranecart/gossip/_protocol.py
+++ b/src/cranecart/gossip/_protocol.py
@@ -27,7 +27,7 @@
 from cranecart.gossip._list_exchange import ListExchange
 from cranecart.gossip._prober import Prober
 from cranecart.gossip._sender import GossipSender
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.transport import PeerTransport
 
 _SYNC_AFTER_MISMATCHES = 4
@@ -139,7 +139,7 @@
             await self._prober.probe_next()
 
     def _recover_from_pause(self) -> None:
-        decision('own_pause_noticed', node=self._members.node_id)
+        log_decision('own_pause_noticed', node=self._members.node_id)
         self._members.start_incarnation()
         self._members.restart_suspicion_timers()
         self._callbacks.on_paused()
--- a/src/cranecart/grouping/_failure_detector.py
+++ b/src/cranecart/grouping/_failure_detector.py
@@ -8,7 +8,7 @@
 from cranecart.clocks import since_boot
 from cranecart.fleet import Fleet, RecordState, ReplicaRecord
 from cranecart.grouping._liveness import LivenessCheck
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.ports import Incarnation, ListedInstance
 
 # An instance that is still listed this long after it was found lost is alive:
@@ -37,7 +37,7 @@
         """Schedule a check of a replica's members."""
         if record.name not in self._suspected:
             self._suspected[record.name] = record
-            decision(
+            log_decision(
                 'replica_doubted',
                 replica=record.name,
                 epoch=record.epoch,
@@ -49,7 +49,7 @@
         known = self._fleet.find_instance(name)
         incarnation = Incarnation(name) if known is None else known.incarnation
         if incarnation not in self._lost_at:
-            decision('instance_lost', instance=name, why=why)
+            log_decision('instance_lost', instance=name, why=why)
         self._lost_at[incarnation] = self._clock()
 
     def lost_instances(self) -> frozenset[str]:
--- a/src/cranecart/grouping/_formation.py
+++ b/src/cranecart/grouping/_formation.py
@@ -10,12 +10,12 @@
     OrderFencedError,
     OrderRefusedError,
     OrderUnknownError,
-    TargetClosedError,
     TargetGoneError,
+    TargetNotListeningError,
 )
 from cranecart.fleet import Fleet, RecordState, ReplicaRecord
 from cranecart.grouping._context import PlacerContext
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.ports import ListedInstance, MemberPhase
 
 # Interval between looks at the instance list while waiting for a step; the list
@@ -53,7 +53,7 @@
                 await self._open()
             await curio.sleep(_POLL_SECONDS)
         if self._is_wanted():
-            decision(
+            log_decision(
                 'replica_open',
                 replica=self.record.name,
                 epoch=self.record.epoch,
@@ -129,7 +129,7 @@
         except _ORDER_ERRORS as error:
             self._handle_failure(instance, 'join', error)
             return
-        decision(
+        log_decision(
             'ordered',
             order='join',
             instance=name,
@@ -151,7 +151,7 @@
         except _ORDER_ERRORS as error:
             self._handle_failure(head, 'open', error)
             return
-        decision(
+        log_decision(
             'ordered',
             order='open',
             instance=head.id,
@@ -165,7 +165,7 @@
         order: str,
         error: Exception,
     ) -> None:
-        decision(
+        log_decision(
             'order_failed',
             order=order,
             instance=instance.id,
@@ -178,14 +178,14 @@
                 # Orders are idempotent: send it again without waiting.
                 self._ordered_at.pop((order, instance.id), None)
                 self._context.report_suspect(self.record, str(error))
-            case TargetGoneError() | TargetClosedError():
+            case TargetGoneError() | TargetNotListeningError():
                 self._context.report_lost(instance.id, str(error))
             case OrderFencedError():
                 self._context.report_fenced(self.record, str(error))
 
 
 _ORDER_ERRORS = (
-    TargetClosedError,
+    TargetNotListeningError,
     OrderFencedError,
     OrderRefusedError,
     OrderUnknownError,
--- a/src/cranecart/grouping/_liveness.py
+++ b/src/cranecart/grouping/_liveness.py
@@ -12,7 +12,7 @@
 from cranecart.clocks import since_boot
 from cranecart.exceptions import ConnectFailedError
 from cranecart.http import HttpConnection
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.ports import ListedInstance
 
 # A live instance of the placer's own failure domain answers within some
@@ -108,7 +108,7 @@
             is_answered
             and took < _CONNECT_TIMEOUT_SECONDS + _MAX_SCHEDULING_DELAY_SECONDS,
         )
-        decision(
+        log_decision(
             'members_checked',
             instances=[instance.id for instance in members],
             silent=sorted(outcome.unresponsive),
--- a/src/cranecart/grouping/_placer.py
+++ b/src/cranecart/grouping/_placer.py
@@ -21,7 +21,7 @@
 from cranecart.grouping._transitions import Transition, required_transition
 from cranecart.grouping._warmer import Warmer
 from cranecart.leases import Lease
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.models import RouteConfig
 from cranecart.ports import Orders, Table
 
@@ -181,7 +181,7 @@
 
     def _note_failure(self, error: Exception) -> None:
         if not self._is_failing:
-            decision('placement_waits', why=str(error))
+            log_decision('placement_waits', why=str(error))
         self._is_failing = True
 
     async def _keep_lease(self) -> None:
--- a/src/cranecart/grouping/_plan_executor.py
+++ b/src/cranecart/grouping/_plan_executor.py
@@ -19,7 +19,7 @@
 from cranecart.grouping._stager import Stager
 from cranecart.grouping._transitions import Transition
 from cranecart.grouping._warmer import Warmer
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.models import EngineProfile, ServiceProfile
 
 
@@ -137,7 +137,7 @@
         # Loads before the first request take a tenth of the time.
         loads = new.cold_members if self._environment.has_traffic() else 0
         record = self._record_store.new_record(new, loads)
-        decision(
+        log_decision(
             'replica_chosen',
             replica=record.name,
             model=new.model,
--- a/src/cranecart/grouping/_record_store.py
+++ b/src/cranecart/grouping/_record_store.py
@@ -13,7 +13,7 @@
 )
 from cranecart.grouping._plan_types import NewReplica
 from cranecart.leases import Lease
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.ports import Put, Table, Transaction, era_of
 
 # Well below the limit of a hundred entries per transaction.
@@ -130,7 +130,7 @@
             await self.write(missing[start : start + _MAX_ROWS_PER_TRANSACTION])
         if missing:
             names = [record.name for record in missing]
-            decision('records_written_again', replicas=names)
+            log_decision('records_written_again', replicas=names)
 
     async def _delete_resurrected(
         self,
@@ -149,14 +149,14 @@
                 Transaction((self.lease.check(),), (), keys),
             )
         if resurrected:
-            decision('records_set_aside', rows=resurrected)
+            log_decision('records_set_aside', rows=resurrected)
 
     def _predates_restore(self, record: ReplicaRecord) -> bool:
         """Return whether a record was written before the last restore."""
         return era_of(record.version) < era_of(self.lease.version)
 
     def _log(self, record: ReplicaRecord, version: int) -> None:
-        decision(
+        log_decision(
             'placed',
             replica=record.name,
             epoch=record.epoch,
--- a/src/cranecart/grouping/_stager.py
+++ b/src/cranecart/grouping/_stager.py
@@ -10,7 +10,7 @@
 from cranecart.grouping._load_budget import LoadBudget
 from cranecart.grouping._plan_types import Staging, StagingUse
 from cranecart.leases import Lease
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.models import EngineProfile
 from cranecart.ports import Incarnation, ListedInstance, Orders
 
@@ -97,7 +97,7 @@
             return
         self._pending[instance.incarnation] = (self._clock(), staging.model)
         self._ordered_at[order] = self._clock()
-        decision(
+        log_decision(
             'staging',
             instance=instance.id,
             model=staging.model,
@@ -113,7 +113,7 @@
                 self._lease.fencing,
             )
         except OrderError as error:
-            decision(
+            log_decision(
                 'order_failed',
                 order='stage',
                 instance=staging.instance.id,
--- a/src/cranecart/grouping/_teardown.py
+++ b/src/cranecart/grouping/_teardown.py
@@ -25,7 +25,7 @@
 from cranecart.fleet import Fleet, RecordState, ReplicaRecord
 from cranecart.grouping._context import PlacerContext
 from cranecart.grouping._record_store import RecordStore
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.ports import ListedInstance, MemberPhase
 
 _RETRY_SECONDS = 0.1
@@ -201,7 +201,7 @@
         )
 
     def _log_failure(self, instance: ListedInstance, why: str) -> None:
-        decision(
+        log_decision(
             'order_failed',
             order='leave or close',
             instance=instance.id,
@@ -220,13 +220,13 @@
         try:
             await self._record_store.delete(self.record)
         except (PlatformError, LeaseLostError) as error:
-            decision(
+            log_decision(
                 'record_not_dropped',
                 replica=self.record.name,
                 why=str(error),
             )
             return False
-        decision(
+        log_decision(
             'members_free',
             replica=self.record.name,
             epoch=self.record.epoch,
--- a/src/cranecart/grouping/_warmer.py
+++ b/src/cranecart/grouping/_warmer.py
@@ -15,7 +15,7 @@
 from cranecart.exceptions import OrderError
 from cranecart.grouping._plan_types import Warming
 from cranecart.leases import Lease
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.ports import Incarnation, Orders
 
 # Longer than loading a staged model takes; then the list shows it.
@@ -48,7 +48,7 @@
             if now - at < _WARM_RETRY_SECONDS
         }
         self._ordered_at[incarnation] = now
-        decision('warming', instance=incarnation.id, model=warming.model)
+        log_decision('warming', instance=incarnation.id, model=warming.model)
         await curio.spawn(self._order, warming, daemon=True)
 
     async def _order(self, warming: Warming) -> None:
@@ -65,7 +65,7 @@
                 self._lease.fencing,
             )
         except OrderError as error:
-            decision(
+            log_decision(
                 'order_failed',
                 order='warm',
                 instance=instance.id,
--- a/src/cranecart/leases/_lease.py
+++ b/src/cranecart/leases/_lease.py
@@ -25,7 +25,7 @@
     WriteConflictError,
     WriteUnknownError,
 )
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.ports import (
     Check,
     Put,
@@ -33,7 +33,7 @@
     Table,
     Transaction,
     era_of,
-    version_in,
+    make_version,
 )
 
 _NO_ROW_VERSION = 0
@@ -158,18 +158,18 @@
                 ),
             )
         except PlatformError as error:
-            decision('duty_not_handed_over', duty=self.duty, why=str(error))
+            log_decision('duty_not_handed_over', duty=self.duty, why=str(error))
         else:
-            decision('duty_handed_over', duty=self.duty)
+            log_decision('duty_handed_over', duty=self.duty)
 
     async def _acquire(self) -> None:
         earlier = _decode(self._last_row) if self._last_row else None
-        fencing = version_in(self._table.era, 1)
+        fencing = make_version(self._table.era, 1)
         if earlier is not None:
             fencing = max(fencing, earlier.fencing + 1)
         await self._write(self._last_row, fencing)
         if self.is_held:
-            decision(
+            log_decision(
                 'duty_taken',
                 duty=self.duty,
                 fencing=fencing,
--- a/src/cranecart/limits/_admission.py
+++ b/src/cranecart/limits/_admission.py
@@ -8,7 +8,7 @@
 import attrs
 
 from cranecart.declarations import OrganisationSpec, Priority
-from cranecart.exceptions import LimitedError, OverloadedError
+from cranecart.exceptions import OverLimitError, OverloadedError
 from cranecart.limits._rates import TokenRateLimiter
 from cranecart.limits._shares import LimitShares
 
@@ -56,7 +56,7 @@
     ) -> Generator[None, None, None]:
         """Admit a call for as long as the context lasts.
 
-        Raise ``LimitedError`` or ``OverloadedError`` at once; never wait.
+        Raise ``OverLimitError`` or ``OverloadedError`` at once; never wait.
         """
         name = organisation.name
         self._shares.call_started(name)
@@ -83,7 +83,7 @@
     ) -> None:
         name = organisation.name
         if self._in_progress[name] >= self.allowance(organisation):
-            raise LimitedError(
+            raise OverLimitError(
                 f'{name} has reached its limit of concurrent requests'
             )
         limit = self._capacity.calls * self._capacity.fill[priority]
--- a/src/cranecart/limits/_rates.py
+++ b/src/cranecart/limits/_rates.py
@@ -6,7 +6,7 @@
 
 from cranecart.clocks import since_boot
 from cranecart.declarations import OrganisationSpec
-from cranecart.exceptions import LimitedError
+from cranecart.exceptions import OverLimitError
 
 _BURST_SECONDS = 4.0
 
@@ -26,7 +26,7 @@
     _buckets: dict[str, _Bucket] = attrs.field(factory=dict, init=False)
 
     def take(self, organisation: OrganisationSpec, tokens: int) -> None:
-        """Take tokens; raise ``LimitedError`` with the time to retry after.
+        """Take tokens; raise ``OverLimitError`` with the time to retry after.
 
         A call for more than a burst is admitted once the bucket is full, and
         its excess leaves the bucket in debt.
@@ -41,7 +41,7 @@
         bucket.refilled_at = now
         missing = min(tokens, burst) - bucket.tokens
         if missing > 0:
-            raise LimitedError(
+            raise OverLimitError(
                 f'{name} has exceeded its limit of tokens per second',
                 retry_after=missing / rate,
             )
--- a/src/cranecart/log_reading/__init__.py
+++ b/src/cranecart/log_reading/__init__.py
@@ -2,16 +2,16 @@
 
 from cranecart.log_reading._reading import (
     LogLine,
-    lines_about,
-    lines_about_held,
-    lines_around,
+    lines_about_target_ends,
+    lines_mentioning,
+    lines_with_context,
     read_lines,
 )
 
 __all__ = (
     'LogLine',
-    'lines_about',
-    'lines_about_held',
-    'lines_around',
+    'lines_mentioning',
+    'lines_about_target_ends',
+    'lines_with_context',
     'read_lines',
 )
--- a/src/cranecart/log_reading/_reading.py
+++ b/src/cranecart/log_reading/_reading.py
@@ -67,12 +67,12 @@
     )
 
 
-def lines_about(lines: Iterable[LogLine], wanted: str) -> list[LogLine]:
+def lines_mentioning(lines: Iterable[LogLine], wanted: str) -> list[LogLine]:
     """Return the decisions that name an id."""
     return [line for line in lines if line.names(wanted)]
 
 
-def lines_about_held(
+def lines_about_target_ends(
     lines: Iterable[LogLine],
     about: Iterable[LogLine],
 ) -> list[LogLine]:
@@ -88,7 +88,7 @@
     ]
 
 
-def lines_around(
+def lines_with_context(
     lines: Iterable[LogLine],
     about: list[LogLine],
 ) -> list[LogLine]:
--- a/src/cranecart/logs/__init__.py
+++ b/src/cranecart/logs/__init__.py
@@ -1,19 +1,19 @@
 """Structured logs: one JSON object a line, or text for people."""
 
-from cranecart.logs._decisions import decision
+from cranecart.logs._decisions import log_decision
 from cranecart.logs._lines import (
-    LineQueue,
+    LogQueue,
     RequestTrace,
     set_log_level,
-    set_up_lines,
+    set_up_log_queue,
 )
-from cranecart.logs._unreadable import UnreadableRows
+from cranecart.logs._unreadable import UnreadableRowLog
 
 __all__ = (
-    'LineQueue',
+    'LogQueue',
     'RequestTrace',
-    'UnreadableRows',
-    'decision',
+    'UnreadableRowLog',
+    'log_decision',
     'set_log_level',
-    'set_up_lines',
+    'set_up_log_queue',
 )
--- a/src/cranecart/logs/_decisions.py
+++ b/src/cranecart/logs/_decisions.py
@@ -5,6 +5,6 @@
 _DECISIONS = logging.getLogger('cranecart.decisions')
 
 
-def decision(event: str, **fields: object) -> None:
+def log_decision(event: str, **fields: object) -> None:
     """Log one routing or placement decision with its reason."""
     _DECISIONS.info(event, extra={'fields': {'event': event, **fields}})
--- a/src/cranecart/logs/_lines.py
+++ b/src/cranecart/logs/_lines.py
@@ -19,7 +19,7 @@
 _ENCODER = msgspec.json.Encoder(enc_hook=str)
 
 
-class LineQueue(logging.Handler):
+class LogQueue(logging.Handler):
     """Keeps lines until there is room for them; drops and counts the rest."""
 
     def __init__(self, node: str, file_descriptor: int) -> None:
@@ -60,11 +60,11 @@
         try:
             while True:
                 await curio.sleep(_FLUSH_SECONDS)
-                self.write_now()
+                self.write_queued()
         finally:
-            self.write_now()
+            self.write_queued()
 
-    def write_now(self) -> None:
+    def write_queued(self) -> None:
         """Write as much as standard output takes at once."""
         self._tell_of_drops()
         while self._lines and self._is_writable():
@@ -105,9 +105,9 @@
         view = view[os.write(descriptor, view) :]
 
 
-def set_up_lines(level: str, node: str) -> LineQueue:
+def set_up_log_queue(level: str, node: str) -> LogQueue:
     """Send all logs to a queue for standard output; return the queue."""
-    lines = LineQueue.to_standard_output(node)
+    lines = LogQueue.to_standard_output(node)
     root = logging.getLogger()
     root.handlers = [lines]
     set_log_level(level)
--- a/src/cranecart/logs/_unreadable.py
+++ b/src/cranecart/logs/_unreadable.py
@@ -5,7 +5,7 @@
 import attrs
 
 from cranecart.clocks import since_boot
-from cranecart.logs._decisions import decision
+from cranecart.logs._decisions import log_decision
 
 # Rows are named by whoever writes them, so that what is remembered is bounded.
 _MOST_REMEMBERED = 256
@@ -15,7 +15,7 @@
 
 
 @attrs.define
-class UnreadableRows:
+class UnreadableRowLog:
     """What was said last of each row that could not be read."""
 
     event: str
@@ -25,7 +25,7 @@
     _told: int = attrs.field(default=0, init=False)
     _left_out: int = attrs.field(default=0, init=False)
 
-    def note(self, key: str, why: str) -> None:
+    def report(self, key: str, why: str) -> None:
         """Log that a row cannot be read, unless that was said."""
         if self._said.get(key) == why:
             return
@@ -35,10 +35,10 @@
         if not self._has_room():
             self._left_out += 1
             return
-        decision(self.event, row=key, why=why, left_out=self._left_out)
+        log_decision(self.event, row=key, why=why, left_out=self._left_out)
         self._left_out = 0
 
-    def forget(self, key: str) -> None:
+    def mark_readable(self, key: str) -> None:
         """Take over that a row can be read, or has gone."""
         self._said.pop(key, None)
 
--- a/src/cranecart/mesh/_handler.py
+++ b/src/cranecart/mesh/_handler.py
@@ -3,7 +3,7 @@
 import attrs
 
 from cranecart.fleet import Extent
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.mesh._messages import (
     Beat,
     ConfigAsk,
@@ -139,7 +139,7 @@
             self._state.roster.remove_relay(beat.sender)
             return
         if not self._state.peer_state.has_sent_beat(beat.sender):
-            decision('peer_met', peer=beat.sender, address=beat.address)
+            log_decision('peer_met', peer=beat.sender, address=beat.address)
         if beat.via_relays:
             self._state.roster.enable_relays()
         peer = PeerNode(beat.address, beat.failure_domain)
--- a/src/cranecart/metrics.py
+++ b/src/cranecart/metrics.py
@@ -60,7 +60,7 @@
         if seconds is not None:
             self.first_token_ms.record(seconds * _MILLISECONDS)
 
-    def take_over(
+    def add_observed(
         self,
         outcomes: Mapping[str, int],
         first_bytes: Iterable[float],
--- a/src/cranecart/models/_timing.py
+++ b/src/cranecart/models/_timing.py
@@ -33,7 +33,7 @@
         )
         return self.steps_a_pass * step
 
-    def reading_seconds(self, prompt_tokens: float) -> float:
+    def prompt_seconds(self, prompt_tokens: float) -> float:
         """Return how long a prompt keeps an engine from writing."""
         pairs = prompt_tokens * prompt_tokens / 2
         return prompt_tokens / self.prompt_rate + self.pair_seconds * pairs
@@ -50,4 +50,4 @@
         one is waited for by all.
         """
         writing = events * self.pass_seconds(slots) / slots
-        return writing + self.reading_seconds(prompt_tokens)
+        return writing + self.prompt_seconds(prompt_tokens)
--- a/src/cranecart/native/_client.py
+++ b/src/cranecart/native/_client.py
@@ -10,7 +10,7 @@
 
 from cranecart.exceptions import (
     ConnectFailedError,
-    DamagedObjectError,
+    CorruptObjectError,
     HttpError,
     PlatformUnavailableError,
     WriteConflictError,
@@ -138,10 +138,10 @@
         return name
 
     async def get_object(self, name: str) -> bytes:
-        """Read bytes by checksum; raise ``DamagedObjectError`` on mismatch."""
+        """Read bytes by checksum; raise ``CorruptObjectError`` on mismatch."""
         response = await self._get(f'/objects/{name}')
         if hashlib.sha256(response.body).hexdigest() != name:
-            raise DamagedObjectError(
+            raise CorruptObjectError(
                 f'the content of object {name} does not match its checksum'
             )
         return response.body
--- a/src/cranecart/node/_node.py
+++ b/src/cranecart/node/_node.py
@@ -8,12 +8,12 @@
 
 from cranecart.claims import ClaimStore
 from cranecart.client_api import Gateway
-from cranecart.clocks import awake, since_boot
+from cranecart.clocks import awake_seconds, since_boot
 from cranecart.gossip import Topic
 from cranecart.http import HttpServer
 from cranecart.instances import Instance, InstanceKind
 from cranecart.limits import Admission, Capacity, LimitShares, TokenRateLimiter
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.metrics import Metrics
 from cranecart.native import PlatformClient, WriteBatcher
 from cranecart.node._control_plane import ControlPlane
@@ -54,7 +54,7 @@
         self._config = ActiveConfig()
         self._reports = ReportRegistry(settings.node_id)
         random_source = random.Random(f'{settings.seed}{settings.node_id}')
-        self._platform = PlatformClient(settings.platform)
+        self._platform = PlatformClient(settings.platform_endpoint)
         platform = self._platform
         self._directory = TargetDirectory(
             settings.failure_domain, self._reports
@@ -103,9 +103,11 @@
             self._metrics.observe_request,
             self._guard,
         )
-        self._client_server = HttpServer(settings.clients, gateway.handle)
+        self._client_server = HttpServer(
+            settings.client_listen_address, gateway.handle
+        )
         self._admin_server = HttpServer(
-            settings.operators,
+            settings.operator_listen_address,
             self._control_plane.admin(
                 self._is_ready,
                 self._status,
@@ -130,12 +132,12 @@
             await tasks.spawn(self._wait_for_stop, stop)
         self._peering.close()
         raise_first_error(tasks)
-        decision('node_stopped', node=self._settings.node_id)
+        log_decision('node_stopped', node=self._settings.node_id)
 
     async def _wait_for_stop(self, stop: StopSignal) -> None:
         await stop.wait()
         self._is_stopping = True
-        decision('node_stopping', in_flight=self._admission.in_progress)
+        log_decision('node_stopping', in_flight=self._admission.in_progress)
         self._peering.state.stop()
         await self._control_plane.hand_over()
         # The load balancer needs some time to notice that the node is not ready.
@@ -147,9 +149,9 @@
 
     async def _measure_loop_lateness(self) -> None:
         while True:
-            due = awake() + _LATENESS_INTERVAL_SECONDS
+            due = awake_seconds() + _LATENESS_INTERVAL_SECONDS
             await curio.sleep(_LATENESS_INTERVAL_SECONDS)
-            lateness = awake() - due
+            lateness = awake_seconds() - due
             self._metrics.loop_lateness_ms.record(lateness * _MILLISECONDS)
 
     async def _refresh_guard(self) -> None:
--- a/src/cranecart/node/_peering.py
+++ b/src/cranecart/node/_peering.py
@@ -64,7 +64,9 @@
         )
         members = Members(
             settings.node_id,
-            MemberInfo(settings.reached_at, settings.failure_domain),
+            MemberInfo(
+                settings.reachable_peer_address, settings.failure_domain
+            ),
             store,
             # After a restart, the node has to supersede its earlier incarnation.
             int(time.time() * _MILLISECONDS),
--- a/src/cranecart/operators/_client.py
+++ b/src/cranecart/operators/_client.py
@@ -26,7 +26,7 @@
 
 
 @attrs.frozen
-class Declared:
+class DeclaredVersion:
     """A version and what it declares, if there is one."""
 
     version: int
@@ -48,10 +48,10 @@
         """Return the history, oldest first."""
         return await self._get('/v1/changes', list[Change])
 
-    async def declared(self, version: int | None = None) -> Declared:
+    async def declared(self, version: int | None = None) -> DeclaredVersion:
         """Return what a version declares, the newest if none is named."""
         query = '' if version is None else f'?version={version}'
-        return await self._get(f'/v1/declarations{query}', Declared)
+        return await self._get(f'/v1/declarations{query}', DeclaredVersion)
 
     async def apply(
         self,
--- a/src/cranecart/placement/_placer.py
+++ b/src/cranecart/placement/_placer.py
@@ -14,7 +14,7 @@
 )
 from cranecart.instances import Instance, InstanceKind
 from cranecart.leases import Lease
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.native import PlatformClient
 from cranecart.placement._actions import Action, Order
 from cranecart.placement._plan import plan, plan_orders
@@ -50,7 +50,7 @@
                 await self._tick(current())
             except (PlatformError, LeaseLostError) as error:
                 # The next tick reads the current state and decides again.
-                decision('placement_waits', why=str(error))
+                log_decision('placement_waits', why=str(error))
             await curio.sleep(_TICK_SECONDS)
         # Returning would end the node, which stops when it is ready to.
         await curio.Event().wait()
@@ -123,7 +123,7 @@
     async def _execute(self, action: Action, rows: PlacementRows) -> None:
         transaction = rows.transaction(action, self.lease.check())
         await self._platform.commit(transaction)
-        decision(
+        log_decision(
             'placed',
             action=type(action).__name__,
             replica=action.row.id,
@@ -164,9 +164,11 @@
                 self.lease.fencing,
             )
         except TargetError as error:
-            decision('order_failed', instance=order.instance.id, why=str(error))
+            log_decision(
+                'order_failed', instance=order.instance.id, why=str(error)
+            )
             return
-        decision(
+        log_decision(
             'ordered',
             instance=order.instance.id,
             replica=report.replica,
--- a/src/cranecart/platform/__init__.py
+++ b/src/cranecart/platform/__init__.py
@@ -1,6 +1,6 @@
 """The adapter for the users' platform: translates, but takes no decisions."""
 
-from cranecart.platform._calls import PlatformCallForm
+from cranecart.platform._calls import PlatformCallTranslator
 from cranecart.platform._config_source import PlatformConfigSource
 from cranecart.platform._orders import PlatformOrders
 from cranecart.platform._store import StoreClient
@@ -8,11 +8,12 @@
 from cranecart.platform._targets import PlatformTargetList
 
 __all__ = (
-    'PlatformCallForm',
+    'PlatformCallTranslator',
     'PlatformConfigSource',
     'PlatformOrders',
     'PlatformRowSource',
     'PlatformTable',
     'PlatformTargetList',
     'StoreClient',
+    'PlatformCallTranslator',
 )
--- a/src/cranecart/platform/_calls.py
+++ b/src/cranecart/platform/_calls.py
@@ -13,7 +13,7 @@
     json_response,
 )
 from cranecart.platform._load_headers import with_load_headers
-from cranecart.ports import AnswerFacts, CallFacts, Dispatch
+from cranecart.ports import Dispatch, RequestInfo, ResponseInfo
 
 _MILLISECONDS = 1000
 _REQUEST_ID = 'request-id'
@@ -60,14 +60,14 @@
 
 
 @attrs.frozen
-class PlatformCallForm:
+class PlatformCallTranslator:
     """Reads and writes the headers of calls on the platform."""
 
-    def read_request(self, request: Request) -> CallFacts:
+    def read_request(self, request: Request) -> RequestInfo:
         """Read a client's request; raise ``InvalidRequestError``."""
         headers = request.headers
         prompt_tokens, max_tokens = _token_usage(headers.get(_TOKEN_USAGE, ''))
-        return CallFacts(
+        return RequestInfo(
             headers.get(_REQUEST_ID, ''),
             headers.get('host', ''),
             _bearer_key(headers.get('authorization', '')),
@@ -91,10 +91,10 @@
             header_lines=(*kept, *_dispatch_lines(request, dispatch)),
         )
 
-    def read_answer(self, head: ResponseHead) -> AnswerFacts:
+    def read_response(self, head: ResponseHead) -> ResponseInfo:
         """Read the head of a target's answer."""
         headers = head.headers
-        facts = AnswerFacts(
+        facts = ResponseInfo(
             headers.get(_REQUEST_ID, ''),
             _SIGNATURE in headers,
             _NOT_RUN in headers or head.status == _MISDIRECTED,
@@ -102,14 +102,14 @@
         )
         return with_load_headers(facts, head)
 
-    def answer_lines(self, head: ResponseHead) -> HeaderLines:
+    def response_headers(self, head: ResponseHead) -> HeaderLines:
         """Return the headers of a target's answer to forward to the client."""
         dropped = _HOP_BY_HOP_HEADERS | _named_by_connection(head.headers)
         return tuple(
             line for line in head.header_lines if line[0] not in dropped
         )
 
-    def refusal(
+    def error_response(
         self,
         request_id: str,
         status: int,
--- a/src/cranecart/platform/_era.py
+++ b/src/cranecart/platform/_era.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 
 _HEADER = 'store-era'
 # No store is restored a billion times; longer numbers are no valid era.
@@ -35,7 +35,7 @@
         if era is None:
             return self.current
         if self._current is not None and era > self._current:
-            decision('store_restored', earlier=self._current, era=era)
+            log_decision('store_restored', earlier=self._current, era=era)
         self._current = max(era, self.current)
         return era
 
--- a/src/cranecart/platform/_load_headers.py
+++ b/src/cranecart/platform/_load_headers.py
@@ -5,7 +5,7 @@
 import attrs
 
 from cranecart.http import ResponseHead
-from cranecart.ports import AnswerFacts
+from cranecart.ports import ResponseInfo
 
 _LIMIT = 'server-limit'
 _LEAVING = 'server-leaving'
@@ -24,7 +24,7 @@
 _MAX_LOGGED_CHARACTERS = 40
 
 
-def with_load_headers(facts: AnswerFacts, head: ResponseHead) -> AnswerFacts:
+def with_load_headers(facts: ResponseInfo, head: ResponseHead) -> ResponseInfo:
     """Add a target's limit, back-off and leaving from its answer."""
     if _LIMIT in head.headers:
         facts = _with_limit(facts, head)
@@ -35,14 +35,16 @@
     return facts
 
 
-def _with_backoff(facts: AnswerFacts, head: ResponseHead) -> AnswerFacts:
+def _with_backoff(facts: ResponseInfo, head: ResponseHead) -> ResponseInfo:
     backoff = _decimal_value(head, _RETRY_AFTER)
     if backoff is None:
         return _with_unreadable(facts, head, _RETRY_AFTER)
-    return attrs.evolve(facts, rest_seconds=min(backoff, _MAX_BACKOFF_SECONDS))
+    return attrs.evolve(
+        facts, backoff_seconds=min(backoff, _MAX_BACKOFF_SECONDS)
+    )
 
 
-def _with_leaving(facts: AnswerFacts, head: ResponseHead) -> AnswerFacts:
+def _with_leaving(facts: ResponseInfo, head: ResponseHead) -> ResponseInfo:
     if {value.strip() for value in _header_values(head, _LEAVING)} != {
         _IS_LEAVING
     }:
@@ -50,7 +52,7 @@
     return attrs.evolve(facts, is_leaving=True)
 
 
-def _with_limit(facts: AnswerFacts, head: ResponseHead) -> AnswerFacts:
+def _with_limit(facts: ResponseInfo, head: ResponseHead) -> ResponseInfo:
     limit = _decimal_value(head, _LIMIT)
     if limit is None:
         return _with_unreadable(facts, head, _LIMIT)
@@ -67,10 +69,10 @@
 
 
 def _with_unreadable(
-    facts: AnswerFacts,
+    facts: ResponseInfo,
     head: ResponseHead,
     name: str,
-) -> AnswerFacts:
+) -> ResponseInfo:
     header_values = ', '.join(_header_values(head, name))
     description = f'{name}: {header_values[:_MAX_LOGGED_CHARACTERS]}'
     return attrs.evolve(facts, unreadable=(*facts.unreadable, description))
--- a/src/cranecart/platform/_orders.py
+++ b/src/cranecart/platform/_orders.py
@@ -13,8 +13,8 @@
     OrderFencedError,
     OrderRefusedError,
     OrderUnknownError,
-    TargetClosedError,
     TargetGoneError,
+    TargetNotListeningError,
 )
 from cranecart.http import HttpConnectionPool, Request, exchange
 from cranecart.ports import ListedInstance
@@ -176,9 +176,9 @@
 def _connect_error(
     instance: ListedInstance,
     error: ConnectFailedError,
-) -> OrderUnknownError | TargetClosedError:
+) -> OrderUnknownError | TargetNotListeningError:
     if isinstance(error.__cause__, ConnectionRefusedError):
-        return TargetClosedError(f'{instance.id}: connection refused')
+        return TargetNotListeningError(f'{instance.id}: connection refused')
     return OrderUnknownError(f'{instance.id}: {error}')
 
 
--- a/src/cranecart/platform/_store.py
+++ b/src/cranecart/platform/_store.py
@@ -16,14 +16,14 @@
     ConnectFailedError,
     HistoryLostError,
     HttpError,
-    PlatformSilentError,
+    PlatformTimeoutError,
     PlatformUnavailableError,
     WriteConflictError,
     WriteUnknownError,
 )
 from cranecart.http import Address, HttpConnectionPool, Request, Response
 from cranecart.platform._era import StoreEra
-from cranecart.ports import era_of, number_of, version_in
+from cranecart.ports import era_of, make_version, store_number_of
 
 Message = TypeVar('Message')
 
@@ -72,9 +72,9 @@
 
     def add_era(self, era: int) -> 'WireRows':
         """Add the era to all versions; return the rows."""
-        self.schema_version = version_in(era, self.schema_version)
+        self.schema_version = make_version(era, self.schema_version)
         for row in self.rows:
-            row.schema_version = version_in(era, row.schema_version)
+            row.schema_version = make_version(era, row.schema_version)
         return self
 
 
@@ -142,7 +142,7 @@
             raise HistoryLostError(_RESTORED_STORE)
         query = {
             'tableName': table,
-            'sinceRevision': number_of(since),
+            'sinceRevision': store_number_of(since),
             'waitMs': round(wait_seconds * _MILLISECONDS),
         }
         timeout_seconds = wait_seconds + _POLL_MARGIN_SECONDS
@@ -172,7 +172,9 @@
         era = self._era.record(response.headers)
         if era < self.era:
             raise WriteUnknownError(_STALE_ANSWER)
-        return version_in(era, _decode(response, _WireCommitted).schema_version)
+        return make_version(
+            era, _decode(response, _WireCommitted).schema_version
+        )
 
     async def _read_page(
         self, table: str, part: str, start_key: str
@@ -219,7 +221,7 @@
         try:
             return await self._exchange(request, timeout_seconds)
         except TaskTimeout as error:
-            raise PlatformSilentError(f'{path}: {error!r}') from error
+            raise PlatformTimeoutError(f'{path}: {error!r}') from error
         except HttpError as error:
             raise PlatformUnavailableError(f'{path}: {error!r}') from error
 
--- a/src/cranecart/platform/_tables.py
+++ b/src/cranecart/platform/_tables.py
@@ -16,7 +16,7 @@
     Snapshot,
     Transaction,
     era_of,
-    number_of,
+    store_number_of,
 )
 
 
@@ -111,7 +111,7 @@
         'expectedRevision': [
             {
                 **_row_address(check.key),
-                'schemaVersion': number_of(check.version),
+                'schemaVersion': store_number_of(check.version),
             }
             for check in transaction.checks
         ],
--- a/src/cranecart/platform/_targets.py
+++ b/src/cranecart/platform/_targets.py
@@ -8,7 +8,7 @@
 
 from cranecart.exceptions import PlatformUnavailableError
 from cranecart.http import Address
-from cranecart.logs import UnreadableRows
+from cranecart.logs import UnreadableRowLog
 from cranecart.platform._store import StoreClient, WireRow, decode_row
 from cranecart.platform._wire_config import whole_number
 from cranecart.ports import (
@@ -65,8 +65,8 @@
     """The instance list as a source to follow."""
 
     _store: StoreClient
-    _unreadable: UnreadableRows = attrs.field(
-        factory=functools.partial(UnreadableRows, 'list_entry_unreadable'),
+    _unreadable: UnreadableRowLog = attrs.field(
+        factory=functools.partial(UnreadableRowLog, 'list_entry_unreadable'),
     )
 
     async def snapshot(self) -> Snapshot[ListedInstance]:
@@ -103,9 +103,9 @@
             wire = decode_row(row, WireInstance)
             instance = _decode_instance(row.key_file, wire)
         except (PlatformUnavailableError, ValueError) as error:
-            self._unreadable.note(row.key_file, str(error))
+            self._unreadable.report(row.key_file, str(error))
             return None
-        self._unreadable.forget(row.key_file)
+        self._unreadable.mark_readable(row.key_file)
         return instance
 
 
--- a/src/cranecart/ports/__init__.py
+++ b/src/cranecart/ports/__init__.py
@@ -4,7 +4,12 @@
 deployment's platform implement them.
 """
 
-from cranecart.ports._calls import AnswerFacts, CallFacts, CallForm, Dispatch
+from cranecart.ports._calls import (
+    CallTranslator,
+    Dispatch,
+    RequestInfo,
+    ResponseInfo,
+)
 from cranecart.ports._listed import (
     Changes,
     Incarnation,
@@ -16,12 +21,12 @@
     Source,
 )
 from cranecart.ports._table import Check, Put, Row, Table, Transaction
-from cranecart.ports._versions import era_of, number_of, version_in
+from cranecart.ports._versions import era_of, make_version, store_number_of
 
 __all__ = (
-    'AnswerFacts',
-    'CallFacts',
-    'CallForm',
+    'ResponseInfo',
+    'RequestInfo',
+    'CallTranslator',
     'Changes',
     'Check',
     'Dispatch',
@@ -37,7 +42,7 @@
     'Table',
     'Transaction',
     'era_of',
-    'number_of',
-    'version_in',
+    'store_number_of',
+    'make_version',
     'Incarnation',
 )
--- a/src/cranecart/ports/_calls.py
+++ b/src/cranecart/ports/_calls.py
@@ -8,7 +8,7 @@
 
 
 @attrs.frozen
-class CallFacts:
+class RequestInfo:
     """What a client's request says about itself.
 
     ``deadline_seconds`` is how long the client waits, ``resume_after`` the
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen
-class AnswerFacts:
+class ResponseInfo:
     """What a target's answer says about itself.
 
     ``not_run`` holds only where the target itself promises it;
@@ -50,29 +50,29 @@
     request_id: str
     is_genuine: bool
     not_run: bool
-    at_fault: str = ''
+    failed_instance: str = ''
     limit: float | None = None
-    rest_seconds: float | None = None
+    backoff_seconds: float | None = None
     is_leaving: bool = False
     unreadable: tuple[str, ...] = ()
 
 
-class CallForm(Protocol):
+class CallTranslator(Protocol):
     """Translates calls between clients, the product and targets."""
 
-    def read_request(self, request: Request) -> CallFacts:
+    def read_request(self, request: Request) -> RequestInfo:
         """Read a client's request; raise ``InvalidRequestError``."""
 
     def request_for(self, request: Request, dispatch: Dispatch) -> Request:
         """Return the request as a target gets it."""
 
-    def read_answer(self, head: ResponseHead) -> AnswerFacts:
+    def read_response(self, head: ResponseHead) -> ResponseInfo:
         """Read the head of a target's answer."""
 
-    def answer_lines(self, head: ResponseHead) -> HeaderLines:
+    def response_headers(self, head: ResponseHead) -> HeaderLines:
         """Return the headers of a target's answer that a client gets."""
 
-    def refusal(
+    def error_response(
         self,
         request_id: str,
         status: int,
--- a/src/cranecart/ports/_listed.py
+++ b/src/cranecart/ports/_listed.py
@@ -30,7 +30,7 @@
     rank: int
     phase: MemberPhase
 
-    def is_of(self, replica: str, epoch: int) -> bool:
+    def belongs_to(self, replica: str, epoch: int) -> bool:
         """Tell whether this is a membership of one forming of a replica."""
         return self.replica == replica and self.epoch == epoch
 
@@ -47,7 +47,7 @@
     id: str
     born: int = 0
 
-    def is_another(self, incarnation: 'Incarnation') -> bool:
+    def differs_from(self, incarnation: 'Incarnation') -> bool:
         """Tell whether two incarnations are known to be different."""
         return (
             bool(self.born and incarnation.born)
@@ -83,7 +83,7 @@
     def phase_in(self, replica: str, epoch: int) -> MemberPhase | None:
         """Return how far it has come in a replica, if it is a member."""
         found = self.membership
-        if found is None or not found.is_of(replica, epoch):
+        if found is None or not found.belongs_to(replica, epoch):
             return None
         return found.phase
 
@@ -127,7 +127,7 @@
 
     Each returns once the instance took the order or already follows it.
     Each raises ``OrderRefusedError``, ``OrderUnknownError`` where it may
-    have been taken or may be carried out later, ``TargetClosedError``, or
+    have been taken or may be carried out later, ``TargetNotListeningError``, or
     ``TargetGoneError``.
     """
 
--- a/src/cranecart/ports/_versions.py
+++ b/src/cranecart/ports/_versions.py
@@ -9,7 +9,7 @@
 _NUMBERS = 1_000_000_000_000
 
 
-def version_in(era: int, number: int) -> int:
+def make_version(era: int, number: int) -> int:
     """Return the version of what an era's store gave a number."""
     return era * _NUMBERS + number
 
@@ -19,6 +19,6 @@
     return version // _NUMBERS
 
 
-def number_of(version: int) -> int:
+def store_number_of(version: int) -> int:
     """Return a version's number as the store knows it."""
     return version % _NUMBERS
--- a/src/cranecart/quarantine/_guard.py
+++ b/src/cranecart/quarantine/_guard.py
@@ -13,8 +13,11 @@
 import attrs
 
 from cranecart.clocks import since_boot
-from cranecart.exceptions import HeldError, TargetDisconnectedError
-from cranecart.logs import decision
+from cranecart.exceptions import (
+    QuarantinedRequestError,
+    TargetDisconnectedError,
+)
+from cranecart.logs import log_decision
 from cranecart.ports import Incarnation
 from cranecart.quarantine._cases import (
     CaseRegistry,
@@ -108,7 +111,7 @@
     ) -> Collection[str]:
         """Return the instances that a request should avoid.
 
-        Raise ``HeldError`` if the request is held. The identity is computed
+        Raise ``QuarantinedRequestError`` if the request is held. The identity is computed
         only if there is something to compare it with.
         """
         if self.cases.is_empty:
@@ -117,7 +120,7 @@
         verdict = self.cases.verdict(digest)
         if verdict is Verdict.HELD:
             self.refusals += 1
-            raise HeldError(self._hold_reason(digest))
+            raise QuarantinedRequestError(self._hold_reason(digest))
         is_suspect = verdict in _SUSPECT_VERDICTS
         return (self._suspects if is_suspect else self._isolated).keys()
 
@@ -173,7 +176,7 @@
         self.cases.merge(update, is_own=True)
         self._publish_case(update.identity)
         if len(update.cleared) > 1:
-            decision('request_cleared', identity=update.identity)
+            log_decision('request_cleared', identity=update.identity)
 
     def merge_remote(self, update: CaseUpdate, sender: str) -> bool:
         """Merge another node's update; return whether it was new."""
@@ -257,7 +260,7 @@
         case = self.cases.find(identity)
         if case is None:
             return
-        decision(
+        log_decision(
             'target_ended',
             identity=identity,
             instance=incarnation and incarnation.id,
--- a/src/cranecart/quarantine/_rows.py
+++ b/src/cranecart/quarantine/_rows.py
@@ -9,12 +9,12 @@
 from cranecart.clocks import since_boot
 from cranecart.exceptions import PlatformError
 from cranecart.fleet import RECORDS_PART, RECORDS_TABLE
-from cranecart.logs import UnreadableRows, decision
+from cranecart.logs import UnreadableRowLog, log_decision
 from cranecart.ports import Put, Row, Table, Transaction
 from cranecart.quarantine._cases import Case, CaseRegistry, CaseUpdate
 
 _PREFIX = f'{RECORDS_TABLE}/{RECORDS_PART}/held/'
-_UNREADABLE = UnreadableRows('held_row_unreadable')
+_UNREADABLE = UnreadableRowLog('held_row_unreadable')
 # The node that saw the deciding termination writes at once. If it fails, any
 # other node writes once the row would long have been read.
 _TAKEOVER_SECONDS = 2.0
@@ -62,10 +62,10 @@
     try:
         update = msgspec.json.decode(row.value, type=_Value).news
     except (msgspec.MsgspecError, RecursionError) as error:
-        _UNREADABLE.note(row.key, str(error))
+        _UNREADABLE.report(row.key, str(error))
         return None
     if held_key(update.identity) != row.key:
-        _UNREADABLE.note(
+        _UNREADABLE.report(
             row.key, 'the identity in the row differs from the one in its key'
         )
         return None
@@ -153,7 +153,9 @@
         try:
             await self._table.commit(transaction)
         except PlatformError as error:
-            decision('held_not_written', requests=len(cases), why=str(error))
+            log_decision(
+                'held_not_written', requests=len(cases), why=str(error)
+            )
             return
         for case in cases:
             self._written.add(case.identity)
@@ -200,4 +202,4 @@
         update = self._cases.clearing_update(identity)
         if update is not None:
             self._cases.merge(update, is_own=False)
-            decision('request_released', identity=identity)
+            log_decision('request_released', identity=identity)
--- a/src/cranecart/rollout/_active_config.py
+++ b/src/cranecart/rollout/_active_config.py
@@ -5,8 +5,8 @@
 import attrs
 
 from cranecart.declarations import Declarations, compiled_from_json
-from cranecart.exceptions import DamagedObjectError
-from cranecart.logs import decision
+from cranecart.exceptions import CorruptObjectError
+from cranecart.logs import log_decision
 
 
 @attrs.frozen
@@ -45,25 +45,25 @@
     def activate(self, release: Release, encoded: bytes) -> bool:
         """Activate a release if it is newer; return whether it was activated.
 
-        Raise ``DamagedObjectError`` if ``encoded`` does not match its checksum
+        Raise ``CorruptObjectError`` if ``encoded`` does not match its checksum
         or cannot be decoded.
         """
         if release.version <= self._release.version:
             return False
         if hashlib.sha256(encoded).hexdigest() != release.sha256:
-            raise DamagedObjectError(
+            raise CorruptObjectError(
                 f'configuration version {release.version} does not match its checksum',
             )
         try:
             declarations = compiled_from_json(encoded)
         except ValueError as error:
-            raise DamagedObjectError(
+            raise CorruptObjectError(
                 f'configuration version {release.version} cannot be decoded: {error}',
             ) from error
         self._release = release
         self._encoded = encoded
         self._declarations = declarations
-        decision(
+        log_decision(
             'config_in_force',
             version=release.version,
             sha256=release.sha256,
--- a/src/cranecart/routing/_router.py
+++ b/src/cranecart/routing/_router.py
@@ -20,7 +20,7 @@
 )
 from cranecart.exceptions import NoReplicaError, OverloadedError
 from cranecart.fleet import Fleet, ServingHead
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.models import EngineProfile, RouteConfig
 from cranecart.ports import Incarnation, ListedInstance
 from cranecart.routing._availability import (
@@ -173,7 +173,7 @@
         is_new = not self._ejection.is_ejected(incarnation)
         self._ejection.record_failure(incarnation, reached=False)
         if is_new:
-            decision(
+            log_decision(
                 'target_passed_over', instance=incarnation.id, by='this node'
             )
             self._report_broken(incarnation)
@@ -181,7 +181,7 @@
     def eject_reported(self, incarnation: Incarnation) -> None:
         """Eject an instance that broke another node's connection."""
         if not self._ejection.is_ejected(incarnation):
-            decision(
+            log_decision(
                 'target_passed_over', instance=incarnation.id, by='another node'
             )
         self._ejection.eject_reported(incarnation)
--- a/src/cranecart/selection/_router.py
+++ b/src/cranecart/selection/_router.py
@@ -9,11 +9,11 @@
 
 from cranecart.exceptions import (
     NoReplicaError,
-    TargetBrokenError,
-    TargetNotReachedError,
+    TargetFailedError,
+    TargetUnreachableError,
 )
 from cranecart.instances import Instance
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.routing import OutlierEjection
 from cranecart.selection._policies import Policy, PrefixAffinity, choose
 from cranecart.targets import (
@@ -63,7 +63,7 @@
             self._random,
         )
         chosen = choice.replica
-        decision(
+        log_decision(
             'routed',
             request=call.request_id,
             organisation=call.organisation,
@@ -99,7 +99,7 @@
         preferred = local or candidates
         sampled = self._random.sample(preferred, min(2, len(preferred)))
         chosen = min(sampled, key=lambda instance: self._in_flight[instance.id])
-        decision(
+        log_decision(
             'routed',
             request=call.request_id,
             organisation=call.organisation,
@@ -116,7 +116,7 @@
         self._in_flight[name] += 1
         try:
             yield
-        except (TargetNotReachedError, TargetBrokenError):
+        except (TargetUnreachableError, TargetFailedError):
             self._ejection.record_failure(name)
             raise
         finally:
--- a/src/cranecart/serving/_active_config.py
+++ b/src/cranecart/serving/_active_config.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.models import RouteConfig
 
 
@@ -58,7 +58,7 @@
     def _activate(self, config: RouteConfig, source: str) -> None:
         known = self._config.version if self._config else 0
         self._config = config
-        decision(
+        log_decision(
             'config_in_force',
             version=config.version,
             earlier=known,
--- a/src/cranecart/serving/_endpoints.py
+++ b/src/cranecart/serving/_endpoints.py
@@ -66,7 +66,7 @@
             new_metrics: Metrics = importlib.import_module(
                 'cranecart.metrics'
             ).Metrics()
-            new_metrics.take_over(self._outcomes, self._first_byte_seconds)
+            new_metrics.add_observed(self._outcomes, self._first_byte_seconds)
             self._metrics = new_metrics
         return self._metrics
 
--- a/src/cranecart/serving/_node.py
+++ b/src/cranecart/serving/_node.py
@@ -20,7 +20,7 @@
     Request,
     Responder,
 )
-from cranecart.logs import LineQueue, decision, set_log_level
+from cranecart.logs import LogQueue, log_decision, set_log_level
 from cranecart.mesh import Broken, Mesh, MeshCallbacks, Stopped, Suspect
 from cranecart.models import ClientLimits, RouteConfig
 from cranecart.retries import SharedRetryBudget
@@ -62,7 +62,7 @@
     """Builds, connects and runs the components of one node process."""
 
     def __init__(
-        self, live_settings: LiveSettings, log_queue: LineQueue
+        self, live_settings: LiveSettings, log_queue: LogQueue
     ) -> None:
         """Build the components; nothing runs until ``run``."""
         settings = live_settings.current
@@ -150,7 +150,7 @@
 
     async def run(self) -> None:
         """Serve until a stop signal, then let running requests finish."""
-        decision(
+        log_decision(
             'node_started',
             failure_domain=self._live_settings.current.failure_domain,
             first_start=self._live_settings.current.first_start,
@@ -172,8 +172,8 @@
             await tasks.spawn(self._wait_for_stop, stop)
         self._mesh.close()
         raise_first_error(tasks)
-        decision('node_stopped')
-        self._log_queue.write_now()
+        log_decision('node_stopped')
+        self._log_queue.write_queued()
 
     def _make_mesh(self) -> Mesh:
         callbacks = MeshCallbacks(
@@ -223,7 +223,7 @@
 
     def _record_demand(self, call: RoutedCall) -> None:
         if call.facts.model:
-            self._demand_meter.note_request(call.facts.model)
+            self._demand_meter.record_request(call.facts.model)
 
     def _record_work(self, call: RoutedCall, events: int) -> None:
         facts = call.facts
@@ -236,17 +236,17 @@
             facts.prompt_tokens,
             engine.slots,
         )
-        self._demand_meter.note_work(facts.model, work * model.pace)
+        self._demand_meter.record_work(facts.model, work * model.pace)
 
     async def _run_housekeeping(self) -> None:
         iteration = 0
         while True:
             iteration += 1
             await curio.sleep(_HOUSEKEEPING_SECONDS)
-            if self._live_settings.look():
+            if self._live_settings.reload_if_changed():
                 self._apply_settings()
             if iteration % _COUNTER_LOG_ITERATIONS == 0:
-                decision('figures', **self._counters())
+                log_decision('figures', **self._counters())
             self._fleet.process_timeouts()
             listed_incarnations = self._fleet.instance_list.incarnations()
             await self._target_connections.close_expired(listed_incarnations)
@@ -261,7 +261,9 @@
         suspended_seconds = self._suspension_watch.slept_seconds()
         if suspended_seconds:
             # The clock of leases, deadlines and ages goes on during suspension.
-            decision('node_was_suspended', seconds=round(suspended_seconds, 3))
+            log_decision(
+                'node_was_suspended', seconds=round(suspended_seconds, 3)
+            )
         self._mesh.local.placer_domain = self._placer_host.held_failure_domain
         self._mesh.local.source_versions = self._followers.announced_versions()
         self._mesh.local.demand = {
@@ -283,7 +285,7 @@
         stopping_since = since_boot()
         self._is_stopping = True
         self._mesh.local.stopping = True
-        decision('node_stopping', in_flight=self._gateway.in_flight)
+        log_decision('node_stopping', in_flight=self._gateway.in_flight)
         self._client_server.disable_keep_alive()
         await self._placer_host.hand_over()
         self._mesh.broadcast(self._mesh.message_sender.build_beat())
@@ -305,7 +307,7 @@
             await self._client_server.close_idle()
             if not self._gateway.in_flight:
                 return
-        decision('stopped_with_requests', in_flight=self._gateway.in_flight)
+        log_decision('stopped_with_requests', in_flight=self._gateway.in_flight)
 
     def _counters(self) -> dict[str, int]:
         return {
--- a/src/cranecart/serving/_node_registration.py
+++ b/src/cranecart/serving/_node_registration.py
@@ -9,13 +9,13 @@
 from cranecart.exceptions import PlatformError
 from cranecart.fleet import node_key
 from cranecart.http import Address
-from cranecart.logs import UnreadableRows, decision
+from cranecart.logs import UnreadableRowLog, log_decision
 from cranecart.mesh import PeerNode
 from cranecart.ports import Put, Row, Table, Transaction
 from cranecart.settings import ServingSettings
 
 _RETRY_SECONDS = 0.5
-_UNREADABLE_ROWS = UnreadableRows('node_row_unreadable')
+_UNREADABLE_ROWS = UnreadableRowLog('node_row_unreadable')
 
 
 @attrs.define
@@ -52,7 +52,7 @@
         try:
             await self._table.commit(Transaction((), (), (self._key,)))
         except PlatformError as error:
-            decision('node_not_withdrawn', why=str(error))
+            log_decision('node_not_withdrawn', why=str(error))
 
     async def _write(self) -> None:
         peer = PeerNode(
@@ -64,7 +64,7 @@
             try:
                 await self._table.commit(Transaction((), (put,)))
             except PlatformError as error:
-                decision('node_not_registered', why=str(error))
+                log_decision('node_not_registered', why=str(error))
                 await curio.sleep(_RETRY_SECONDS)
             else:
                 self._is_written = True
@@ -99,6 +99,6 @@
         peer = msgspec.json.decode(row.value, type=PeerNode)
         Address.from_text(peer.address)
     except (ValueError, RecursionError, msgspec.MsgspecError) as error:
-        _UNREADABLE_ROWS.note(row.key, str(error))
+        _UNREADABLE_ROWS.report(row.key, str(error))
         return None
     return peer
--- a/src/cranecart/serving/_placer_host.py
+++ b/src/cranecart/serving/_placer_host.py
@@ -9,7 +9,7 @@
 
 from cranecart.clocks import since_boot
 from cranecart.fleet import Fleet, ReplicaRecord
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.mesh import Mesh
 from cranecart.serving._active_config import ActiveRouteConfig
 from cranecart.serving._followers import PlatformFollowers
@@ -66,7 +66,7 @@
         """Load the placer and run it, until cancelled."""
         started_at = since_boot()
         await self._wait_until_informed()
-        decision(
+        log_decision(
             'node_informed',
             informed=self._dependencies.followers.is_informed,
             after=round(since_boot() - started_at, 3),
--- a/src/cranecart/serving/_platform_adapters.py
+++ b/src/cranecart/serving/_platform_adapters.py
@@ -9,7 +9,7 @@
 from cranecart.http import Address
 from cranecart.models import RouteConfig
 from cranecart.platform import (
-    PlatformCallForm,
+    PlatformCallTranslator,
     PlatformConfigSource,
     PlatformOrders,
     PlatformRowSource,
@@ -17,7 +17,14 @@
     PlatformTargetList,
     StoreClient,
 )
-from cranecart.ports import CallForm, ListedInstance, Orders, Row, Source, Table
+from cranecart.ports import (
+    CallTranslator,
+    ListedInstance,
+    Orders,
+    Row,
+    Source,
+    Table,
+)
 from cranecart.settings import ServingSettings
 
 
@@ -33,7 +40,7 @@
     instances: Source[ListedInstance]
     records: Source[Row]
     orders: Orders
-    call_form: CallForm
+    call_form: CallTranslator
     store_call_counts: Counter[str]
 
     @classmethod
@@ -50,6 +57,6 @@
                 (RECORDS_PART,),
             ),
             PlatformOrders(),
-            PlatformCallForm(),
+            PlatformCallTranslator(),
             store.counts,
         )
--- a/src/cranecart/serving/_quarantine.py
+++ b/src/cranecart/serving/_quarantine.py
@@ -42,7 +42,7 @@
             if instance is None:
                 return True
             if incarnation.id in fleet.instances:
-                return instance.incarnation.is_another(incarnation)
+                return instance.incarnation.differs_from(incarnation)
             # Its entry is gone although it had not announced its leaving.
             return not instance.leaving
 
--- a/src/cranecart/settings/_native.py
+++ b/src/cranecart/settings/_native.py
@@ -65,21 +65,21 @@
         return structure(document, cls)
 
     @property
-    def clients(self) -> Address:
+    def client_listen_address(self) -> Address:
         """Return where clients are served."""
         return Address.from_text(self.client_address)
 
     @property
-    def operators(self) -> Address:
+    def operator_listen_address(self) -> Address:
         """Return where operators are served."""
         return Address.from_text(self.operator_address)
 
     @property
-    def reached_at(self) -> str:
+    def reachable_peer_address(self) -> str:
         """Return where other nodes reach this one."""
         return self.advertised_peer_address or self.peer_address
 
     @property
-    def platform(self) -> Address:
+    def platform_endpoint(self) -> Address:
         """Return where the platform is."""
         return Address.from_text(self.platform_address)
--- a/src/cranecart/settings/_reloading.py
+++ b/src/cranecart/settings/_reloading.py
@@ -7,7 +7,7 @@
 
 from cranecart.clocks import since_boot
 from cranecart.documents import FindingsError
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.settings._serving import ServingSettings
 
 # What a running process can take up; the rest says where it listens, who it
@@ -37,7 +37,7 @@
     _seen: tuple[int, int] | None = attrs.field(default=None, init=False)
     _looked_at: float = attrs.field(default=float('-inf'), init=False)
 
-    def look(self) -> bool:
+    def reload_if_changed(self) -> bool:
         """Read the file if it has changed; return whether settings changed."""
         if self._clock() - self._looked_at < _LOOK_SECONDS:
             return False
@@ -56,11 +56,11 @@
         try:
             read = ServingSettings.from_file(self._file)
         except (FindingsError, OSError) as error:
-            decision('settings_refused', why=str(error))
+            log_decision('settings_refused', why=str(error))
             return False
         changed = _differing(self.current, read)
         live = changed & _LIVE
-        decision(
+        log_decision(
             'settings_read',
             why=why,
             taken_up=sorted(live),
--- a/src/cranecart/simulation/_engine.py
+++ b/src/cranecart/simulation/_engine.py
@@ -86,7 +86,7 @@
             heapq.heappop(self._queue)
             if not request.is_done:
                 token_budget -= request.prompt_tokens
-                prefill_seconds += timing.reading_seconds(request.prompt_tokens)
+                prefill_seconds += timing.prompt_seconds(request.prompt_tokens)
                 self.active.append(request)
         if not self.active:
             return None
--- a/src/cranecart/simulation/_policies.py
+++ b/src/cranecart/simulation/_policies.py
@@ -41,7 +41,7 @@
     def record_first_event(
         self,
         request: SimulatedRequest,
-        decision: Send,
+        log_decision: Send,
         seconds: float,
         now: float,
     ) -> None:
@@ -77,7 +77,7 @@
     def record_first_event(
         self,
         request: SimulatedRequest,
-        decision: Send,
+        log_decision: Send,
         seconds: float,
         now: float,
     ) -> None:
@@ -136,26 +136,28 @@
             for one in engines
         ]
         self._random.shuffle(states)
-        decision = decide(dispatch_request, states)
-        if isinstance(decision, Refuse):
+        log_decision = decide(dispatch_request, states)
+        if isinstance(log_decision, Refuse):
             drawn = self._random.random()
             return Refuse(
-                spread_retry_after(decision.excess_seconds, remaining, drawn)
+                spread_retry_after(
+                    log_decision.excess_seconds, remaining, drawn
+                )
             )
-        return decision
+        return log_decision
 
     def record_first_event(
         self,
         request: SimulatedRequest,
-        decision: Send,
+        log_decision: Send,
         seconds: float,
         now: float,
     ) -> None:
         """Record the error of the forecast."""
-        if decision.is_deferred:
+        if log_decision.is_deferred:
             return
-        name, model = decision.name, request.model.name
+        name, model = log_decision.name, request.model.name
         expected = self._errors.expected(name, model, now)
         self._errors.record(
-            name, model, seconds - decision.forecast_seconds + expected, now
+            name, model, seconds - log_decision.forecast_seconds + expected, now
         )
--- a/src/cranecart/simulation/_simulation.py
+++ b/src/cranecart/simulation/_simulation.py
@@ -42,12 +42,12 @@
 class _Assignment:
     node: _Node
     engine: Engine
-    decision: Send
+    log_decision: Send
     sent_at: float
     has_started: bool = False
 
     def counter(self) -> Counter[str]:
-        is_deferred = self.decision.is_deferred and not self.has_started
+        is_deferred = self.log_decision.is_deferred and not self.has_started
         return self.node.deferred if is_deferred else self.node.in_flight
 
     def mark_started(self) -> None:
@@ -118,18 +118,18 @@
         if not engines:
             self._refuse(request, _NO_REPLICA_RETRY_SECONDS)
             return
-        decision = node.policy.choose(
+        log_decision = node.policy.choose(
             request,
             engines,
             self._known_in_flight(node),
             node.deferred,
             self._now,
         )
-        if isinstance(decision, Refuse):
-            self._refuse(request, decision.excess_seconds)
+        if isinstance(log_decision, Refuse):
+            self._refuse(request, log_decision.excess_seconds)
             return
-        engine = next(one for one in engines if one.name == decision.name)
-        self._send(request, _Assignment(node, engine, decision, self._now))
+        engine = next(one for one in engines if one.name == log_decision.name)
+        self._send(request, _Assignment(node, engine, log_decision, self._now))
 
     def _known_in_flight(self, node: _Node) -> Counter[str]:
         """Return the in-flight counts that a node knows of."""
@@ -144,7 +144,8 @@
         self._assignments[request] = assignment
         assignment.counter()[assignment.engine.name] += 1
         assignment.engine.enqueue(
-            request, _DEFERRED_RANK if assignment.decision.is_deferred else 0
+            request,
+            _DEFERRED_RANK if assignment.log_decision.is_deferred else 0,
         )
         self._begin_pass(assignment.engine)
         if request.first_event_at is None:
@@ -199,7 +200,7 @@
         assignment.mark_started()
         if request.first_event_at is None:
             assignment.node.policy.record_first_event(
-                request, assignment.decision, seconds, self._now
+                request, assignment.log_decision, seconds, self._now
             )
 
     def _crash(self, crash: ReplicaCrash) -> None:
--- a/src/cranecart/targets/_engine.py
+++ b/src/cranecart/targets/_engine.py
@@ -11,11 +11,11 @@
 from cranecart.exceptions import (
     ConnectFailedError,
     HttpError,
-    TargetBrokenError,
     TargetDisconnectedError,
-    TargetNotReachedError,
+    TargetFailedError,
     TargetRefusedError,
     TargetTimeoutError,
+    TargetUnreachableError,
 )
 from cranecart.http import (
     HttpConnection,
@@ -161,7 +161,7 @@
         try:
             connection = await self._connect(replica, call)
         except ConnectFailedError as error:
-            raise TargetNotReachedError(str(error)) from error
+            raise TargetUnreachableError(str(error)) from error
         try:
             head = await curio.timeout_after(
                 call.seconds_left,
@@ -229,17 +229,17 @@
 ) -> None:
     # Checked first: a late refusal of another call says nothing about this one.
     if head.headers.get('x-request-id') != call.request_id:
-        raise TargetBrokenError(f'{replica.id} answered another request')
+        raise TargetFailedError(f'{replica.id} answered another request')
     if head.headers.get('x-execution') == _NOT_RUN:
         raise TargetRefusedError(f'{replica.id} refused: {head.status}')
     if not head.is_success:
-        raise TargetBrokenError(f'{replica.id} answered {head.status}')
+        raise TargetFailedError(f'{replica.id} answered {head.status}')
     answered_by = (
         head.headers.get('x-replica'),
         head.headers.get('x-generation'),
     )
     if answered_by != (replica.id, str(replica.generation)):
-        raise TargetBrokenError(f'{replica.id} answered as another replica')
+        raise TargetFailedError(f'{replica.id} answered as another replica')
 
 
 async def send_request(
@@ -251,22 +251,22 @@
     try:
         return await exchange(instance.address, request, timeout_seconds)
     except ConnectFailedError as error:
-        raise TargetNotReachedError(str(error)) from error
+        raise TargetUnreachableError(str(error)) from error
     except HttpError as error:
-        raise TargetBrokenError(str(error)) from error
+        raise TargetFailedError(str(error)) from error
 
 
 def read_report(instance: Instance, response: Response) -> MemberReport:
-    """Decode an engine's report; raise ``TargetBrokenError`` if invalid.
+    """Decode an engine's report; raise ``TargetFailedError`` if invalid.
 
     That another instance answers at the address is an error as well.
     """
     try:
         report = msgspec.json.decode(response.body, type=MemberReport)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
-        raise TargetBrokenError(f'{instance.id}: {error}') from error
+        raise TargetFailedError(f'{instance.id}: {error}') from error
     if report.instance != instance.id:
-        raise TargetBrokenError(
+        raise TargetFailedError(
             f'{instance.address} is {report.instance}, not {instance.id}',
         )
     return report
--- a/src/cranecart/targets/_probe_connection.py
+++ b/src/cranecart/targets/_probe_connection.py
@@ -8,10 +8,10 @@
 from cranecart.exceptions import (
     ConnectFailedError,
     HttpError,
-    TargetBrokenError,
     TargetError,
-    TargetNotReachedError,
+    TargetFailedError,
     TargetTimeoutError,
+    TargetUnreachableError,
 )
 from cranecart.http import HttpConnection, Request, Response
 from cranecart.instances import (
@@ -82,9 +82,9 @@
         try:
             response = await self._request_status(instance)
         except ConnectFailedError as error:
-            raise TargetNotReachedError(str(error)) from error
+            raise TargetUnreachableError(str(error)) from error
         except HttpError as error:
-            raise TargetBrokenError(str(error)) from error
+            raise TargetFailedError(str(error)) from error
         if response.status == _NOT_MODIFIED and self._report is not None:
             return self._report
         self._report = _decode(instance, response)
@@ -108,13 +108,13 @@
 
 def _decode(instance: Instance, response: Response) -> MemberReport:
     if not response.is_success:
-        raise TargetBrokenError(f'{instance.id} answered {response.status}')
+        raise TargetFailedError(f'{instance.id} answered {response.status}')
     if instance.kind is InstanceKind.ENGINE:
         return read_report(instance, response)
     try:
         status = msgspec.json.decode(response.body, type=_ServiceStatus)
     except msgspec.MsgspecError as error:
-        raise TargetBrokenError(f'{instance.id}: {error}') from error
+        raise TargetFailedError(f'{instance.id}: {error}') from error
     return MemberReport(
         instance.id,
         MemberState.READY,
--- a/src/cranecart/targets/_service.py
+++ b/src/cranecart/targets/_service.py
@@ -6,11 +6,11 @@
     ConnectFailedError,
     HttpError,
     PeerTimeoutError,
-    TargetBrokenError,
     TargetDisconnectedError,
-    TargetNotReachedError,
+    TargetFailedError,
     TargetRefusedError,
     TargetTimeoutError,
+    TargetUnreachableError,
 )
 from cranecart.http import Request, Response, exchange
 from cranecart.instances import Instance
@@ -45,7 +45,7 @@
                 call.seconds_left,
             )
         except ConnectFailedError as error:
-            raise TargetNotReachedError(str(error)) from error
+            raise TargetUnreachableError(str(error)) from error
         except PeerTimeoutError as error:
             raise TargetTimeoutError(str(error)) from error
         except HttpError as error:
@@ -53,7 +53,7 @@
         # A response without the request's id, also a refusal, may belong to any
         # other call.
         if response.headers.get('x-request-id') != call.request_id:
-            raise TargetBrokenError(f'{instance.id} answered another call')
+            raise TargetFailedError(f'{instance.id} answered another call')
         if response.headers.get('x-execution') == _NOT_RUN:
             raise TargetRefusedError(f'{instance.id} refused the call')
         return response
--- a/src/cranecart/throttling/_backoffs.py
+++ b/src/cranecart/throttling/_backoffs.py
@@ -5,7 +5,7 @@
 import attrs
 
 from cranecart.clocks import since_boot
-from cranecart.logs import decision
+from cranecart.logs import log_decision
 from cranecart.ports import Incarnation
 
 
@@ -30,7 +30,7 @@
         until = self._clock() + seconds
         previous = self._until.get(incarnation, 0)
         self._until[incarnation] = max(previous, until)
-        decision(
+        log_decision(
             'target_rest',
             instance=incarnation.id,
             born=incarnation.born,
@@ -49,7 +49,7 @@
         for incarnation, until in list(self._until.items()):
             if until <= now:
                 self._until.pop(incarnation)
-                decision(
+                log_decision(
                     'target_rest_over',
                     instance=incarnation.id,
                     born=incarnation.born,
--- a/src/cranecart/throttling/_limits.py
+++ b/src/cranecart/throttling/_limits.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from cranecart.clocks import since_boot
-from cranecart.logs import decision
-from cranecart.ports import AnswerFacts, Incarnation
+from cranecart.logs import log_decision
+from cranecart.ports import Incarnation, ResponseInfo
 
 # The source of a limit that came with a response, in the log.
 _RESPONSE_SOURCE = 'an answer'
@@ -101,7 +101,7 @@
     def record_response(
         self,
         incarnation: Incarnation,
-        facts: AnswerFacts,
+        facts: ResponseInfo,
         sent_at: float,
     ) -> LimitUpdate | None:
         """Apply a response's limit; return the update to publish, if any.
@@ -190,7 +190,7 @@
     def _store(self, update: LimitUpdate, by: str) -> None:
         now = self._clock()
         known = self._known.get(update.incarnation)
-        decision(
+        log_decision(
             'target_limit',
             instance=update.instance,
             born=update.born,
@@ -209,7 +209,7 @@
     ) -> None:
         if incarnation not in self._unreadable:
             self._unreadable.add(incarnation)
-            decision(
+            log_decision(
                 'target_word_unreadable',
                 instance=incarnation.id,
                 born=incarnation.born,
--- a/src/cranecart/throttling/_throttle.py
+++ b/src/cranecart/throttling/_throttle.py
@@ -11,8 +11,8 @@
 import attrs
 
 from cranecart.clocks import since_boot
-from cranecart.logs import decision
-from cranecart.ports import AnswerFacts, Incarnation, ListedInstance
+from cranecart.logs import log_decision
+from cranecart.ports import Incarnation, ListedInstance, ResponseInfo
 from cranecart.throttling._backoffs import BackoffRegistry
 from cranecart.throttling._bucket import TokenBucket
 from cranecart.throttling._limits import LimitRegistry, LimitUpdate
@@ -126,15 +126,15 @@
     def record_response(
         self,
         incarnation: Incarnation,
-        facts: AnswerFacts,
+        facts: ResponseInfo,
         sent_at: float,
     ) -> None:
         """Apply what a target announces, and publish what is new.
 
         ``sent_at`` is when the request was sent that the response belongs to.
         """
-        if facts.rest_seconds:
-            self._backoffs.record(incarnation, facts.rest_seconds)
+        if facts.backoff_seconds:
+            self._backoffs.record(incarnation, facts.backoff_seconds)
         if facts.is_leaving:
             self._mark_leaving(incarnation)
         update = self._limits.record_response(incarnation, facts, sent_at)
@@ -292,7 +292,7 @@
 
     def _log_share(self, incarnation: Incarnation) -> None:
         share = self.share_of(incarnation)
-        decision(
+        log_decision(
             'target_share',
             instance=incarnation.id,
             born=incarnation.born,
--- a/tests/lib/fake_engines.py
+++ b/tests/lib/fake_engines.py
@@ -10,8 +10,8 @@
     OrderFencedError,
     OrderRefusedError,
     OrderUnknownError,
-    TargetClosedError,
     TargetGoneError,
+    TargetNotListeningError,
 )
 from cranecart.fleet import Fleet
 from cranecart.http import Address
@@ -194,7 +194,7 @@
         if instance.id in self.terminated:
             raise TargetGoneError(instance.id)
         if instance.id in self.refusing:
-            raise TargetClosedError(instance.id)
+            raise TargetNotListeningError(instance.id)
         if instance.id in self.unreachable:
             raise OrderUnknownError(instance.id)
 
--- a/tests/lib/fake_platform.py
+++ b/tests/lib/fake_platform.py
@@ -9,7 +9,7 @@
     WriteConflictError,
     WriteUnknownError,
 )
-from cranecart.ports import Put, Row, Transaction, number_of, version_in
+from cranecart.ports import Put, Row, Transaction, make_version, store_number_of
 
 FINE = 'fine'
 REFUSED = 'refused'
@@ -59,16 +59,16 @@
 
     def copied(self) -> tuple[int, dict[str, Row]]:
         """Return a copy of what the table holds now."""
-        return number_of(self.version), dict(self.rows)
+        return store_number_of(self.version), dict(self.rows)
 
     def restore(self, earlier: tuple[int, dict[str, Row]]) -> None:
         """Come back from a copy: versions are given out again."""
         self.era += 1
-        self.version = version_in(self.era, earlier[0])
+        self.version = make_version(self.era, earlier[0])
         self.rows = {
             key: attrs.evolve(
                 row,
-                version=version_in(self.era, number_of(row.version)),
+                version=make_version(self.era, store_number_of(row.version)),
             )
             for key, row in earlier[1].items()
         }
--- a/tests/lib/fake_targets.py
+++ b/tests/lib/fake_targets.py
@@ -35,7 +35,7 @@
     Share,
     hash_key,
 )
-from cranecart.platform import PlatformCallForm
+from cranecart.platform import PlatformCallTranslator
 from cranecart.ports import Incarnation, ListedInstance, MemberPhase, Membership
 from cranecart.quarantine import CaseUpdate, RequestGuard
 from cranecart.retries import RetryLimits, SharedRetryBudget
@@ -339,7 +339,7 @@
         self.gateway = RoutedGateway(
             lambda: self.config,
             Sender(
-                PlatformCallForm(),
+                PlatformCallTranslator(),
                 self.router,
                 self.connections,
                 self.fleet.is_stopped,
@@ -409,7 +409,7 @@
 
     def _has_ended(self, incarnation: Incarnation) -> bool:
         listed = self.fleet.instances.get(incarnation.id)
-        return listed is None or listed.incarnation.is_another(incarnation)
+        return listed is None or listed.incarnation.differs_from(incarnation)
 
     def _note_leaving(self, incarnation: Incarnation) -> None:
         if mark_leaving(self.fleet, incarnation, 'an answer'):
--- a/tests/lib/limit_simulation.py
+++ b/tests/lib/limit_simulation.py
@@ -15,7 +15,7 @@
 import attrs
 
 from cranecart.mesh._rendezvous import top_ranked_names
-from cranecart.ports import AnswerFacts, Incarnation
+from cranecart.ports import Incarnation, ResponseInfo
 from cranecart.throttling import (
     FewestNodes,
     LimitUpdate,
@@ -246,13 +246,13 @@
 
     def _receive(self, node: Node, sent_at: float) -> None:
         self.arrivals.append((self.now, node.name))
-        facts = AnswerFacts('r', True, False, limit=self.limit)
+        facts = ResponseInfo('r', True, False, limit=self.limit)
         self._schedule(
             self._random.expovariate(1 / _ANSWER_SECONDS),
             functools.partial(self._respond, node, facts, sent_at),
         )
 
-    def _respond(self, node: Node, facts: AnswerFacts, sent_at: float) -> None:
+    def _respond(self, node: Node, facts: ResponseInfo, sent_at: float) -> None:
         if facts.limit is not None and node.informed_at is None:
             node.informed_at = self.now
         node.throttle.record_response(_INCARNATION, facts, sent_at)
--- a/tests/lib/store_testbed.py
+++ b/tests/lib/store_testbed.py
@@ -32,7 +32,7 @@
     encode_mesh_message,
 )
 from cranecart.platform import (
-    PlatformCallForm,
+    PlatformCallTranslator,
     PlatformConfigSource,
     PlatformOrders,
     PlatformRowSource,
@@ -378,7 +378,7 @@
         PlatformTargetList(store),
         PlatformRowSource(store, RECORDS_TABLE, (RECORDS_PART,)),
         PlatformOrders(),
-        PlatformCallForm(),
+        PlatformCallTranslator(),
         store.counts,
     )
 
--- a/tests/platform/test_call_headers.py
+++ b/tests/platform/test_call_headers.py
@@ -7,13 +7,13 @@
 
 from cranecart.exceptions import InvalidRequestError
 from cranecart.http import HeaderLines, Request, ResponseHead
-from cranecart.platform import PlatformCallForm
+from cranecart.platform import PlatformCallTranslator
 from cranecart.ports import Dispatch
 
 _LIMIT = 'server-limit'
 _RETRY_AFTER = 'retry-after'
 _LEAVING = 'server-leaving'
-_CALL_FORM = PlatformCallForm()
+_CALL_TRANSLATOR = PlatformCallTranslator()
 _HEADER_LINES: HeaderLines = (
     ('host', 'a.example'),
     ('request-id', 'r1'),
@@ -47,7 +47,7 @@
 
     def test_fields_of_a_request(self) -> None:
         """All fields are read and converted to internal units."""
-        facts = _CALL_FORM.read_request(_request())
+        facts = _CALL_TRANSLATOR.read_request(_request())
         self.assertEqual(facts.request_id, 'r1')
         self.assertEqual(facts.key, 'key')
         self.assertEqual(facts.deadline_seconds, 8)
@@ -58,13 +58,13 @@
         """Token counts too long to parse are read as 0."""
         for usage in (f'{"9" * 5000},7', f'{"9" * 400},7'):
             request = Request('POST', '/x', {'token-usage': usage})
-            facts = PlatformCallForm().read_request(request)
+            facts = PlatformCallTranslator().read_request(request)
             self.assertEqual((facts.prompt_tokens, facts.max_tokens), (0, 7))
 
     def test_malformed_deadline_is_rejected(self) -> None:
         """An unreadable deadline is the client's error."""
         with self.assertRaises(InvalidRequestError):
-            _CALL_FORM.read_request(_request((('deadline-ms', 'soon'),)))
+            _CALL_TRANSLATOR.read_request(_request((('deadline-ms', 'soon'),)))
 
     @given(st.text(), st.text())
     def test_arbitrary_headers_are_accepted(
@@ -72,7 +72,7 @@
     ) -> None:
         """Arbitrary header values raise no error."""
         lines = (('token-usage', usage), ('authorization', authorization))
-        _CALL_FORM.read_request(_request(lines))
+        _CALL_TRANSLATOR.read_request(_request(lines))
 
 
 class RequestForTest(unittest.TestCase):
@@ -81,7 +81,9 @@
     def setUp(self) -> None:
         """Build the forwarded request."""
         dispatch = Dispatch('i-1', 1.5, 'org', 2, '9')
-        self.sent = _CALL_FORM.request_for(_request(), dispatch).header_lines
+        self.sent = _CALL_TRANSLATOR.request_for(
+            _request(), dispatch
+        ).header_lines
 
     def test_forged_headers_are_replaced(self) -> None:
         """Headers that only the system may set are replaced."""
@@ -124,11 +126,15 @@
     def test_not_run(self) -> None:
         """Only not-executed or a 421 mean that the request was not run."""
         refused = ResponseHead(503, {'not-executed': '1', 'at-server': 'i-2'})
-        facts = _CALL_FORM.read_answer(refused)
+        facts = _CALL_TRANSLATOR.read_response(refused)
         self.assertTrue(facts.not_run)
-        self.assertEqual(facts.at_fault, 'i-2')
-        self.assertTrue(_CALL_FORM.read_answer(ResponseHead(421)).not_run)
-        self.assertFalse(_CALL_FORM.read_answer(ResponseHead(503)).not_run)
+        self.assertEqual(facts.failed_instance, 'i-2')
+        self.assertTrue(
+            _CALL_TRANSLATOR.read_response(ResponseHead(421)).not_run
+        )
+        self.assertFalse(
+            _CALL_TRANSLATOR.read_response(ResponseHead(503)).not_run
+        )
 
     def test_limit(self) -> None:
         """A decimal number is the limit; a huge one is capped."""
@@ -139,9 +145,13 @@
             ('0', 0),
             ('999999999', 1e6),
         ):
-            facts = _CALL_FORM.read_answer(ResponseHead(200, {_LIMIT: text}))
+            facts = _CALL_TRANSLATOR.read_response(
+                ResponseHead(200, {_LIMIT: text})
+            )
             self.assertEqual((facts.limit, facts.unreadable), (limit, ()))
-        self.assertIsNone(_CALL_FORM.read_answer(ResponseHead(200)).limit)
+        self.assertIsNone(
+            _CALL_TRANSLATOR.read_response(ResponseHead(200)).limit
+        )
 
     def test_unreadable_limits(self) -> None:
         """Malformed limits are ignored and reported, truncated."""
@@ -157,7 +167,9 @@
             '9' * 5000,
             'Wed, 21 Oct 2026 07:28:00 GMT',
         ):
-            facts = _CALL_FORM.read_answer(ResponseHead(200, {_LIMIT: text}))
+            facts = _CALL_TRANSLATOR.read_response(
+                ResponseHead(200, {_LIMIT: text})
+            )
             self.assertIsNone(facts.limit, text)
             self.assertEqual(len(facts.unreadable), 1)
             self.assertLess(len(facts.unreadable[0]), 100)
@@ -165,43 +177,49 @@
     def test_repeated_limits(self) -> None:
         """Two limits in one answer are ambiguous and ignored."""
         lines = ((_LIMIT, '2'), (_LIMIT, '3'))
-        facts = _CALL_FORM.read_answer(ResponseHead(200, dict(lines), lines))
+        facts = _CALL_TRANSLATOR.read_response(
+            ResponseHead(200, dict(lines), lines)
+        )
         self.assertIsNone(facts.limit)
         self.assertEqual(facts.unreadable, (f'{_LIMIT}: 2, 3',))
 
     def test_backoff(self) -> None:
         """A back-off only counts with a 503; a huge one is capped."""
         for text, seconds in (('3', 3), ('0.5', 0.5), ('99999999', 3600)):
-            facts = _CALL_FORM.read_answer(
+            facts = _CALL_TRANSLATOR.read_response(
                 ResponseHead(503, {_RETRY_AFTER: text})
             )
-            self.assertEqual(facts.rest_seconds, seconds)
+            self.assertEqual(facts.backoff_seconds, seconds)
         for status in (200, 429):
-            facts = _CALL_FORM.read_answer(
+            facts = _CALL_TRANSLATOR.read_response(
                 ResponseHead(status, {_RETRY_AFTER: '3'})
             )
-            self.assertIsNone(facts.rest_seconds)
+            self.assertIsNone(facts.backoff_seconds)
         for text in ('-1', 'nan', 'Wed, 21 Oct 2026 07:28:00 GMT', '9' * 5000):
-            facts = _CALL_FORM.read_answer(
+            facts = _CALL_TRANSLATOR.read_response(
                 ResponseHead(503, {_RETRY_AFTER: text})
             )
-            self.assertIsNone(facts.rest_seconds)
+            self.assertIsNone(facts.backoff_seconds)
             self.assertEqual(len(facts.unreadable), 1)
 
     def test_leaving(self) -> None:
         """Only the value 1 announces leaving, with any status."""
         for status in (200, 500, 503):
-            facts = _CALL_FORM.read_answer(
+            facts = _CALL_TRANSLATOR.read_response(
                 ResponseHead(status, {_LEAVING: '1'})
             )
             self.assertTrue(facts.is_leaving)
         for text in ('0', '', 'true'):
-            facts = _CALL_FORM.read_answer(ResponseHead(200, {_LEAVING: text}))
+            facts = _CALL_TRANSLATOR.read_response(
+                ResponseHead(200, {_LEAVING: text})
+            )
             self.assertFalse(facts.is_leaving)
             self.assertEqual(len(facts.unreadable), 1)
 
     def test_refusal(self) -> None:
         """An error answer says when to retry."""
-        refusal = _CALL_FORM.refusal('r1', 503, 'no_replica', 'none', 0.25)
-        self.assertEqual(refusal.headers['retry-after'], '0.25')
-        self.assertEqual(refusal.headers['request-id'], 'r1')
+        error_response = _CALL_TRANSLATOR.error_response(
+            'r1', 503, 'no_replica', 'none', 0.25
+        )
+        self.assertEqual(error_response.headers['retry-after'], '0.25')
+        self.assertEqual(error_response.headers['request-id'], 'r1')
--- a/tests/platform/test_malformed_rows.py
+++ b/tests/platform/test_malformed_rows.py
@@ -18,7 +18,7 @@
 from cranecart.exceptions import PlatformError, PlatformUnavailableError
 from cranecart.fleet import Fleet, ReplicaRecord, record_from_row
 from cranecart.leases import Lease
-from cranecart.logs import UnreadableRows
+from cranecart.logs import UnreadableRowLog
 from cranecart.platform import (
     PlatformConfigSource,
     PlatformRowSource,
@@ -125,18 +125,18 @@
     def test_row_is_logged_once(self) -> None:
         """A malformed row that is read repeatedly is logged once."""
         source = PlatformTargetList(FixedRowsClient({'i1': b'{'}))
-        with patch('cranecart.logs._unreadable.decision') as decision:
+        with patch('cranecart.logs._unreadable.decision') as log_decision:
             for _turn in range(5):
                 curio.run(source.changes, 1, 0)
-        self.assertEqual(decision.call_count, 1)
+        self.assertEqual(log_decision.call_count, 1)
 
     def test_log_rate_is_limited(self) -> None:
         """Only a few of many malformed rows are logged per second."""
-        rows = UnreadableRows('odd', lambda: 7.5)
-        with patch('cranecart.logs._unreadable.decision') as decision:
+        rows = UnreadableRowLog('odd', lambda: 7.5)
+        with patch('cranecart.logs._unreadable.decision') as log_decision:
             for number in range(1000):
-                rows.note(f'row {number}', 'it is no JSON')
-        self.assertLessEqual(decision.call_count, 5)
+                rows.report(f'row {number}', 'it is no JSON')
+        self.assertLessEqual(log_decision.call_count, 5)
 
     def test_valid_entries_beside_malformed_ones(self) -> None:
         """Valid instances stay in the fleet."""
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -10,8 +10,8 @@
     OrderFencedError,
     OrderRefusedError,
     OrderUnknownError,
-    TargetClosedError,
     TargetGoneError,
+    TargetNotListeningError,
 )
 from cranecart.http import Address
 from cranecart.platform import PlatformOrders
@@ -76,7 +76,7 @@
         The instance may have crashed, or may be finishing its requests.
         """
         error = curio.run(self._order, Address('127.0.0.1', 1))
-        self.assertIsInstance(error, TargetClosedError)
+        self.assertIsInstance(error, TargetNotListeningError)
 
     def test_late_answer_confirms_no_leave(self) -> None:
         """A late answer to another order is not taken for that to a leave.
--- a/tests/platform/test_row_versions.py
+++ b/tests/platform/test_row_versions.py
@@ -15,7 +15,7 @@
 )
 from cranecart.http import Request, Responder
 from cranecart.platform import PlatformTable, StoreClient
-from cranecart.ports import Check, Put, Transaction, era_of, version_in
+from cranecart.ports import Check, Put, Transaction, era_of, make_version
 from tests.platform._standin import StandinStore, start
 
 _ROW_KEY = 'placement/all/k'
@@ -51,7 +51,7 @@
     ) -> None:
         """Versions are ordered by era, then by number."""
         self.assertEqual(
-            version_in(*first) < version_in(*second), first < second
+            make_version(*first) < make_version(*second), first < second
         )
 
     def test_versions_rise_over_a_restore(self) -> None:
--- a/tests/unit/test_claims.py
+++ b/tests/unit/test_claims.py
@@ -9,7 +9,7 @@
 from cranecart.claims import AcquiredClaim, ClaimStore, RecordedResponse
 from cranecart.exceptions import (
     ClaimUnreadableError,
-    KeyReusedError,
+    IdempotencyKeyReusedError,
     OutcomeUnknownError,
     RequestError,
 )
@@ -77,7 +77,7 @@
     def test_key_belongs_to_one_call(self) -> None:
         """The same key with another body is refused."""
         curio.run(self.first_node.acquire, non_repeatable_call())
-        with self.assertRaises(KeyReusedError):
+        with self.assertRaises(IdempotencyKeyReusedError):
             curio.run(
                 self.second_node.acquire(non_repeatable_call(b'{"other": 1}'))
             )
--- a/tests/unit/test_connection_reuse.py
+++ b/tests/unit/test_connection_reuse.py
@@ -16,7 +16,7 @@
 import attrs
 import curio
 
-from cranecart.exceptions import TargetBrokenError
+from cranecart.exceptions import TargetFailedError
 from cranecart.forwarding import EventSplitter, TargetConnectionPool
 from cranecart.http import Address, HttpConnection, HttpConnectionPool, Request
 from cranecart.ports import ListedInstance
@@ -198,7 +198,7 @@
 
     def test_late_refusal_of_another_call(self) -> None:
         """'Not run' applies only to the call that the response names."""
-        with self.assertRaises(TargetBrokenError):
+        with self.assertRaises(TargetFailedError):
             curio.run(
                 GatewayTestbed(_LateRefusal().script).run,
                 _request_two_completions,
@@ -218,7 +218,7 @@
                 splitter = EventSplitter()
                 splitter.feed(b'id: 4\ndata: d\n\n')
                 splitter.restart()
-                with self.assertRaises(TargetBrokenError):
+                with self.assertRaises(TargetFailedError):
                     splitter.feed(later_events)
 
 
--- a/tests/unit/test_demand.py
+++ b/tests/unit/test_demand.py
@@ -18,7 +18,7 @@
         for model, seconds in (('long', 1.2), ('short', 0.6)):
             self._come(model, 200)
             for _request in range(200):
-                self.meter.note_work(model, seconds)
+                self.meter.record_work(model, seconds)
         self.now = 2
         demand = self.meter.by_model()
         self.assertAlmostEqual(demand['long'] / demand['short'], 2, delta=0.1)
@@ -44,7 +44,7 @@
         for tenth in range(1, 400):
             self.now = tenth / 10
             self._come('steady', 1)
-            self.meter.note_work('steady', 0.3)
+            self.meter.record_work('steady', 0.3)
             if tenth > 30:
                 found = self.meter.by_model()['steady']
                 self.assertAlmostEqual(found, 3, delta=0.3)
@@ -56,4 +56,4 @@
 
     def _come(self, model: str, count: int) -> None:
         for _request in range(count):
-            self.meter.note_request(model)
+            self.meter.record_request(model)
--- a/tests/unit/test_dispatch.py
+++ b/tests/unit/test_dispatch.py
@@ -36,11 +36,11 @@
 
     def test_a_free_replica_is_preferred_to_a_full_one(self) -> None:
         """It meets the objective, so that its request is not deferred."""
-        decision = decide(
+        log_decision = decide(
             _REQUEST, [ReplicaState('full', 20), ReplicaState('free', 2)]
         )
-        self.assertEqual(_name(decision), 'free')
-        self.assertFalse(decision.is_deferred)  # type: ignore[union-attr]
+        self.assertEqual(_name(log_decision), 'free')
+        self.assertFalse(log_decision.is_deferred)  # type: ignore[union-attr]
 
     def test_a_slow_replica_is_passed_over(self) -> None:
         """Its learned forecast error outweighs its lower number of requests."""
@@ -64,14 +64,16 @@
 
     def test_a_late_request_is_deferred(self) -> None:
         """It is sent all the same while its client waits long enough."""
-        decision = decide(_REQUEST, [ReplicaState('full', 22)])
-        self.assertTrue(isinstance(decision, Send) and decision.is_deferred)
+        log_decision = decide(_REQUEST, [ReplicaState('full', 22)])
+        self.assertTrue(
+            isinstance(log_decision, Send) and log_decision.is_deferred
+        )
 
     def test_a_request_that_would_time_out_is_refused(self) -> None:
         """The refusal says by how much the wait would be too long."""
-        decision = decide(_REQUEST, [ReplicaState('full', 18, deferred=60)])
+        log_decision = decide(_REQUEST, [ReplicaState('full', 18, deferred=60)])
         self.assertTrue(
-            isinstance(decision, Refuse) and decision.excess_seconds > 0
+            isinstance(log_decision, Refuse) and log_decision.excess_seconds > 0
         )
 
     def test_a_retry_is_accepted_longer_than_a_new_request(self) -> None:
@@ -84,8 +86,10 @@
     def test_a_resumed_stream_is_never_refused(self) -> None:
         """Its client already has a part of the answer."""
         resumed = attrs.evolve(_REQUEST, is_resumed=True, elapsed_seconds=3)
-        decision = decide(resumed, [ReplicaState('full', 40)])
-        self.assertTrue(isinstance(decision, Send) and not decision.is_deferred)
+        log_decision = decide(resumed, [ReplicaState('full', 40)])
+        self.assertTrue(
+            isinstance(log_decision, Send) and not log_decision.is_deferred
+        )
 
     def test_a_decision_is_fast(self) -> None:
         """Alone on a machine it takes 50 us at 50 replicas, 200 us at 760."""
@@ -181,5 +185,5 @@
     return replicas
 
 
-def _name(decision: Send | Refuse) -> str:
-    return decision.name if isinstance(decision, Send) else ''
+def _name(log_decision: Send | Refuse) -> str:
+    return log_decision.name if isinstance(log_decision, Send) else ''
--- a/tests/unit/test_limit_registry.py
+++ b/tests/unit/test_limit_registry.py
@@ -7,11 +7,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cranecart.ports import AnswerFacts, Incarnation
+from cranecart.ports import Incarnation, ResponseInfo
 from cranecart.throttling import LimitRegistry, LimitUpdate
 
 _INCARNATION = Incarnation('i1', 7)
-_PLAIN = AnswerFacts('r1', True, False)
+_PLAIN = ResponseInfo('r1', True, False)
 
 _UPDATES = st.lists(
     st.builds(
@@ -25,7 +25,7 @@
 )
 
 
-def _announcing(limit: float | None) -> AnswerFacts:
+def _announcing(limit: float | None) -> ResponseInfo:
     return attrs.evolve(_PLAIN, limit=limit)
 
 
--- a/tests/unit/test_limits.py
+++ b/tests/unit/test_limits.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from cranecart.declarations import LimitsSpec, OrganisationSpec, Priority
-from cranecart.exceptions import LimitedError, OverloadedError
+from cranecart.exceptions import OverLimitError, OverloadedError
 from cranecart.limits import Admission, Capacity, LimitShares, TokenRateLimiter
 from cranecart.retries import RetryBudget
 
@@ -148,7 +148,7 @@
         """The tokens are available after that time."""
         rates = TokenRateLimiter(self.shares.share, self.clock)
         rates.take(_ORGANISATION, 400)
-        with self.assertRaises(LimitedError) as caught:
+        with self.assertRaises(OverLimitError) as caught:
             rates.take(_ORGANISATION, 50)
         assert caught.exception.retry_after is not None
         self.clock.now += caught.exception.retry_after + 0.001
@@ -160,7 +160,7 @@
             admission = self.admission.admit(_ORGANISATION, priority)
             try:
                 admission.__enter__()
-            except (LimitedError, OverloadedError):
+            except (OverLimitError, OverloadedError):
                 return number
             self.addCleanup(admission.__exit__, None, None, None)
         raise AssertionError('no call was refused')
--- a/tests/unit/test_native_crashing_requests.py
+++ b/tests/unit/test_native_crashing_requests.py
@@ -15,7 +15,7 @@
 import curio
 
 from cranecart.client_api import Gateway
-from cranecart.exceptions import HeldError, RequestError
+from cranecart.exceptions import QuarantinedRequestError, RequestError
 from cranecart.instances import Instance, InstanceKind
 from cranecart.quarantine import CaseUpdate, RequestGuard
 from cranecart.selection import Router
@@ -37,7 +37,7 @@
         self.assertEqual(
             sum(target.has_terminated for target in targets), _MAX_TERMINATIONS
         )
-        self.assertIsInstance(errors[-1], HeldError)
+        self.assertIsInstance(errors[-1], QuarantinedRequestError)
 
     def test_calls_at_several_nodes(self) -> None:
         """The nodes add up their observations."""
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -12,7 +12,7 @@
 from cranecart.exceptions import (
     ConnectFailedError,
     ConnectRefusedError,
-    HeldError,
+    QuarantinedRequestError,
     TargetDisconnectedError,
 )
 from cranecart.http import Address
@@ -258,7 +258,7 @@
         guard = _guard(_Port(ConnectRefusedError('nothing listens')))
         for number in range(3):
             curio.run(_terminate_during, guard, number)
-        with self.assertRaises(HeldError) as caught:
+        with self.assertRaises(QuarantinedRequestError) as caught:
             guard.instances_to_avoid(lambda: 'a')
         self.assertIn('i0, i1, i2', str(caught.exception))
         self.assertFalse(guard.instances_to_avoid(lambda: 'b'))
--- a/tests/unit/test_readiness.py
+++ b/tests/unit/test_readiness.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from cranecart.logs import set_up_lines
+from cranecart.logs import set_up_log_queue
 from cranecart.models import ClientLimits
 from cranecart.serving import ServingNode
 from cranecart.serving._factories import server_limits
@@ -32,7 +32,7 @@
 
 def _node(file: Path) -> Any:
     live = LiveSettings(ServingSettings.from_file(file), file)
-    return ServingNode(live, set_up_lines('error', 'n'))
+    return ServingNode(live, set_up_log_queue('error', 'n'))
 
 
 class ReadinessTest(unittest.TestCase):
--- a/tests/unit/test_rollout.py
+++ b/tests/unit/test_rollout.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from cranecart.declarations import Declarations, compiled_to_json
-from cranecart.exceptions import DamagedObjectError
+from cranecart.exceptions import CorruptObjectError
 from cranecart.rollout import ActiveConfig, Release
 
 _ENCODED = compiled_to_json(Declarations('d', 'r', ('a',)))
@@ -33,7 +33,7 @@
         """The active release stays in effect."""
         active_config = ActiveConfig()
         active_config.activate(Release(1, _SHA256), _ENCODED)
-        with self.assertRaises(DamagedObjectError):
+        with self.assertRaises(CorruptObjectError):
             damaged = b'%b%bx' % (_ENCODED, damage)
             active_config.activate(Release(2, _SHA256), damaged)
         self.assertEqual(active_config.release.version, 1)
@@ -42,11 +42,11 @@
     def test_other_declarations_are_refused(self) -> None:
         """Valid declarations that do not match the accepted checksum."""
         other = compiled_to_json(Declarations('other', 'r', ('a',)))
-        with self.assertRaises(DamagedObjectError):
+        with self.assertRaises(CorruptObjectError):
             ActiveConfig().activate(Release(1, _SHA256), other)
 
     def test_undecodable_bytes_are_refused(self) -> None:
         """A matching checksum is not enough if the contents cannot be decoded."""
         sha256 = hashlib.sha256(b'{}').hexdigest()
-        with self.assertRaises(DamagedObjectError):
+        with self.assertRaises(CorruptObjectError):
             ActiveConfig().activate(Release(1, sha256), b'{}')
--- a/tests/unit/test_settings.py
+++ b/tests/unit/test_settings.py
@@ -77,10 +77,10 @@
             self.file,
             lambda: now[0],
         )
-        self.assertFalse(live.look())
+        self.assertFalse(live.reload_if_changed())
         self._write(retry_slack=7, node_id='other')
         now[0] += 2
-        self.assertTrue(live.look())
+        self.assertTrue(live.reload_if_changed())
         self.assertEqual(live.current.retry_slack, 7)
         self.assertEqual(live.current.node_id, 'n')
 
--- a/tests/unit/test_source_follower.py
+++ b/tests/unit/test_source_follower.py
@@ -11,7 +11,7 @@
 from cranecart.fleet import Extent, SourceFollower, SourceUpdate, UpdateSharing
 from cranecart.http import Address
 from cranecart.mesh import ListNews, decode_mesh_message, encode_mesh_message
-from cranecart.ports import Changes, Snapshot, version_in
+from cranecart.ports import Changes, Snapshot, make_version
 from tests.lib.fake_engines import listed_instance
 from tests.lib.waiting import until
 
@@ -179,7 +179,7 @@
             apply_restored=lambda items: restored.append(dict(items)),
         )
         follower._apply_snapshot(9, {'a': '1'}, Extent.COMPLETE)
-        later = version_in(1, 5)
+        later = make_version(1, 5)
         differences = {'a': None, 'b': '2'}
         follower.apply_update(
             SourceUpdate(9, later, differences, Extent.COMPLETE, 9)
--- a/tests/unit/test_startup_gate.py
+++ b/tests/unit/test_startup_gate.py
@@ -12,8 +12,8 @@
 
 from cranecart.exceptions import (
     NoReplicaError,
-    NotInformedError,
     OverloadedError,
+    ReplicasUnknownError,
 )
 from cranecart.forwarding import StartupGate
 
@@ -75,7 +75,7 @@
         error = NoReplicaError('none serves')
         uninformed = _gate(_Node(informed_at=float('inf')))
         reported = uninformed.error_for_client(error)
-        self.assertIsInstance(reported, NotInformedError)
+        self.assertIsInstance(reported, ReplicasUnknownError)
         self.assertIsNotNone(reported.retry_after)
         informed = _gate(_Node(informed_at=0))
         self.assertIs(informed.error_for_client(error), error)
--- a/tests/unit/test_surplus_responses.py
+++ b/tests/unit/test_surplus_responses.py
@@ -21,7 +21,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cranecart.exceptions import TargetBrokenError
+from cranecart.exceptions import TargetFailedError
 from cranecart.forwarding import EventSplitter
 from cranecart.http import Address
 from cranecart.instances import Instance, InstanceKind
@@ -204,7 +204,7 @@
     def test_response_without_request_id(self) -> None:
         """It is rejected in this protocol too."""
         silent = ResponseStyle('x-request-id', includes_id=False)
-        with self.assertRaises(TargetBrokenError):
+        with self.assertRaises(TargetFailedError):
             curio.run(_call_natively, ScriptedService(_ANY_PORT, silent))
 
 
@@ -216,7 +216,7 @@
         splitter = EventSplitter()
         splitter.feed(b'id: 4\ndata: d\n\nid: 5')
         splitter.restart()
-        with self.assertRaises(TargetBrokenError):
+        with self.assertRaises(TargetFailedError):
             splitter.feed(b'id: 1\ndata: a\n\n')
 
     def test_stream_that_continues(self) -> None:
--- a/tests/unit/test_target_throttle.py
+++ b/tests/unit/test_target_throttle.py
@@ -11,14 +11,14 @@
 
 from cranecart.forwarding import TargetConnectionPool
 from cranecart.http import HttpConnection
-from cranecart.ports import AnswerFacts, Incarnation, ListedInstance
+from cranecart.ports import Incarnation, ListedInstance, ResponseInfo
 from cranecart.routing import RoutingRequest
 from cranecart.throttling import TargetThrottle
 from tests.lib.fake_targets import CONFIG, MODEL, Exchange, GatewayTestbed
 
 _INCARNATION = Incarnation('i1', 7)
-_REFUSAL = AnswerFacts('r1', False, True, rest_seconds=3)
-_SUCCESS = AnswerFacts('r1', True, False)
+_REFUSAL = ResponseInfo('r1', False, True, backoff_seconds=3)
+_SUCCESS = ResponseInfo('r1', True, False)
 
 
 class BackoffTest(unittest.TestCase):
@@ -52,7 +52,7 @@
     def test_a_later_back_off_only_extends_it(self) -> None:
         """Responses overtake each other."""
         self.now = 12
-        brief = attrs.evolve(_REFUSAL, rest_seconds=0.1)
+        brief = attrs.evolve(_REFUSAL, backoff_seconds=0.1)
         self.throttle.record_response(_INCARNATION, brief, 11)
         self.assertEqual(self.throttle.seconds_until_accepted(_INCARNATION), 1)
         self.throttle.record_response(_INCARNATION, _REFUSAL, 11)
@@ -64,7 +64,7 @@
 
     def test_the_share_of_a_limit_is_logged(self) -> None:
         """No log line showed what a node may send."""
-        limited = AnswerFacts('r1', True, False, limit=2)
+        limited = ResponseInfo('r1', True, False, limit=2)
         with self.assertLogs('cranecart.decisions', 'INFO') as captured:
             self.throttle.record_response(_INCARNATION, limited, 9)
         fields = map(operator.attrgetter('fields'), captured.records)
@@ -75,7 +75,7 @@
 
     def test_a_back_off_and_a_limit_both_apply(self) -> None:
         """The limit goes on after the back-off has ended."""
-        limited = AnswerFacts('r1', True, False, limit=2)
+        limited = ResponseInfo('r1', True, False, limit=2)
         self.throttle.record_response(_INCARNATION, limited, 9)
         self.now = 11
         self.assertFalse(self.throttle.accepts(_INCARNATION))
@@ -93,7 +93,7 @@
         """Receive a limit of two requests a second."""
         self.now = float(10)
         self.throttle = TargetThrottle(clock=self.clock)
-        limited = AnswerFacts('r1', True, False, limit=2)
+        limited = ResponseInfo('r1', True, False, limit=2)
         self.throttle.record_response(_INCARNATION, limited, 9)
         self.sent: Counter[int] = Counter()
 
@@ -135,7 +135,7 @@
             )
         )
         for limit in (50, 2):
-            facts = AnswerFacts('r1', True, False, limit=limit)
+            facts = ResponseInfo('r1', True, False, limit=limit)
             throttle.record_response(_INCARNATION, facts, time.monotonic() + 60)
         self.assertEqual(requested, [12, 1])
 
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -333,8 +333,8 @@
     Mutation(
         'row-versions-without-era',
         'platform/_store.py',
-        'self.schema_version = version_in(era, self.schema_version)',
-        'self.schema_version = version_in(0, self.schema_version)',
+        'self.schema_version = make_version(era, self.schema_version)',
+        'self.schema_version = make_version(0, self.schema_version)',
         f'{_ROW_VERSIONS}.test_versions_rise_over_a_restore',
     ),
     Mutation(
@@ -347,7 +347,7 @@
     Mutation(
         'fencing-tokens-restart-after-restore',
         'leases/_lease.py',
-        'fencing = version_in(self._table.era, 1)',
+        'fencing = make_version(self._table.era, 1)',
         'fencing = 1',
         'tests.unit.test_lease.LeaseTest.test_holder_renews_after_a_restore',
     ),
