--- a/src/cranecart/clocks.py
+++ b/src/cranecart/clocks.py
@@ -1,39 +1,39 @@
-"""The clocks of a node, and which is for what.
-
-A machine may be suspended for seconds. The steady clock does not count that
-time, and timers of the event loop go by it, so that they fire late by as much;
-others have meanwhile taken duties over and given calls up. Whatever is compared
-with the outside (deadlines, leases, ages of what others told, idle connections,
-windows of budgets) goes by ``since_boot``. The time of day may jump, and is for
-people only.
+"""Clocks of a node and when to use each.
+
+A machine may be suspended for seconds. The monotonic clock does not count
+that time, and timers of the event loop use it, so they fire late by as much.
+Meanwhile, other nodes have taken over duties and abandoned calls. Times that
+relate to other processes (deadlines, leases, ages of reported data, idle
+connections, budget windows) use ``since_boot``. The wall clock may jump and is
+used for display only.
 """
 
 import time
 
 import attrs
 
-# Below it a drift of the two clocks is that of reading one after the other.
+# A smaller difference comes from reading the two clocks one after the other.
 _LEAST_SECONDS = 0.05
 
 
 def since_boot() -> float:
-    """Return the seconds since the machine started, suspensions included."""
+    """Return the seconds since boot, including suspensions."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def awake_seconds() -> float:
-    """Return seconds that a suspension leaves out; they start anywhere."""
+    """Return monotonic seconds without suspensions, from any origin."""
     return time.monotonic()
 
 
 @attrs.define
 class SuspensionWatch:
-    """Notices that the machine was suspended, as its two clocks drift apart."""
+    """Detects suspensions of the machine by the drift between its clocks."""
 
     _apart: float = attrs.field(factory=lambda: since_boot() - awake_seconds())
 
     def slept_seconds(self) -> float:
-        """Return for how long the machine was suspended since last asked."""
+        """Return the seconds of suspension since the last call."""
         apart = since_boot() - awake_seconds()
         slept = apart - self._apart
         if slept < _LEAST_SECONDS:
--- a/src/cranecart/exceptions.py
+++ b/src/cranecart/exceptions.py
@@ -1,4 +1,4 @@
-"""The tree of errors; each says what happened and what to do about it."""
+"""Exception hierarchy of the program."""
 
 import enum
 from typing import final
@@ -12,15 +12,15 @@
 
 
 class CranecartError(Exception):
-    """Base of every error that the program raises on purpose."""
+    """Base class of all errors that the program raises."""
 
 
 class ConfigError(CranecartError):
-    """Declarations or settings are wrong; nothing was changed."""
+    """Declarations or settings are invalid; nothing was changed."""
 
 
 class UsageError(CranecartError):
-    """A command was called with other words than it takes."""
+    """A command was called with invalid arguments."""
 
 
 class HttpError(CranecartError):
@@ -28,57 +28,57 @@
 
 
 class ConnectFailedError(HttpError):
-    """No connection was made, so nothing was sent."""
+    """The connection could not be established; nothing was sent."""
 
 
 @final
 class ConnectRefusedError(ConnectFailedError):
-    """The host answered that nothing listens at the port."""
+    """The host refused the connection: nothing listens on the port."""
 
 
 class ConnectionBrokenError(HttpError):
-    """The connection ended before the whole message was exchanged."""
+    """The connection closed before the message was complete."""
 
 
 class PeerTimeoutError(HttpError):
-    """The peer did not answer within the time it was given."""
+    """The peer did not answer within the timeout."""
 
 
 class BadMessageError(HttpError):
-    """The peer sent something that is not acceptable HTTP."""
+    """The peer sent invalid or unsupported HTTP."""
 
     def __init__(self, message: str, status: int = 400) -> None:
-        """Keep the status code that tells the peer what was wrong."""
+        """Store the HTTP status code to answer the peer with."""
         super().__init__(message)
         self.status = status
 
 
 class PlatformError(CranecartError):
-    """Base of the errors of the platform's services."""
+    """Base class of errors of the platform's services."""
 
 
 class PlatformUnavailableError(PlatformError):
-    """The platform did not take the call; a read or write did not happen."""
+    """The platform did not accept the call; nothing was read or written."""
 
 
 class WriteUnknownError(PlatformError):
-    """A write was sent but its answer was lost; read back to find out."""
+    """The response to a write was lost; read back to learn the outcome."""
 
 
 class WriteConflictError(PlatformError):
-    """A condition of a transaction did not hold; nothing was written."""
+    """A precondition of a transaction failed; nothing was written."""
 
 
 class HistoryLostError(PlatformError):
-    """Changes since a version cannot be had; read everything anew."""
+    """Changes since a version are unavailable; a full read is needed."""
 
 
 class PlatformTimeoutError(PlatformUnavailableError):
-    """No answer came in time; other connections may be silent as well."""
+    """No response came in time; other connections may be dead as well."""
 
 
 class ReadAbandonedError(PlatformError):
-    """A read was given up, as its connection may be silent; ask anew."""
+    """A read was abandoned because its connection may be dead; retry."""
 
 
 class CorruptObjectError(PlatformError):
@@ -86,92 +86,92 @@
 
 
 class TargetError(CranecartError):
-    """Base of the errors of a target; says whether the request ran."""
+    """Base class of target errors; tells whether the request ran."""
 
     execution = Execution.OUTCOME_UNKNOWN
 
 
 @final
 class TargetUnreachableError(TargetError):
-    """The request never left for the target."""
+    """The request was not sent to the target."""
 
     execution = Execution.NOT_RUN
 
 
 @final
 class TargetWithdrawnError(TargetError):
-    """The target said after it was chosen that it takes none; none was sent."""
+    """The chosen target stopped accepting requests before one was sent."""
 
     execution = Execution.NOT_RUN
 
 
 @final
 class TargetRefusedError(TargetError):
-    """The target itself said that it did not run the request."""
+    """The target reported that it did not run the request."""
 
     execution = Execution.NOT_RUN
 
 
 class TargetFailedError(TargetError):
-    """The target went away or answered wrongly after the request was sent."""
+    """The target failed or sent a bad response after the request was sent."""
 
 
 @final
 class TargetDisconnectedError(TargetFailedError):
-    """The connection ended before the answer did; the target may have ended."""
+    """The connection closed mid-response; the target may have crashed."""
 
 
 @final
 class TargetTimeoutError(TargetError):
-    """The target did not answer within the time the request had left."""
+    """The target did not answer before the request's deadline."""
 
 
 class OrderError(CranecartError):
-    """Base of the errors of an order to an engine instance."""
+    """Base class of errors of an order to an engine instance."""
 
 
 @final
 class OrderRefusedError(OrderError):
-    """The instance refused the order, which does not fit its state."""
+    """The instance refused the order as invalid in its state."""
 
 
 @final
 class OrderFencedError(OrderError):
-    """The instance has seen a later holder of the duty; stop ordering."""
+    """The instance has seen a newer lease holder; send no more orders."""
 
 
 @final
 class OrderUnknownError(OrderError):
-    """No answer came; the order may have been taken, or may be later."""
+    """No response came; the order may have been, or may yet be, executed."""
 
 
 @final
 class TargetGoneError(OrderError):
-    """That life of the instance is over; nothing of it serves any more."""
+    """That incarnation of the instance has ended and serves nothing."""
 
 
 @final
 class TargetNotListeningError(OrderError):
-    """The instance takes no connection: it crashed, or leaves soon.
+    """The instance accepts no connections: it crashed or is shutting down.
 
-    One that leaves stops listening before it has finished what it has, so
-    that a replica with this head may go on serving for some seconds.
+    An instance that shuts down stops listening before its requests finish,
+    so a replica led by it may keep serving for some seconds.
     """
 
 
 class LeaseLostError(CranecartError):
-    """The lease of a duty is no longer held; the duty's work must stop."""
+    """The lease of a duty was lost; work under it must stop."""
 
 
 class OperatorError(CranecartError):
-    """A call of an operator's command failed."""
+    """An operator command failed."""
 
 
 class RequestError(CranecartError):
-    """Base of the errors that a client is told.
+    """Base class of errors that are returned to clients.
 
-    ``status`` is the HTTP status, ``code`` the stable word for programs,
-    ``retry_after`` the seconds after which to come back, or ``None``.
+    ``status`` is the HTTP status, ``code`` the machine-readable error code,
+    ``retry_after`` the seconds to wait before a retry, or ``None``.
     """
 
     status = 500
@@ -185,7 +185,7 @@
         *,
         retry_after: float | None = None,
     ) -> None:
-        """Keep when to come back beside the message."""
+        """Store the message and, if given, the retry delay."""
         super().__init__(message)
         if retry_after is not None:
             self.retry_after = retry_after
@@ -220,7 +220,7 @@
 
 
 class OverLimitError(RequestError):
-    """The organisation is over its share."""
+    """The organisation exceeded its limit."""
 
     status = 429
     code = 'over_limit'
@@ -236,7 +236,7 @@
 
 
 class NoReplicaError(RequestError):
-    """No whole replica serves the model now."""
+    """No complete replica currently serves the model."""
 
     status = 503
     code = 'no_replica'
@@ -244,11 +244,11 @@
 
 
 class QuarantinedRequestError(RequestError):
-    """The request has ended several targets, and is not sent to another.
+    """The request is quarantined after it crashed several targets.
 
-    It is no mistake that its client could mend in the request, and one that is
-    held wrongly may be served later: it is told when to come back, long after
-    what it did is noticed.
+    The client cannot correct the request, and a request that is quarantined
+    wrongly may be served later, so the error carries a retry delay. The delay
+    is much longer than it takes to detect a crash.
     """
 
     status = 503
@@ -257,7 +257,7 @@
 
 
 class ClaimStoreUnavailableError(RequestError):
-    """The claim that a non-repeatable request needs cannot be made."""
+    """The store is unavailable for the claim of a non-repeatable request."""
 
     status = 503
     code = 'platform_unavailable'
@@ -273,7 +273,7 @@
 
 
 class ReplicasUnknownError(RequestError):
-    """The node has started and does not know the replicas yet."""
+    """The node has just started and does not know the replicas yet."""
 
     status = 503
     code = 'not_informed'
@@ -289,7 +289,7 @@
 
 
 class AllTargetsRefusedError(RequestError):
-    """Every target that was asked refused the request."""
+    """Every target that was tried refused the request."""
 
     status = 503
     code = 'not_taken'
@@ -297,7 +297,7 @@
 
 
 class InternalFaultError(RequestError):
-    """This node failed in a way that nobody thought of, before sending."""
+    """An unexpected error occurred in this node before sending."""
 
     status = 503
     code = 'internal_fault'
@@ -305,7 +305,7 @@
 
 
 class OutcomeUnknownError(RequestError):
-    """The request was sent and what became of it is not known."""
+    """The request was sent, but its outcome is unknown."""
 
     status = 502
     code = 'outcome_unknown'
@@ -313,14 +313,14 @@
 
 
 class RequestTimeoutError(OutcomeUnknownError):
-    """The time of the request or of its route passed while it ran."""
+    """The timeout of the request or its route passed while it ran."""
 
     status = 504
     code = 'timeout_passed'
 
 
 class ClaimUnreadableError(OutcomeUnknownError):
-    """The table is away, so an earlier copy's claim cannot be read."""
+    """The table is unavailable, so an earlier copy's claim is unreadable."""
 
     status = 503
     code = 'claim_unreadable'
--- a/src/cranecart/listening.py
+++ b/src/cranecart/listening.py
@@ -1,9 +1,8 @@
-"""Listen for clients before anything else of the program is loaded.
+"""Open the client listener before the rest of the program is imported.
 
-Loading takes most of a small machine's first second, and what finds no
-listener is refused and lost. Connections made meanwhile wait in the kernel's
-queue, and are answered as soon as the node can. Nothing heavier than sockets
-is imported here.
+Imports take most of the first second on a small machine, and connections
+without a listener are refused. Connections made meanwhile wait in the kernel's
+backlog until the node can answer. Only light modules are imported here.
 """
 
 import os
@@ -29,9 +28,9 @@
 
 
 def open_early() -> None:
-    """Listen at the address in the environment, if there is one.
+    """Listen on the address in the environment, if it is set.
 
-    What is wrong with it is told later, when the settings are read.
+    Errors are ignored here and reported later, when the settings are read.
     """
     host, _, port = os.environ.get(ADDRESS_VARIABLE, '').rpartition(':')
     if not host or not port.isdecimal():
--- a/src/cranecart/logs/_decisions.py
+++ b/src/cranecart/logs/_decisions.py
@@ -1,4 +1,4 @@
-"""Write a line for each decision."""
+"""Log decisions as structured lines."""
 
 import logging
 
--- a/src/cranecart/logs/_lines.py
+++ b/src/cranecart/logs/_lines.py
@@ -1,4 +1,4 @@
-"""Write log lines to standard output without ever waiting for it."""
+"""Write log lines to standard output without blocking."""
 
 import logging
 import os
@@ -13,33 +13,33 @@
 import msgspec
 
 _FLUSH_SECONDS = 0.1
-# About two seconds of lines at the most that a node writes in a storm.
-_MOST_LINES = 4000
-_MOST_BYTES_AT_ONCE = 32768
+# About two seconds of output at a node's highest log rate.
+_MAX_QUEUED_LINES = 4000
+_MAX_BLOCK_BYTES = 32768
 _ENCODER = msgspec.json.Encoder(enc_hook=str)
 
 
 class LogQueue(logging.Handler):
-    """Keeps lines until there is room for them; drops and counts the rest."""
+    """Queues lines until they can be written; drops and counts the excess."""
 
     def __init__(self, node: str, file_descriptor: int) -> None:
-        """Start with nothing to write."""
+        """Start with an empty queue."""
         super().__init__()
         self.dropped = 0
         self.written_bytes = 0
         self._node = node
         self._descriptor = file_descriptor
         self._lines: deque[bytes] = deque()
-        self._told_dropped = 0
+        self._reported_dropped = 0
 
     @classmethod
     def to_standard_output(cls, node: str) -> Self:
-        """Write to standard output."""
+        """Make a queue for standard output."""
         return cls(node, sys.stdout.fileno())
 
     def emit(self, record: logging.LogRecord) -> None:
         """Queue one record as a JSON object."""
-        if len(self._lines) >= _MOST_LINES:
+        if len(self._lines) >= _MAX_QUEUED_LINES:
             self.dropped += 1
             return
         fields = getattr(record, 'fields', None)
@@ -56,7 +56,7 @@
         self._lines.append(_encode(line))
 
     async def run(self) -> None:
-        """Write what is queued, a few times a second, until cancelled."""
+        """Write queued lines periodically until cancelled."""
         try:
             while True:
                 await curio.sleep(_FLUSH_SECONDS)
@@ -65,24 +65,24 @@
             self.write_queued()
 
     def write_queued(self) -> None:
-        """Write as much as standard output takes at once."""
-        self._tell_of_drops()
+        """Write as much as standard output accepts without blocking."""
+        self._report_drops()
         while self._lines and self._is_writable():
             block = bytearray()
-            while self._lines and len(block) < _MOST_BYTES_AT_ONCE:
+            while self._lines and len(block) < _MAX_BLOCK_BYTES:
                 block += self._lines.popleft()
             self.written_bytes += len(block)
             _write_all(self._descriptor, bytes(block))
 
-    def _tell_of_drops(self) -> None:
-        news = self.dropped - self._told_dropped
-        if news and len(self._lines) < _MOST_LINES:
-            self._told_dropped = self.dropped
+    def _report_drops(self) -> None:
+        newly_dropped = self.dropped - self._reported_dropped
+        if newly_dropped and len(self._lines) < _MAX_QUEUED_LINES:
+            self._reported_dropped = self.dropped
             line = {
                 'time': round(time.time(), 4),
                 'node': self._node,
                 'event': 'log_lines_dropped',
-                'lines': news,
+                'lines': newly_dropped,
             }
             self._lines.append(_encode(line))
 
@@ -111,13 +111,13 @@
     root = logging.getLogger()
     root.handlers = [lines]
     set_log_level(level)
-    # It warns where a call ends just as its time runs out, which is handled.
+    # Curio warns if a call ends just as its timeout fires, which is handled.
     logging.getLogger('curio').setLevel(logging.ERROR)
     return lines
 
 
 def set_log_level(level: str) -> None:
-    """Write lines of a level and above."""
+    """Log lines of this level and above."""
     logging.getLogger().setLevel(level.upper())
 
 
@@ -129,9 +129,9 @@
 
 @attrs.define
 class RequestTrace:
-    """The decisions about one request, written together or not at all.
+    """Log lines of one request, written together or not at all.
 
-    A notable request is always written, whatever becomes of it.
+    A notable request is always logged, whatever its outcome.
     """
 
     request_id: str
@@ -142,11 +142,11 @@
     )
 
     def add(self, event: str, **fields: object) -> None:
-        """Keep one decision until it is known whether it is written."""
+        """Buffer one decision until the trace is written or discarded."""
         self._lines.append((time.time(), event, fields))
 
     def write(self) -> None:
-        """Write all decisions of the request, each with its own time."""
+        """Log all decisions of the request, each with its own timestamp."""
         for at, event, fields in self._lines:
             _DECISIONS.info(
                 event,
--- a/src/cranecart/logs/_unreadable.py
+++ b/src/cranecart/logs/_unreadable.py
@@ -1,4 +1,4 @@
-"""Tell of rows that cannot be read, once a change and within a rate."""
+"""Log unreadable rows once per change and within a rate limit."""
 
 from collections.abc import Callable
 
@@ -7,45 +7,45 @@
 from cranecart.clocks import since_boot
 from cranecart.logs._decisions import log_decision
 
-# Rows are named by whoever writes them, so that what is remembered is bounded.
-_MOST_REMEMBERED = 256
-# A writer whose every row is wrong in another way must not fill the log, which
-# holds 4,000 lines: what is over this in a second is counted.
-_MOST_A_SECOND = 5
+# Other writers choose the row names, so the memory of them is bounded.
+_MAX_REMEMBERED_ROWS = 256
+# A writer that produces many different errors must not fill the log queue of
+# 4,000 lines; lines over this rate are only counted.
+_MAX_LINES_PER_SECOND = 5
 
 
 @attrs.define
 class UnreadableRowLog:
-    """What was said last of each row that could not be read."""
+    """Logs each unreadable row unless its last error is unchanged."""
 
     event: str
     _clock: Callable[[], float] = since_boot
-    _said: dict[str, str] = attrs.field(factory=dict, init=False)
+    _last_errors: dict[str, str] = attrs.field(factory=dict, init=False)
     _second: int = attrs.field(default=0, init=False)
-    _told: int = attrs.field(default=0, init=False)
+    _logged_in_second: int = attrs.field(default=0, init=False)
     _left_out: int = attrs.field(default=0, init=False)
 
     def report(self, key: str, why: str) -> None:
-        """Log that a row cannot be read, unless that was said."""
-        if self._said.get(key) == why:
+        """Log that a row is unreadable, unless this error was just logged."""
+        if self._last_errors.get(key) == why:
             return
-        self._said[key] = why
-        for oldest in list(self._said)[:-_MOST_REMEMBERED]:
-            self._said.pop(oldest)
-        if not self._has_room():
+        self._last_errors[key] = why
+        for oldest in list(self._last_errors)[:-_MAX_REMEMBERED_ROWS]:
+            self._last_errors.pop(oldest)
+        if not self._is_within_rate():
             self._left_out += 1
             return
         log_decision(self.event, row=key, why=why, left_out=self._left_out)
         self._left_out = 0
 
     def mark_readable(self, key: str) -> None:
-        """Take over that a row can be read, or has gone."""
-        self._said.pop(key, None)
+        """Forget the error of a row that is readable now or was deleted."""
+        self._last_errors.pop(key, None)
 
-    def _has_room(self) -> bool:
+    def _is_within_rate(self) -> bool:
         second = int(self._clock())
         if second != self._second:
             self._second = second
-            self._told = 0
-        self._told += 1
-        return self._told <= _MOST_A_SECOND
+            self._logged_in_second = 0
+        self._logged_in_second += 1
+        return self._logged_in_second <= _MAX_LINES_PER_SECOND
--- a/src/cranecart/ports/_calls.py
+++ b/src/cranecart/ports/_calls.py
@@ -1,4 +1,4 @@
-"""The form of calls: what the product reads from and writes into them."""
+"""Interface for translating requests and responses."""
 
 from typing import Protocol
 
@@ -9,10 +9,10 @@
 
 @attrs.frozen
 class RequestInfo:
-    """What a client's request says about itself.
+    """Metadata of a client's request.
 
     ``deadline_seconds`` is how long the client waits, ``resume_after`` the
-    id of the last event that it has of an earlier answer.
+    id of the last event that it received of an earlier response.
     """
 
     request_id: str
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class Dispatch:
-    """What the product adds when it sends a request to a target."""
+    """What a node adds to a request that it sends to a target."""
 
     instance_id: str
     seconds_left: float
@@ -38,13 +38,14 @@
 
 @attrs.frozen
 class ResponseInfo:
-    """What a target's answer says about itself.
-
-    ``not_run`` holds only where the target itself promises it;
-    ``at_fault`` names the instance that it could not work without.
-    ``limit`` is how many requests a second it takes from all nodes together,
-    ``rest_seconds`` for how long it wants none of this node, and ``is_leaving``
-    tells that it ends soon and wants none any more. ``unreadable`` holds what it says of itself that cannot be understood.
+    """Metadata of a target's response.
+
+    ``not_run`` is true only if the target itself reports it;
+    ``failed_instance`` names the instance without which it could not work.
+    ``limit`` is how many requests a second it accepts from all nodes together,
+    ``backoff_seconds`` how long this node should send none, and ``is_leaving``
+    tells that it is shutting down. ``unreadable`` holds the values among these
+    that could not be parsed.
     """
 
     request_id: str
@@ -58,19 +59,19 @@
 
 
 class CallTranslator(Protocol):
-    """Translates calls between clients, the product and targets."""
+    """Translates calls between clients, nodes and targets."""
 
     def read_request(self, request: Request) -> RequestInfo:
-        """Read a client's request; raise ``InvalidRequestError``."""
+        """Parse a client's request; raise ``InvalidRequestError``."""
 
     def request_for(self, request: Request, dispatch: Dispatch) -> Request:
-        """Return the request as a target gets it."""
+        """Return the request in the form that targets expect."""
 
     def read_response(self, head: ResponseHead) -> ResponseInfo:
-        """Read the head of a target's answer."""
+        """Parse the head of a target's response."""
 
     def response_headers(self, head: ResponseHead) -> HeaderLines:
-        """Return the headers of a target's answer that a client gets."""
+        """Return the headers of a target's response to pass to the client."""
 
     def error_response(
         self,
@@ -80,4 +81,4 @@
         message: str,
         retry_after: float | None,
     ) -> Response:
-        """Build an answer of the product's own."""
+        """Build an error response of the node itself."""
--- a/src/cranecart/ports/_versions.py
+++ b/src/cranecart/ports/_versions.py
@@ -1,24 +1,24 @@
-"""Versions of rows, which rise over all eras of a store.
+"""Row versions that increase across restores of the store.
 
-A store that comes back from a copy gives versions out again. Each return
-begins another era, and the era stands above the store's own number, so that
-what is newer has the greater version. The sum stays below 2 to the power of
-53, as JSON's readers may keep numbers as fractions.
+A store that is restored from a backup issues numbers again. Each restore
+begins a new era, which forms the high part of a version, so that newer rows
+have greater versions. Versions stay below 2 to the power of 53, as JSON
+readers may store numbers as floats.
 """
 
 _NUMBERS = 1_000_000_000_000
 
 
 def make_version(era: int, number: int) -> int:
-    """Return the version of what an era's store gave a number."""
+    """Combine an era and the store's number into a version."""
     return era * _NUMBERS + number
 
 
 def era_of(version: int) -> int:
-    """Return the era in which a version was given out."""
+    """Return the era in which a version was issued."""
     return version // _NUMBERS
 
 
 def store_number_of(version: int) -> int:
-    """Return a version's number as the store knows it."""
+    """Return the store's own number of a version."""
     return version % _NUMBERS
--- a/src/cranecart/signals.py
+++ b/src/cranecart/signals.py
@@ -1,4 +1,4 @@
-"""Wait for the signals that ask a process to stop or to read its settings."""
+"""Handle the signals to stop and to reload the settings."""
 
 import contextlib
 import signal
@@ -13,21 +13,21 @@
 
 
 class StopSignal:
-    """Becomes true once the process was asked to stop."""
+    """Waits for a signal to stop the process."""
 
     def __init__(
         self,
         reader: curio.io.Socket,
         hang_up: Callable[[], None] | None,
     ) -> None:
-        """Wrap the end of the pipe that signals write to."""
+        """Wrap the socket to which signal numbers are written."""
         self._reader = reader
         self._hang_up = hang_up
 
     async def wait(self) -> None:
-        """Return when the first stop signal has come.
+        """Return on the first stop signal.
 
-        What asks for new settings is told meanwhile.
+        Until then, call the handler, if any, on each SIGHUP.
         """
         while True:
             received = await self._reader.recv(1)
@@ -42,11 +42,11 @@
 async def stop_signal(
     hang_up: Callable[[], None] | None = None,
 ) -> AsyncGenerator[StopSignal, None]:
-    """Take over the stop signals while the context lasts.
+    """Handle the stop signals while the context lasts.
 
-    With ``hang_up`` the process lives on when its terminal or its operator
-    hangs up, and that is told instead. The interpreter's own handler writes each signal to a socket, so that
-    nothing but a read of it runs in the event loop.
+    With ``hang_up``, SIGHUP calls it instead of ending the process. The
+    interpreter's handler writes each signal to a socket, so the event loop
+    only reads from it.
     """
     reader, writer = socket.socketpair()
     reader.setblocking(False)
@@ -65,7 +65,7 @@
 
 
 def raise_first_error(tasks: curio.TaskGroup) -> None:
-    """Raise what the first task to end ended with, if with an error."""
+    """Raise the exception of the first task to finish, if any."""
     error = tasks.exception
     if error is not None:
         raise error
