--- a/src/cranecart/demand/__init__.py
+++ b/src/cranecart/demand/__init__.py
@@ -1,4 +1,4 @@
-"""What each model's requests take of the engines, as a node measures it."""
+"""Measurement of each model's demand by a node."""
 
 from cranecart.demand._demand import DemandMeter
 
--- a/src/cranecart/demand/_demand.py
+++ b/src/cranecart/demand/_demand.py
@@ -1,4 +1,4 @@
-"""How much work of each model comes in, fading with time."""
+"""Measure the incoming work of each model with exponential decay."""
 
 import math
 from collections.abc import Callable, Mapping
@@ -7,86 +7,87 @@
 
 from cranecart.clocks import since_boot
 
-# Some hundred requests of a node on the users' sheets, so that chance moves
-# the figure by a tenth, and short against the minutes in which traffic moves
-# from one model to another.
-_FADE_SECONDS = 20.0
-# Where hardly any request of a model was served, one of this work is assumed:
-# what a request of a thousand tokens and some twenty events takes.
-_ASSUMED_SECONDS = 0.1
-# Requests of a shorter time tell too little.
-_LEAST_AGE_SECONDS = 1.0
+# Covers some hundred requests of a node at the users' rates, so that random
+# variation is about 10 %, and is short compared to the minutes in which traffic
+# shifts between models.
+_DECAY_SECONDS = 20.0
+# Prior for models with few served requests: one request of this work, that of
+# a thousand prompt tokens and some twenty events.
+_PRIOR_WORK_SECONDS = 0.1
+# A shorter measurement is too unreliable.
+_MIN_AGE_SECONDS = 1.0
 
 
 @attrs.define
 class _ModelDemand:
-    came: float = 0
-    ended: float = 0
+    arrived: float = 0
+    served: float = 0
     work: float = 0
 
-    def fade(self, factor: float) -> None:
-        self.came *= factor
-        self.ended *= factor
+    def decay(self, factor: float) -> None:
+        self.arrived *= factor
+        self.served *= factor
         self.work *= factor
 
-    def mean(self) -> float:
-        return (self.work + _ASSUMED_SECONDS) / (self.ended + 1)
+    def mean_work(self) -> float:
+        return (self.work + _PRIOR_WORK_SECONDS) / (self.served + 1)
 
     def total(self) -> float:
-        return self.mean() * self.came
+        return self.mean_work() * self.arrived
 
 
 @attrs.define
 class DemandMeter:
-    """The requests that came for each model, times what one of them takes.
+    """Estimates demand as the request rate times the mean work per request.
 
-    Requests that were refused count as well: they are what is not served yet.
+    Refused requests count as well, as they are unserved demand.
     """
 
     _clock: Callable[[], float] = since_boot
     _models: dict[str, _ModelDemand] = attrs.field(factory=dict, init=False)
-    _at: float | None = attrs.field(default=None, init=False)
-    _since: float | None = attrs.field(default=None, init=False)
+    _updated_at: float | None = attrs.field(default=None, init=False)
+    _started_at: float | None = attrs.field(default=None, init=False)
 
     def record_request(self, model: str) -> None:
-        """Count a request that came in."""
-        if self._since is None:
-            self._since = self._clock()
-        self._fade()
-        self._models.setdefault(model, _ModelDemand()).came += 1
+        """Count an incoming request."""
+        if self._started_at is None:
+            self._started_at = self._clock()
+        self._decay()
+        self._models.setdefault(model, _ModelDemand()).arrived += 1
 
     def record_work(self, model: str, seconds: float) -> None:
-        """Count the work of one that was served, as a replica's seconds."""
-        self._fade()
+        """Count the work of a served request, in replica seconds."""
+        self._decay()
         demand = self._models.setdefault(model, _ModelDemand())
-        demand.ended += 1
+        demand.served += 1
         demand.work += seconds
 
     def mean_seconds(self, model: str) -> float:
-        """Return a replica's seconds that a request of a model takes."""
+        """Return the mean replica seconds per request of a model."""
         known = self._models.get(model)
-        return _ASSUMED_SECONDS if known is None else known.mean()
+        return _PRIOR_WORK_SECONDS if known is None else known.mean_work()
 
     def by_model(self) -> Mapping[str, float]:
-        """Return the work that comes in a second, in a replica's seconds.
+        """Return the incoming replica seconds per second of each model.
 
-        That is how many replicas it would fill.
+        That is the number of replicas that the demand fully occupies.
         """
-        self._fade()
-        if self._at is None or self._since is None:
+        self._decay()
+        if self._updated_at is None or self._started_at is None:
             return {}
-        age = self._at - self._since
-        if age < _LEAST_AGE_SECONDS:
+        age = self._updated_at - self._started_at
+        if age < _MIN_AGE_SECONDS:
             return {}
-        window = _FADE_SECONDS * (1 - math.exp(-age / _FADE_SECONDS))
+        window = _DECAY_SECONDS * (1 - math.exp(-age / _DECAY_SECONDS))
         return {
-            name: one.total() / window for name, one in self._models.items()
+            name: demand.total() / window
+            for name, demand in self._models.items()
         }
 
-    def _fade(self) -> None:
+    def _decay(self) -> None:
         now = self._clock()
-        if self._at is not None:
-            factor = math.exp((self._at - now) / _FADE_SECONDS)
+        if self._updated_at is not None:
+            factor = math.exp((self._updated_at - now) / _DECAY_SECONDS)
             for demand in self._models.values():
-                demand.fade(factor)
-        self._at = now
+                demand.decay(factor)
+        self._updated_at = now
--- a/src/cranecart/models/__init__.py
+++ b/src/cranecart/models/__init__.py
@@ -1,4 +1,4 @@
-"""Data that several packages share, apart from any I/O."""
+"""Data classes that several packages share; without I/O."""
 
 from cranecart.models._routes import (
     ClientLimits,
--- a/src/cranecart/models/_routes.py
+++ b/src/cranecart/models/_routes.py
@@ -1,4 +1,4 @@
-"""Which requests go where: routes, services and keys of one version."""
+"""Route configuration: routes, services and API keys."""
 
 import functools
 import hashlib
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class Share:
-    """A service's part of a route's requests; weights need not sum to 100."""
+    """A service's weight among those of a route; weights need not sum to 100."""
 
     service: str
     weight: float
@@ -21,9 +21,10 @@
 class Route:
     """How requests of one host and path prefix are served.
 
-    ``objective_seconds`` is the time to the answer, or to the first event of
-    a stream, that users are content with; ``rank`` is 0 for the route that
-    goes first; ``attempts`` bounds the targets that one request is sent to.
+    ``objective_seconds`` is the latency objective for the response, or for
+    the first event of a stream. ``pause_seconds`` is that for the gap between
+    events. ``rank`` is the priority, 0 being the highest. ``attempts``
+    bounds the targets that one request is sent to.
     """
 
     name: str
@@ -50,7 +51,7 @@
 class EngineModel:
     """A model whose replicas span ``size`` instances of a fabric domain.
 
-    ``pace`` multiplies all its times; ``share`` is its part of the work.
+    ``pace`` multiplies all its times; ``share`` is its share of the work.
     """
 
     name: str
@@ -63,12 +64,12 @@
 
 @attrs.frozen
 class EngineProfile:
-    """What is known of a service's engines; times in seconds.
+    """Declared properties of a service's engines.
 
     ``slots`` is how many requests a replica runs at once,
-    ``staged_models`` how many models an instance keeps on its host. More
+    ``staged_models`` how many models an instance caches in host memory. More
     than ``loads_at_once`` loads from the weight store slow each other down.
-    ``timing`` tells what requests cost there.
+    ``timing`` gives the cost of requests.
     """
 
     models: tuple[EngineModel, ...]
@@ -86,7 +87,7 @@
 
 @attrs.frozen
 class ServiceProfile:
-    """A service that routes name; ``engine`` where replicas serve it."""
+    """A service that routes refer to; ``engine`` is set if replicas serve it."""
 
     name: str
     engine: EngineProfile | None = None
@@ -94,7 +95,7 @@
 
 @attrs.frozen
 class ClientLimits:
-    """What a client may send, and how long it may take and rest."""
+    """Limits on the size and duration of client requests and idle time."""
 
     head_bytes: int = 16384
     body_bytes: int = 4194304
@@ -104,7 +105,7 @@
 
 @attrs.frozen
 class KeyHolder:
-    """An organisation as its keys give it away; no rank means the route's."""
+    """An organisation with its API keys; without a rank, the route's applies."""
 
     name: str
     key_sha256: tuple[str, ...]
@@ -112,15 +113,15 @@
 
 
 def hash_key(key: str) -> str:
-    """Return the form in which keys are kept."""
+    """Return the hash under which a key is stored."""
     return hashlib.sha256(key.encode('latin-1', 'replace')).hexdigest()
 
 
 @attrs.frozen
 class RouteConfig:
-    """One version of everything that decides where requests go.
+    """One version of the route configuration.
 
-    Where ``holders`` is ``None`` no request needs a key.
+    If ``holders`` is ``None``, requests need no key.
     """
 
     version: int
@@ -130,33 +131,33 @@
     limits: ClientLimits = attrs.field(factory=ClientLimits)
 
     def route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins a path."""
+        """Return the route with the longest matching path prefix."""
         name = host.partition(':')[0].lower()
         end = path.rfind('/')
         while end >= 0:
-            found = self._by_place.get((name, path[: end + 1]))
+            found = self._routes_by_host_and_prefix.get((name, path[: end + 1]))
             if found is not None:
                 return found
             end = path.rfind('/', 0, end)
         return None
 
     def engine(self, service: str) -> EngineProfile | None:
-        """Return what is declared of a service's engines, if it has any."""
+        """Return the engine profile of a service, if it has one."""
         profile = self.services.get(service)
         return None if profile is None else profile.engine
 
     def holder(self, key: str) -> KeyHolder | None:
-        """Return the organisation that a key belongs to."""
-        return self._by_key.get(hash_key(key))
+        """Return the organisation to which a key belongs."""
+        return self._holders_by_digest.get(hash_key(key))
 
     @functools.cached_property
-    def _by_place(self) -> Mapping[tuple[str, str], Route]:
+    def _routes_by_host_and_prefix(self) -> Mapping[tuple[str, str], Route]:
         return {
             (route.host.lower(), route.prefix): route for route in self.routes
         }
 
     @functools.cached_property
-    def _by_key(self) -> Mapping[str, KeyHolder]:
+    def _holders_by_digest(self) -> Mapping[str, KeyHolder]:
         return {
             digest: holder
             for holder in self.holders or ()
--- a/src/cranecart/models/_timing.py
+++ b/src/cranecart/models/_timing.py
@@ -1,19 +1,20 @@
-"""What an engine's passes cost, as the operator declares it."""
+"""Cost model of an engine, as declared by the operator."""
 
 import attrs
 
 
 @attrs.frozen
 class EngineTiming:
-    """How long an engine's steps take at a pace of one.
-
-    A step writes one token of every request that writes; it takes
-    ``step_seconds``, ``request_seconds`` more for each of these requests and
-    ``context_seconds`` for each token of their contexts. Prompts are read at
-    ``prompt_rate`` tokens a second and ``pair_seconds`` for each pair of a
-    token and one before it. Requests are let in between passes of
-    ``steps_a_pass`` steps, each of which ends in one event of every stream.
-    The defaults are those of a middling engine, for targets that tell none.
+    """Durations of an engine's steps for a model with a pace of 1.
+
+    A step decodes one token of every running request. It takes
+    ``step_seconds``, plus ``request_seconds`` for each of these requests and
+    ``context_seconds`` for each token of their contexts. Prefill takes the
+    prompt's tokens divided by ``prompt_rate``, plus ``pair_seconds`` for each
+    pair of a token and an earlier one. New requests are admitted between
+    passes of ``steps_a_pass`` steps; each pass ends in one event of every
+    stream. The defaults are those of an average engine, for targets without
+    declared timing.
     """
 
     step_seconds: float = 0.006
@@ -24,17 +25,19 @@
     chunk_tokens: int = 2048
     steps_a_pass: float = 7
 
-    def pass_seconds(self, writers: float, context_tokens: float = 0) -> float:
-        """Return how long a pass takes while so many requests write."""
+    def pass_seconds(
+        self, decoding_requests: float, context_tokens: float = 0
+    ) -> float:
+        """Return the duration of a pass that decodes this many requests."""
         step = (
             self.step_seconds
-            + self.request_seconds * writers
+            + self.request_seconds * decoding_requests
             + self.context_seconds * context_tokens
         )
         return self.steps_a_pass * step
 
     def prompt_seconds(self, prompt_tokens: float) -> float:
-        """Return how long a prompt keeps an engine from writing."""
+        """Return the prefill time, in which the engine decodes nothing."""
         pairs = prompt_tokens * prompt_tokens / 2
         return prompt_tokens / self.prompt_rate + self.pair_seconds * pairs
 
@@ -44,10 +47,10 @@
         prompt_tokens: float,
         slots: int,
     ) -> float:
-        """Return the part of a full engine's time that a request takes.
+        """Return the engine time that one request takes under full load.
 
-        While all slots write, each has its part of a pass; what is read for
-        one is waited for by all.
+        With all slots decoding, each takes an equal part of a pass, but all
+        slots wait for one request's prefill.
         """
-        writing = events * self.pass_seconds(slots) / slots
-        return writing + self.prompt_seconds(prompt_tokens)
+        decode_seconds = events * self.pass_seconds(slots) / slots
+        return decode_seconds + self.prompt_seconds(prompt_tokens)
--- a/src/cranecart/settings/_native.py
+++ b/src/cranecart/settings/_native.py
@@ -1,4 +1,4 @@
-"""Settings of one node: its addresses, its place, its peers."""
+"""Settings of a node on the native platform."""
 
 from pathlib import Path
 from typing import Self
@@ -23,7 +23,7 @@
 
 @attrs.frozen(kw_only=True)
 class NodeSettings:
-    """What one process must know before it can ask anybody anything."""
+    """Settings that a process needs before it can contact others."""
 
     node_id: str = attrs.field(validator=attrs.validators.min_len(1))
     failure_domain: str
@@ -58,7 +58,7 @@
 
     @classmethod
     def from_file(cls, file: Path) -> Self:
-        """Read settings; raise ``FindingsError`` with all that is wrong."""
+        """Read settings; raise ``FindingsError`` with all errors."""
         document = read_document(file)
         if not isinstance(document.root, dict):
             raise FindingsError([Finding(str(file), 1, 'must be an object')])
@@ -66,20 +66,20 @@
 
     @property
     def client_listen_address(self) -> Address:
-        """Return where clients are served."""
+        """Return the address on which clients are served."""
         return Address.from_text(self.client_address)
 
     @property
     def operator_listen_address(self) -> Address:
-        """Return where operators are served."""
+        """Return the address of the admin interface."""
         return Address.from_text(self.operator_address)
 
     @property
     def reachable_peer_address(self) -> str:
-        """Return where other nodes reach this one."""
+        """Return the peer address at which other nodes reach this one."""
         return self.advertised_peer_address or self.peer_address
 
     @property
     def platform_endpoint(self) -> Address:
-        """Return where the platform is."""
+        """Return the address of the platform."""
         return Address.from_text(self.platform_address)
--- a/src/cranecart/settings/_reloading.py
+++ b/src/cranecart/settings/_reloading.py
@@ -1,4 +1,4 @@
-"""Take up changed settings while a process runs."""
+"""Reload changed settings while a process runs."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -10,9 +10,9 @@
 from cranecart.logs import log_decision
 from cranecart.settings._serving import ServingSettings
 
-# What a running process can take up; the rest says where it listens, who it
-# is and whom it asks, and needs a start.
-_LIVE = frozenset(
+# Settings that a running process can apply. The others concern its identity and
+# addresses, and need a restart.
+_RELOADABLE = frozenset(
     (
         'retry_ratio',
         'retry_slack',
@@ -24,63 +24,69 @@
         'first_start',
     ),
 )
-_LOOK_SECONDS = 1.0
+_CHECK_INTERVAL_SECONDS = 1.0
 
 
 @attrs.define
 class LiveSettings:
-    """The settings in force, and the file that they come from."""
+    """The current settings and the file that they are read from."""
 
     current: ServingSettings
     _file: Path
     _clock: Callable[[], float] = since_boot
-    _seen: tuple[int, int] | None = attrs.field(default=None, init=False)
-    _looked_at: float = attrs.field(default=float('-inf'), init=False)
+    _last_stamp: tuple[int, int] | None = attrs.field(default=None, init=False)
+    _checked_at: float = attrs.field(default=float('-inf'), init=False)
 
     def reload_if_changed(self) -> bool:
-        """Read the file if it has changed; return whether settings changed."""
-        if self._clock() - self._looked_at < _LOOK_SECONDS:
+        """Reload the file if it changed; return whether settings changed."""
+        if self._clock() - self._checked_at < _CHECK_INTERVAL_SECONDS:
             return False
-        self._looked_at = self._clock()
-        earlier = self._seen
-        self._seen = self._stamp()
-        if earlier is None or self._seen in {None, earlier}:
+        self._checked_at = self._clock()
+        earlier = self._last_stamp
+        self._last_stamp = self._stamp()
+        if earlier is None or self._last_stamp in {None, earlier}:
             return False
         return self.reload('the file has changed')
 
     def reload(self, why: str) -> bool:
         """Read the file; return whether settings changed.
 
-        A file with mistakes changes nothing.
+        An invalid file changes nothing.
         """
         try:
-            read = ServingSettings.from_file(self._file)
+            reread = ServingSettings.from_file(self._file)
         except (FindingsError, OSError) as error:
             log_decision('settings_refused', why=str(error))
             return False
-        changed = _differing(self.current, read)
-        live = changed & _LIVE
+        changed = _differing_fields(self.current, reread)
+        reloadable = changed & _RELOADABLE
         log_decision(
             'settings_read',
             why=why,
-            taken_up=sorted(live),
-            at_next_start=sorted(changed - _LIVE),
+            taken_up=sorted(reloadable),
+            at_next_start=sorted(changed - _RELOADABLE),
         )
         self.current = attrs.evolve(
             self.current,
-            **{name: getattr(read, name) for name in live},
+            **{name: getattr(reread, name) for name in reloadable},
         )
-        return bool(live)
+        return bool(reloadable)
 
     def _stamp(self) -> tuple[int, int] | None:
         try:
-            found = self._file.stat()
+            status = self._file.stat()
         except OSError:
             return None
-        return found.st_mtime_ns, found.st_size
+        return status.st_mtime_ns, status.st_size
 
 
-def _differing(one: ServingSettings, other: ServingSettings) -> set[str]:
-    ours = attrs.asdict(one)
-    theirs = attrs.asdict(other)
-    return {name for name, setting in ours.items() if setting != theirs[name]}
+def _differing_fields(
+    first: ServingSettings, second: ServingSettings
+) -> set[str]:
+    first_fields = attrs.asdict(first)
+    second_fields = attrs.asdict(second)
+    return {
+        name
+        for name, setting in first_fields.items()
+        if setting != second_fields[name]
+    }
--- a/src/cranecart/settings/_serving.py
+++ b/src/cranecart/settings/_serving.py
@@ -8,17 +8,17 @@
 from cranecart.documents import Finding, FindingsError, read_document, structure
 from cranecart.http import Address
 
-# What both users' sheets say today; their platforms' settings are used.
-_WINDOW_SECONDS = 10.0
+# Figures of both users' capacity sheets; their platforms set their own values.
+_RETRY_WINDOW_SECONDS = 10.0
 _STALL_MS = 4000.0
-_GRACE_SECONDS = 8.0
+_STOP_GRACE_SECONDS = 8.0
 _LEAVING_MS = 2000.0
-_DESCRIPTORS = 4096.0
-# A tenth of the requests, as long as nobody says what may be sent again.
+_MAX_DESCRIPTORS = 4096.0
+# At most a tenth of the requests is retried unless the platform sets a ratio.
 _RETRY_RATIO = 0.1
-# Enough ordinary requests to compare a failed one with.
-_LOGGED_SHARE = 0.05
-_NOT_NEGATIVE = attrs.validators.ge(float(0))
+# Enough successful requests to compare a failed one with.
+_LOGGED_SUCCESS_SHARE = 0.05
+_NON_NEGATIVE = attrs.validators.ge(float(0))
 
 
 def _is_address(
@@ -37,26 +37,26 @@
     return field
 
 
-def _figure(default: float) -> float:
-    # Platforms name whole numbers and fractions alike, and zeros.
-    field: float = attrs.field(default=default, validator=_NOT_NEGATIVE)
+def _non_negative_field(default: float) -> float:
+    # Platforms send integers and fractions alike, and zeros.
+    field: float = attrs.field(default=default, validator=_NON_NEGATIVE)
     return field
 
 
 @attrs.frozen(kw_only=True)
 class ServingSettings:
-    """What one process must know before it can ask anybody anything.
-
-    ``first_start`` holds only when the whole deployment starts for the first
-    time. The retry figures bound repeated sends over all nodes together:
-    ``retry_slack`` and ``retry_ratio`` of the requests in each window.
-    ``stall_ms`` is how long a replica without a member stands still before
-    it is broken, ``leaving_ms`` how long a leaving instance may still be sent
-    requests, ``stop_grace_seconds`` how long a stopping process is left.
+    """Settings that a process needs before it can contact others.
+
+    ``first_start`` is true only when the whole deployment starts for the first
+    time. The retry budget bounds retries over all nodes together: in each
+    window, ``retry_slack`` plus ``retry_ratio`` times the requests.
+    ``stall_ms`` is how long a replica that lost a member stalls before it
+    breaks, ``leaving_ms`` how long a leaving instance may still be sent
+    requests, ``stop_grace_seconds`` the time a process has to stop.
     ``max_descriptors`` is how many files and connections it may have open.
-    ``log_successes`` is the share of ordinary requests that are logged.
-    Figures are in the units that platforms name them in, so that nothing
-    has to be worked out where the file is written.
+    ``log_successes`` is the share of successful requests that are logged.
+    Values are in the units that platforms use, so that the template of the
+    settings file converts nothing.
     """
 
     node_id: str = attrs.field(validator=attrs.validators.min_len(1))
@@ -68,16 +68,16 @@
     metrics_address: str = _address_field()
     platform_address: str = _address_field()
     first_start: bool = False
-    retry_ratio: float = _figure(_RETRY_RATIO)
-    retry_slack: float = _figure(0)
-    retry_window_seconds: float = _figure(_WINDOW_SECONDS)
-    stall_ms: float = _figure(_STALL_MS)
-    leaving_ms: float = _figure(_LEAVING_MS)
-    stop_grace_seconds: float = _figure(_GRACE_SECONDS)
-    max_descriptors: float = _figure(_DESCRIPTORS)
+    retry_ratio: float = _non_negative_field(_RETRY_RATIO)
+    retry_slack: float = _non_negative_field(0)
+    retry_window_seconds: float = _non_negative_field(_RETRY_WINDOW_SECONDS)
+    stall_ms: float = _non_negative_field(_STALL_MS)
+    leaving_ms: float = _non_negative_field(_LEAVING_MS)
+    stop_grace_seconds: float = _non_negative_field(_STOP_GRACE_SECONDS)
+    max_descriptors: float = _non_negative_field(_MAX_DESCRIPTORS)
     log_successes: float = attrs.field(
-        default=_LOGGED_SHARE,
-        validator=[_NOT_NEGATIVE, attrs.validators.le(1)],
+        default=_LOGGED_SUCCESS_SHARE,
+        validator=[_NON_NEGATIVE, attrs.validators.le(1)],
     )
     log_level: str = attrs.field(
         default='info',
@@ -86,24 +86,26 @@
 
     @classmethod
     def from_file(cls, file: Path) -> Self:
-        """Read settings; raise ``FindingsError`` with all that is wrong.
+        """Read settings; raise ``FindingsError`` with all errors.
 
-        Unknown fields are ignored, as a platform may write more; what is
-        null is read like what is not there, as a platform may know less.
+        Unknown fields are ignored, as a platform may write more. A null counts
+        as a missing field, as a platform may not have the value.
         """
         document = read_document(file)
         if not isinstance(document.root, dict):
             raise FindingsError([Finding(str(file), 1, 'must be an object')])
-        told = {
+        given_fields = {
             name: field
             for name, field in document.root.items()
             if field is not None
         }
-        return structure(document, cls, found=told, ignores_unknown=True)
+        return structure(
+            document, cls, found=given_fields, ignores_unknown=True
+        )
 
     @property
     def all_failure_domains(self) -> tuple[str, ...]:
-        """Return those of the whole deployment, each once, the own too."""
+        """Return the distinct domains of the deployment, including this one."""
         return tuple(
             dict.fromkeys((*self.failure_domains, self.failure_domain)),
         )
