--- a/src/cranecart/declarations/__init__.py
+++ b/src/cranecart/declarations/__init__.py
@@ -1,4 +1,4 @@
-"""What operators declare, compiled, apart from any I/O."""
+"""Compiled operator declarations; without I/O."""
 
 from cranecart.declarations._declarations import (
     Declarations,
--- a/src/cranecart/declarations/_declarations.py
+++ b/src/cranecart/declarations/_declarations.py
@@ -1,4 +1,4 @@
-"""Compiled declarations: what every node holds and acts on."""
+"""Compiled declarations, which every node holds and applies."""
 
 import enum
 
@@ -7,21 +7,21 @@
 
 
 class Preference(enum.Enum):
-    """Which of its two measures a model's users weigh more."""
+    """Whether to minimise a model's downtime or instances left unusable."""
 
     DOWNTIME = 'downtime'
     STRANDED = 'stranded'
 
 
 class FencingSupport(enum.Enum):
-    """Whether a model's engines refuse an order with an old fencing number."""
+    """Whether a model's engines refuse orders with an old fencing token."""
 
     CHECKED = 'checked'
     IGNORED = 'ignored'
 
 
 class Priority(enum.Enum):
-    """How early a request is served, and how late it is shed."""
+    """Priority of requests for serving and load shedding."""
 
     HIGH = 'high'
     NORMAL = 'normal'
@@ -29,7 +29,7 @@
 
     @property
     def rank(self) -> int:
-        """Return 0 for the priority that goes first."""
+        """Return the position of the priority, 0 for the highest."""
         return list(Priority).index(self)
 
 
@@ -48,11 +48,11 @@
 
     @property
     def key(self) -> str:
-        """Return the name that tells this version from others."""
+        """Return the unique name of this version of the model."""
         return f'{self.name}@{self.version}'
 
     def replicas_in(self, failure_domain: str) -> int:
-        """Return this failure domain's share of the replicas."""
+        """Return the number of replicas for this failure domain."""
         if failure_domain not in self.failure_domains:
             return 0
         share, rest = divmod(self.replicas, len(self.failure_domains))
@@ -62,7 +62,7 @@
 
 @attrs.frozen
 class ServiceSpec:
-    """A plain service that organisations may call through the nodes."""
+    """A plain service that organisations can call through the nodes."""
 
     name: str
     non_repeatable_paths: tuple[str, ...] = ()
@@ -70,7 +70,7 @@
 
 @attrs.frozen
 class LimitsSpec:
-    """What one organisation may use over all nodes together."""
+    """Limits of one organisation over all nodes together."""
 
     concurrent_requests: int
     tokens_per_second: int
@@ -90,7 +90,7 @@
 
 @attrs.frozen
 class DomainVersions:
-    """How far a failure domain's nodes have come with the configuration.
+    """Configuration versions on a failure domain's nodes.
 
     ``behind`` names at most eight nodes on an older version than others.
     """
@@ -103,7 +103,7 @@
 
 @attrs.frozen
 class Declarations:
-    """Everything that one accepted configuration says."""
+    """The contents of one accepted configuration."""
 
     deployment: str
     region: str
@@ -119,5 +119,5 @@
 
 
 def compiled_from_json(encoded: bytes) -> Declarations:
-    """Decode what ``compiled_to_json`` wrote; raise ``ValueError`` else."""
+    """Decode declarations; raise ``ValueError`` if they are invalid."""
     return msgspec.json.decode(encoded, type=Declarations)
--- a/src/cranecart/instances/__init__.py
+++ b/src/cranecart/instances/__init__.py
@@ -1,4 +1,4 @@
-"""Instances and replicas as the native protocol tells of them."""
+"""Instances and replicas in the native protocol."""
 
 from cranecart.instances._instances import (
     Instance,
--- a/src/cranecart/instances/_instances.py
+++ b/src/cranecart/instances/_instances.py
@@ -1,4 +1,4 @@
-"""Instances, what they report of themselves, and replicas' table rows."""
+"""Instances, their status reports, and the table rows of replicas."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class InstanceKind(enum.Enum):
-    """What runs on an instance."""
+    """The kind of process that runs on an instance."""
 
     ENGINE = 'engine'
     SERVICE = 'service'
@@ -16,7 +16,7 @@
 
 
 class MemberState(enum.Enum):
-    """How far an engine has come with the order that it took last."""
+    """An engine's progress with the last order that it accepted."""
 
     IDLE = 'idle'
     LOADING = 'loading'
@@ -39,13 +39,13 @@
 
     @property
     def address(self) -> Address:
-        """Return where the instance listens."""
+        """Return the address on which the instance listens."""
         return Address(self.host, self.port)
 
 
 @attrs.frozen
 class MemberReport:
-    """What an engine says of itself; the members are in order of rank."""
+    """An engine's status report; members are in order of rank."""
 
     instance: str
     state: MemberState = MemberState.IDLE
@@ -79,5 +79,5 @@
 
     @property
     def model_key(self) -> str:
-        """Return the name that tells this version of the model."""
+        """Return the name of this version of the model."""
         return f'{self.model}@{self.version}'
--- a/src/cranecart/log_reading/__init__.py
+++ b/src/cranecart/log_reading/__init__.py
@@ -1,4 +1,4 @@
-"""Log lines read back, for explaining a decision."""
+"""Reading of decision logs, for the ``explain`` command."""
 
 from cranecart.log_reading._reading import (
     LogLine,
--- a/src/cranecart/log_reading/_reading.py
+++ b/src/cranecart/log_reading/_reading.py
@@ -1,4 +1,4 @@
-"""Read log lines back, and find those that explain one id."""
+"""Read log lines and find those that explain one id."""
 
 from collections.abc import Iterable, Iterator, Mapping
 from typing import Any
@@ -6,8 +6,8 @@
 import attrs
 import msgspec
 
-# Decisions that change what a node believes about targets.
-_BELIEFS = frozenset(
+# Events that change a node's view of targets.
+_TARGET_EVENTS = frozenset(
     (
         'replica_stopped',
         'replica_doubted',
@@ -18,8 +18,8 @@
         'members_free',
     ),
 )
-# What a node went through itself.
-_OWN = frozenset(
+# Events of the node itself.
+_NODE_EVENTS = frozenset(
     (
         'node_started',
         'node_stopping',
@@ -33,16 +33,18 @@
         'log_lines_dropped',
     ),
 )
-# What was found of a request in whatever try, at any node.
-_ENDS = frozenset(('target_ended', 'request_cleared', 'request_released'))
-# How long before and after a request something may have to do with it.
+# Findings about a request in any of its attempts, on any node.
+_TARGET_END_EVENTS = frozenset(
+    ('target_ended', 'request_cleared', 'request_released')
+)
+# Events this long before and after a request may be related to it.
 _BEFORE_SECONDS = 6.0
 _AFTER_SECONDS = 1.0
 
 
 @attrs.frozen
 class LogLine:
-    """One decision; ``at`` is the time of day at its node, in seconds."""
+    """One decision; ``at`` is the Unix time by the clock of its node."""
 
     at: float
     node: str
@@ -50,15 +52,14 @@
     fields: Mapping[str, Any]
 
     def names(self, wanted: str) -> bool:
-        """Tell whether the decision names an id."""
-        return any(_holds(field, wanted) for field in self.fields.values())
+        """Tell whether any field of the decision contains an id."""
+        return any(_contains(field, wanted) for field in self.fields.values())
 
 
 def read_lines(texts: Iterable[bytes]) -> list[LogLine]:
     """Decode the lines that are decisions, in order of time.
 
-    What stands before the object on a line, as a collector's prefix, is
-    passed over.
+    Text before the JSON object, such as a log collector's prefix, is ignored.
     """
     found = (_decode(text) for text in texts)
     return sorted(
@@ -68,7 +69,7 @@
 
 
 def lines_mentioning(lines: Iterable[LogLine], wanted: str) -> list[LogLine]:
-    """Return the decisions that name an id."""
+    """Return the decisions that mention an id."""
     return [line for line in lines if line.names(wanted)]
 
 
@@ -76,15 +77,16 @@
     lines: Iterable[LogLine],
     about: Iterable[LogLine],
 ) -> list[LogLine]:
-    """Return what was found of targets that ended under a request.
+    """Return findings about targets that ended while running a request.
 
-    All tries of its client share a digest, which decisions of any node name.
+    All attempts of its client share a digest, which every node logs.
     """
     shared = {line.fields.get('identity') for line in about} - {None}
     return [
         line
         for line in lines
-        if line.event in _ENDS and line.fields.get('identity') in shared
+        if line.event in _TARGET_END_EVENTS
+        and line.fields.get('identity') in shared
     ]
 
 
@@ -92,11 +94,11 @@
     lines: Iterable[LogLine],
     about: list[LogLine],
 ) -> list[LogLine]:
-    """Return what the nodes at work on a request came to believe meanwhile."""
+    """Return events on the request's nodes that affected it meanwhile."""
     if not about:
         return []
     nodes = {line.node for line in about}
-    touched = set(_touched(about))
+    involved = set(_involved_targets(about))
     first = about[0].at - _BEFORE_SECONDS
     last = about[-1].at + _AFTER_SECONDS
     return [
@@ -105,17 +107,17 @@
         if first <= line.at <= last
         and line not in about
         and line.node in nodes
-        and _matters(line, touched)
+        and _is_relevant(line, involved)
     ]
 
 
-def _matters(line: LogLine, touched: set[str]) -> bool:
-    if line.event in _OWN:
+def _is_relevant(line: LogLine, involved: set[str]) -> bool:
+    if line.event in _NODE_EVENTS:
         return True
-    return line.event in _BELIEFS and any(map(line.names, touched))
+    return line.event in _TARGET_EVENTS and any(map(line.names, involved))
 
 
-def _touched(about: Iterable[LogLine]) -> Iterator[str]:
+def _involved_targets(about: Iterable[LogLine]) -> Iterator[str]:
     for line in about:
         instance = line.fields.get('instance')
         if isinstance(instance, str):
@@ -125,9 +127,9 @@
             yield str(replica[0])
 
 
-def _holds(field: object, wanted: str) -> bool:
+def _contains(field: object, wanted: str) -> bool:
     if isinstance(field, list):
-        return any(_holds(one, wanted) for one in field)
+        return any(_contains(one, wanted) for one in field)
     return isinstance(field, str) and wanted in field.split(', ')
 
 
--- a/src/cranecart/log_setup/__init__.py
+++ b/src/cranecart/log_setup/__init__.py
@@ -1,4 +1,4 @@
-"""Where logs of programs without a line queue go."""
+"""Logging setup for commands that do not use the log queue."""
 
 from cranecart.log_setup._setup import set_up_logging
 
--- a/src/cranecart/log_setup/_setup.py
+++ b/src/cranecart/log_setup/_setup.py
@@ -1,4 +1,4 @@
-"""Send ``logging`` to standard error, for programs without a line queue."""
+"""Send logs to standard error, for commands without a log queue."""
 
 import logging
 import sys
@@ -10,23 +10,23 @@
 
 
 class _TextFormatter(logging.Formatter):
-    """Put the fields of a decision behind its message."""
+    """Appends the fields of a decision to its message."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Format one record for people."""
+        """Format one record as text."""
         if not hasattr(record, 'fields'):
             record.fields = ''
         return super().format(record)
 
 
 class _JsonLines(JsonFormatter):
-    """Write the fields of a decision beside the other keys."""
+    """Writes the fields of a decision at the top level of the object."""
 
     def process_log_record(
         self,
         log_data: dict[str, object],
     ) -> dict[str, object]:
-        """Lift the decision's fields to the top of the object."""
+        """Move the decision's fields to the top level of the object."""
         fields = log_data.pop('fields', None)
         if isinstance(fields, dict):
             return {**log_data, **fields}
--- a/src/cranecart/logs/__init__.py
+++ b/src/cranecart/logs/__init__.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line, or text for people."""
+"""Structured logs, one JSON object per line."""
 
 from cranecart.logs._decisions import log_decision
 from cranecart.logs._lines import (
--- a/src/cranecart/metrics.py
+++ b/src/cranecart/metrics.py
@@ -1,6 +1,6 @@
-"""Metrics by OpenTelemetry, read by whoever asks the node for them.
+"""OpenTelemetry metrics, exposed for scraping.
 
-A pull reader collects when it is asked, so that no thread is started.
+A pull reader collects on request, so that no thread is started.
 """
 
 import itertools
@@ -19,7 +19,7 @@
 
 
 class Metrics:
-    """The instruments of one node and their text form."""
+    """The instruments of one node and their text exposition."""
 
     def __init__(self) -> None:
         """Create the instruments."""
@@ -65,7 +65,7 @@
         outcomes: Mapping[str, int],
         first_bytes: Iterable[float],
     ) -> None:
-        """Count requests that were observed before, by outcome and seconds."""
+        """Add requests that were counted before the instruments existed."""
         for outcome, number in outcomes.items():
             self.requests.add(number, {'outcome': outcome})
         for seconds in first_bytes:
--- a/src/cranecart/operators/__init__.py
+++ b/src/cranecart/operators/__init__.py
@@ -1,4 +1,4 @@
-"""Operators as a peer: the admin interface of a node and its client."""
+"""The admin interface of a node and its client."""
 
 from cranecart.operators._admin import AdminInterface, NodeStatus
 from cranecart.operators._client import OperatorClient
--- a/src/cranecart/operators/_admin.py
+++ b/src/cranecart/operators/_admin.py
@@ -1,4 +1,4 @@
-"""The admin interface: health, readiness, metrics, status, changes."""
+"""The admin interface: health, readiness, metrics, status and changes."""
 
 import hashlib
 import hmac
@@ -29,13 +29,13 @@
 _NOT_FOUND = 404
 _CONFLICT = 409
 _UNAVAILABLE = 503
-_UNKNOWN = 504
+_GATEWAY_TIMEOUT = 504
 _CHANGES = '/v1/changes'
 
 
 @attrs.frozen
 class NodeStatus:
-    """What one node says of itself and of what it sees."""
+    """The status of a node and its view of the deployment."""
 
     node: str
     failure_domain: str
@@ -51,7 +51,7 @@
 
 @attrs.frozen
 class ApplyMessage:
-    """A change that an operator wants accepted."""
+    """A request to accept a change."""
 
     base_version: int
     change_id: str
@@ -62,7 +62,7 @@
 
 @attrs.define
 class AdminInterface:
-    """Answers operators and the machines that watch a node."""
+    """Serves operators and monitoring systems."""
 
     _key_sha256: str
     _history: ConfigHistory
@@ -82,27 +82,27 @@
                 status = _OK if ready else _UNAVAILABLE
                 response = json_response(status, {'ready': ready})
             case '/metrics':
-                kind = {'content-type': 'text/plain; version=0.0.4'}
-                response = Response(_OK, kind, self._metrics())
+                headers = {'content-type': 'text/plain; version=0.0.4'}
+                response = Response(_OK, headers, self._metrics())
             case _:
-                response = await self._guarded(request)
+                response = await self._handle_authenticated(request)
         await responder.send(response)
 
-    async def _guarded(self, request: Request) -> Response:
+    async def _handle_authenticated(self, request: Request) -> Response:
         _, _, key = request.headers.get('authorization', '').partition(' ')
         digest = hashlib.sha256(key.encode()).hexdigest()
         if not hmac.compare_digest(digest, self._key_sha256):
-            return _problem(_UNAUTHORIZED, 'the operator key is wrong')
+            return _error_response(_UNAUTHORIZED, 'invalid operator key')
         try:
             return await self._route(request)
         except WriteConflictError as error:
-            return _problem(_CONFLICT, str(error))
+            return _error_response(_CONFLICT, str(error))
         except WriteUnknownError as error:
-            return _problem(_UNKNOWN, str(error))
+            return _error_response(_GATEWAY_TIMEOUT, str(error))
         except PlatformError as error:
-            return _problem(_UNAVAILABLE, str(error))
+            return _error_response(_UNAVAILABLE, str(error))
         except (ValueError, msgspec.MsgspecError) as error:
-            return _problem(_BAD_REQUEST, str(error))
+            return _error_response(_BAD_REQUEST, str(error))
 
     async def _route(self, request: Request) -> Response:
         method, path = request.method, request.path
@@ -120,8 +120,10 @@
             found = await self._history.find(change_id)
             if found is not None:
                 return json_response(_OK, found)
-            return _problem(_NOT_FOUND, f'no change {change_id} was accepted')
-        return _problem(_NOT_FOUND, f'there is nothing at {path}')
+            return _error_response(
+                _NOT_FOUND, f'no change {change_id} was accepted'
+            )
+        return _error_response(_NOT_FOUND, f'no such path: {path}')
 
     async def _apply(self, request: Request) -> Response:
         message = msgspec.json.decode(request.body, type=ApplyMessage)
@@ -147,7 +149,9 @@
         else:
             change = await self._history.change(int(version))
             if change is None:
-                return _problem(_NOT_FOUND, f'there is no version {version}')
+                return _error_response(
+                    _NOT_FOUND, f'there is no version {version}'
+                )
             release = change.release
             encoded = await self._poller.read(release)
         return json_response(
@@ -159,5 +163,5 @@
         )
 
 
-def _problem(status: int, message: str) -> Response:
+def _error_response(status: int, message: str) -> Response:
     return json_response(status, {'error': message})
--- a/src/cranecart/operators/_client.py
+++ b/src/cranecart/operators/_client.py
@@ -1,4 +1,4 @@
-"""What the operators' commands use to talk to a node."""
+"""Client of the admin interface, for the operators' commands."""
 
 import uuid
 from http import HTTPStatus
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class DeclaredVersion:
-    """A version and what it declares, if there is one."""
+    """A version and its declarations, if there are any."""
 
     version: int
     declarations: Declarations | None
@@ -35,13 +35,13 @@
 
 @attrs.define
 class OperatorClient:
-    """Asks one node's admin interface with an operator's key."""
+    """Calls one node's admin interface with an operator key."""
 
     address: Address
     _key: str
 
     async def status(self) -> NodeStatus:
-        """Return what the node says of itself."""
+        """Return the node's status."""
         return await self._get('/v1/status', NodeStatus)
 
     async def changes(self) -> list[Change]:
@@ -49,7 +49,7 @@
         return await self._get('/v1/changes', list[Change])
 
     async def declared(self, version: int | None = None) -> DeclaredVersion:
-        """Return what a version declares, the newest if none is named."""
+        """Return the declarations of a version, by default the newest."""
         query = '' if version is None else f'?version={version}'
         return await self._get(f'/v1/declarations{query}', DeclaredVersion)
 
@@ -60,10 +60,10 @@
         author: str,
         note: str = '',
     ) -> Change:
-        """Have a change accepted; find out what became of it if unsure.
+        """Submit a change; read back its outcome if the response is lost.
 
-        Raise ``WriteConflictError`` if another operator was faster and
-        ``WriteUnknownError``, with the change's id, if nobody can tell now.
+        Raise ``WriteConflictError`` if another change came first and
+        ``WriteUnknownError``, with the change's id, if the outcome is unknown.
         """
         change_id = uuid.uuid4().hex
         message = ApplyMessage(
@@ -82,9 +82,9 @@
         try:
             return _decode(await self._exchange(request), Change)
         except (WriteUnknownError, HttpError):
-            return await self._find_out(change_id)
+            return await self._read_back_change(change_id)
 
-    async def _find_out(self, change_id: str) -> Change:
+    async def _read_back_change(self, change_id: str) -> Change:
         for _attempt in range(_READ_BACK_ATTEMPTS):
             try:
                 return await self._get(f'/v1/changes/{change_id}', Change)
@@ -95,13 +95,13 @@
                     f'change {change_id} was not accepted: {error}',
                 ) from error
         raise WriteUnknownError(
-            f'what became of change {change_id} cannot be found out now; '
+            f'the outcome of change {change_id} is unknown; '
             'look for it in "cranecart history" before applying again',
         )
 
-    async def _get(self, target: str, wanted: type[Message]) -> Message:
+    async def _get(self, target: str, response_type: type[Message]) -> Message:
         request = Request('GET', target, self._headers())
-        return _decode(await self._exchange(request), wanted)
+        return _decode(await self._exchange(request), response_type)
 
     def _headers(self) -> dict[str, str]:
         return {'authorization': f'Bearer {self._key}'}
@@ -110,10 +110,10 @@
         return await exchange(self.address, request, _CALL_SECONDS)
 
 
-def _decode(response: Response, wanted: type[Message]) -> Message:
+def _decode(response: Response, response_type: type[Message]) -> Message:
     if response.is_success:
-        return msgspec.json.decode(response.body, type=wanted)
-    message = _message(response)
+        return msgspec.json.decode(response.body, type=response_type)
+    message = _error_message(response)
     match response.status:
         case HTTPStatus.CONFLICT:
             raise WriteConflictError(message)
@@ -124,9 +124,9 @@
     raise OperatorError(message)
 
 
-def _message(response: Response) -> str:
+def _error_message(response: Response) -> str:
     try:
         body: Any = msgspec.json.decode(response.body)
         return str(body['error'])
     except (msgspec.DecodeError, KeyError, TypeError):
-        return f'the node answered {response.status}'
+        return f'the node answered with status {response.status}'
--- a/src/cranecart/ports/__init__.py
+++ b/src/cranecart/ports/__init__.py
@@ -1,7 +1,6 @@
-"""What the product asks of its surroundings, in its own words.
+"""Interfaces to the platform, independent of any wire protocol.
 
-Each port is a typed protocol; the native protocol and the adapter of a
-deployment's platform implement them.
+The native protocol and the adapter of a deployment's platform implement them.
 """
 
 from cranecart.ports._calls import (
--- a/src/cranecart/ports/_listed.py
+++ b/src/cranecart/ports/_listed.py
@@ -1,4 +1,4 @@
-"""Instances as the platform lists them, and the replicas they say they form."""
+"""Listed instances, their replica memberships, and orders to them."""
 
 import enum
 from collections.abc import Mapping, Sequence
@@ -12,7 +12,7 @@
 
 
 class MemberPhase(enum.Enum):
-    """How far an instance has come as a member of a replica."""
+    """The state of an instance's membership in a replica."""
 
     JOINING = 'joining'
     READY = 'ready'
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class Membership:
-    """The replica that an instance says it belongs to; rank 0 is its head."""
+    """An instance's reported membership; the member of rank 0 is the head."""
 
     replica: str
     epoch: int
@@ -31,7 +31,7 @@
     phase: MemberPhase
 
     def belongs_to(self, replica: str, epoch: int) -> bool:
-        """Tell whether this is a membership of one forming of a replica."""
+        """Tell whether this is a membership in this epoch of a replica."""
         return self.replica == replica and self.epoch == epoch
 
 
@@ -59,8 +59,9 @@
 class ListedInstance:
     """What the platform lists about one incarnation of an instance.
 
-    ``loaded`` and ``staged`` name models: in the accelerators, where that of
-    the last membership stays, and on the host, from where loading is quick.
+    ``loaded`` names the models in accelerator memory, where that of the last
+    membership stays. ``staged`` names those cached in host memory, which load
+    faster.
     """
 
     id: str
@@ -81,7 +82,7 @@
         return Incarnation(self.id, self.born)
 
     def phase_in(self, replica: str, epoch: int) -> MemberPhase | None:
-        """Return how far it has come in a replica, if it is a member."""
+        """Return its phase as a member of a replica, or ``None``."""
         found = self.membership
         if found is None or not found.belongs_to(replica, epoch):
             return None
@@ -90,7 +91,7 @@
 
 @attrs.frozen
 class Snapshot(Generic[Item]):
-    """Everything a source holds as of one version, by key."""
+    """All items of a source as of one version, by key."""
 
     version: int
     items: Mapping[str, Item]
@@ -98,36 +99,36 @@
 
 @attrs.frozen
 class Changes(Generic[Item]):
-    """What changed up to a version; no item means that it is gone."""
+    """Items changed up to a version; ``None`` marks a deleted item."""
 
     version: int
     items: Mapping[str, Item | None]
 
 
 class Source(Protocol[Item]):
-    """Something that can be read whole and then followed by changes.
+    """A collection that can be read in full and then watched for changes.
 
     Both methods raise ``PlatformUnavailableError``; ``changes`` raises
-    ``HistoryLostError`` where only reading whole helps.
+    ``HistoryLostError`` if a full read is needed.
     """
 
     async def snapshot(self) -> 'Snapshot[Item]':
-        """Read everything."""
+        """Read all items."""
 
     async def changes(
         self,
         since: int,
         wait_seconds: float,
     ) -> 'Changes[Item]':
-        """Wait for changes after a version; without any, return none."""
+        """Wait for changes after a version; return none on timeout."""
 
 
 class Orders(Protocol):
     """Orders to engine instances.
 
-    Each returns once the instance took the order or already follows it.
-    Each raises ``OrderRefusedError``, ``OrderUnknownError`` where it may
-    have been taken or may be carried out later, ``TargetNotListeningError``, or
+    Each returns once the instance accepted the order or already follows it.
+    Each raises ``OrderRefusedError``, ``OrderUnknownError`` if the order may
+    have been accepted or may be executed later, ``TargetNotListeningError``, or
     ``TargetGoneError``.
     """
 
@@ -149,7 +150,7 @@
         epoch: int,
         fencing: int,
     ) -> None:
-        """Let a ready replica serve."""
+        """Let a ready replica accept requests."""
 
     async def close(
         self,
@@ -158,7 +159,7 @@
         epoch: int,
         fencing: int,
     ) -> None:
-        """Let a replica finish what it has and take nothing new."""
+        """Let a replica finish its requests and accept no new ones."""
 
     async def leave(
         self,
@@ -175,4 +176,4 @@
         model: str,
         fencing: int,
     ) -> None:
-        """Bring a model to an instance's host beside its other work."""
+        """Load a model into host memory without stopping other work."""
--- a/src/cranecart/ports/_table.py
+++ b/src/cranecart/ports/_table.py
@@ -1,4 +1,4 @@
-"""Rows and transactions of the table service."""
+"""Rows and conditional transactions of the table service."""
 
 from collections.abc import Iterable, Mapping
 from typing import Protocol
@@ -10,8 +10,8 @@
 class Row:
     """One row; ``version`` changes with every write, 0 means no row.
 
-    The table has other writers: a value may be anything, and is empty where it
-    is no text.
+    The table has other writers: a value may hold any text, and is empty if the
+    stored value is not text.
     """
 
     key: str
@@ -21,7 +21,7 @@
 
 @attrs.frozen
 class Check:
-    """A condition of a transaction: the row still has this version."""
+    """A precondition of a transaction: the row still has this version."""
 
     key: str
     version: int = 0
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class Transaction:
-    """Writes that happen together, and only if every check holds."""
+    """Writes that are applied atomically if every check holds."""
 
     checks: tuple[Check, ...] = ()
     puts: tuple[Put, ...] = ()
@@ -45,16 +45,16 @@
 
 
 class Table(Protocol):
-    """Rows that outlast every node, changed by conditional transactions.
+    """Durable rows, changed by conditional transactions.
 
-    Every method raises ``PlatformUnavailableError`` where nothing was done.
+    Every method raises ``PlatformUnavailableError`` if nothing was done.
     """
 
     @property
     def era(self) -> int:
-        """Return the latest era that the table has answered in.
+        """Return the latest era seen in the table's responses.
 
-        It rises when the table has come back from a copy.
+        It rises when the table has been restored from a backup.
         """
 
     async def read_keys(self, keys: Iterable[str]) -> Mapping[str, Row]:
@@ -64,9 +64,9 @@
         """Read all rows whose keys start with a prefix."""
 
     async def commit(self, transaction: Transaction) -> int:
-        """Write a transaction; return the version that its rows got.
+        """Write a transaction; return the version of the written rows.
 
         Raise ``WriteConflictError`` if a check does not hold, or is of an
-        earlier era, and ``WriteUnknownError`` where nobody can tell whether
-        it was done.
+        earlier era, and ``WriteUnknownError`` if the outcome is
+        unknown.
         """
