--- a/tests/unit/test_kinds.py
+++ b/tests/unit/test_kinds.py
@@ -36,7 +36,7 @@
         """Every variant is combined with every service."""
         found = _scenarios(hows=['extra', ''], aims='service', x=0.3)
         self.assertEqual(
-            [(item.how, item.aim) for item in found],
+            [(item.variant, item.target) for item in found],
             [
                 ('extra', 'writer'),
                 ('extra', 'shop'),
@@ -47,20 +47,20 @@
 
     def test_zones(self) -> None:
         """The targets are all zones, or one zone of each service."""
-        by_zone = [item.aim for item in _scenarios(aims='zone')]
-        of_each = [item.aim for item in _scenarios(aims='each')]
+        by_zone = [item.target for item in _scenarios(aims='zone')]
+        of_each = [item.target for item in _scenarios(aims='each')]
         self.assertEqual(by_zone, ['east', 'west'])
         self.assertEqual(of_each, ['writer east', 'shop west'])
 
     def test_services_of_models(self) -> None:
         """Faults can be limited to services with or without models."""
-        aims = [item.aim for item in _scenarios(aims='model')]
-        others = [item.aim for item in _scenarios(aims='plain')]
-        self.assertEqual((aims, others), (['writer'], ['shop']))
+        with_models = [item.target for item in _scenarios(aims='model')]
+        without_models = [item.target for item in _scenarios(aims='plain')]
+        self.assertEqual((with_models, without_models), (['writer'], ['shop']))
 
     def test_without_target(self) -> None:
         """A row without targets gives one scenario."""
-        self.assertEqual([item.aim for item in _scenarios()], ['all'])
+        self.assertEqual([item.target for item in _scenarios()], ['all'])
 
     def test_names_are_unique(self) -> None:
         """Scenarios would otherwise overwrite the log files of each other."""
@@ -92,7 +92,7 @@
         self.assertEqual((len(day['plan']), day['faults']), (2, []))
 
     def _read(self, scenario: FaultScenario) -> Mapping[str, Any]:
-        day: Mapping[str, Any] = tomllib.loads(scenario.day('11'))['day'][0]
+        day: Mapping[str, Any] = tomllib.loads(scenario.to_toml('11'))['day'][0]
         return day
 
 
--- a/tests/unit/test_losses.py
+++ b/tests/unit/test_losses.py
@@ -40,8 +40,8 @@
 
     def test_replicas(self) -> None:
         """Open replicas are counted by second."""
-        found = replicas_by_second(read_events(_LOG), 4)
-        self.assertEqual((found[0]['m'], found[2]['m']), (1, 0))
+        counts = replicas_by_second(read_events(_LOG), 4)
+        self.assertEqual((counts[0]['m'], counts[2]['m']), (1, 0))
 
 
 class CompareTest(unittest.TestCase):
@@ -49,14 +49,14 @@
 
     def test_interval_with_zero_is_inconclusive(self) -> None:
         """Even if the mean difference is large."""
-        found = compare([(0.5, 0.9), (0.6, 0.5), (0.5, 0.7)])
-        assert found is not None
-        self.assertEqual(found.verdict, 'inconclusive')
+        difference = compare([(0.5, 0.9), (0.6, 0.5), (0.5, 0.7)])
+        assert difference is not None
+        self.assertEqual(difference.verdict, 'inconclusive')
 
     def test_consistent_improvement(self) -> None:
         """A small difference is significant if it is consistent."""
         pairs = [(0.51, 0.54), (0.61, 0.64), (0.72, 0.76)]
-        found = compare(pairs)
-        assert found is not None
-        self.assertEqual(found.verdict, 'improvement')
+        difference = compare(pairs)
+        assert difference is not None
+        self.assertEqual(difference.verdict, 'improvement')
         self.assertIsNone(compare(pairs[:1]))
--- a/tests/unit/test_own_days.py
+++ b/tests/unit/test_own_days.py
@@ -5,15 +5,15 @@
 from pathlib import Path
 from typing import Any
 
-_DAYS = Path('deploy/days')
+_SCENARIO_FOLDER = Path('deploy/days')
 # Fields that refer to entries of a site by position, as names differ by site.
-_BY_PLACE = ('service', 'class')
+_POSITION_FIELDS = ('service', 'class')
 
 
-def _day(path: Path) -> dict[str, Any]:
-    days = tomllib.loads(path.read_text('utf-8'))['day']
-    assert len(days) == 1
-    return dict(days[0])
+def _read_scenario(path: Path) -> dict[str, Any]:
+    scenarios = tomllib.loads(path.read_text('utf-8'))['day']
+    assert len(scenarios) == 1
+    return dict(scenarios[0])
 
 
 class ScenarioFilesTest(unittest.TestCase):
@@ -21,23 +21,23 @@
 
     def test_names_and_fault_times(self) -> None:
         """A scenario is named after its file, and its faults end before it."""
-        for path in sorted(_DAYS.glob('*.toml')):
-            day = _day(path)
-            self.assertEqual(day['name'], path.stem)
-            for fault in day['faults']:
+        for path in sorted(_SCENARIO_FOLDER.glob('*.toml')):
+            scenario = _read_scenario(path)
+            self.assertEqual(scenario['name'], path.stem)
+            for fault in scenario['faults']:
                 ends_at = fault['at'] + fault.get('for_s', 5)
-                self.assertLess(ends_at, day['length_s'], path.name)
-                for name in filter(fault.get, _BY_PLACE):
+                self.assertLess(ends_at, scenario['length_s'], path.name)
+                for name in filter(fault.get, _POSITION_FIELDS):
                     self.assertTrue(fault[name].startswith('@'), path.name)
 
     def test_crashing_requests(self) -> None:
         """Crashing requests come early, or late together with a crash."""
-        early = _day(_DAYS / 'deadly.toml')['faults']
-        self.assertEqual([one['how'] for one in early], ['deadly'])
-        late = _day(_DAYS / 'deadly-late.toml')['faults']
+        early = _read_scenario(_SCENARIO_FOLDER / 'deadly.toml')['faults']
+        self.assertEqual([fault['how'] for fault in early], ['deadly'])
+        late = _read_scenario(_SCENARIO_FOLDER / 'deadly-late.toml')['faults']
         self.assertEqual(
-            [one['kind'] for one in late],
+            [fault['kind'] for fault in late],
             ['poison', 'poison', 'srv_crash'],
         )
-        classes = {one['class'] for one in (*early, *late[:2])}
+        classes = {fault['class'] for fault in (*early, *late[:2])}
         self.assertEqual(classes, {'@c0', '@c1'})
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -142,7 +142,9 @@
 def main(arguments: Sequence[str]) -> int:
     """Run all clones and print the table."""
     selected = [
-        one for one in MECHANISMS if not _FLAGS.only or one.name in _FLAGS.only
+        mechanism
+        for mechanism in MECHANISMS
+        if not _FLAGS.only or mechanism.name in _FLAGS.only
     ]
     bench = Benchmark(
         Path(_FLAGS.bench),
@@ -156,7 +158,7 @@
     run_results = list(bench.run_all(runs))
     for number, mechanism in enumerate(selected, 1):
         for site in sites:
-            rows = [one for one in run_results if one.run.site == site]
+            rows = [row for row in run_results if row.run.site == site]
             _print_row(mechanism, site, rows, len(checkouts), number)
     return 0
 
@@ -167,8 +169,8 @@
     baseline = _clone(work / _BASELINE_FOLDER)
     bench.build([baseline])
     without = [
-        _clone_without(baseline, work / f'{number}', one)
-        for number, one in enumerate(selected)
+        _clone_without(baseline, work / f'{number}', mechanism)
+        for number, mechanism in enumerate(selected)
     ]
     bench.build(without)
     return [baseline, *without]
@@ -221,7 +223,7 @@
     ]
     difference = compare(pairs)
     violations = [
-        one.violations for one in rows[number::checkouts] if one.violations
+        row.violations for row in rows[number::checkouts] if row.violations
     ]
     figures = (
         'too few runs'
--- a/tools/bench/_fleet.py
+++ b/tools/bench/_fleet.py
@@ -108,9 +108,9 @@
     def __attrs_post_init__(self) -> None:
         """List the instances and record the replicas."""
         instances = {
-            one.id: one
+            instance.id: instance
             for fabric in range(_FABRIC_DOMAINS)
-            for one in _fabric_instances(fabric)
+            for instance in _fabric_instances(fabric)
         }
         records = [
             record
@@ -133,9 +133,11 @@
             for number in range(_PLAIN_INSTANCES)
         }
         self.fleet.apply_instances({**instances, **plain}, True)
-        self.fleet.apply_records({one.key: one for one in records}, True)
+        self.fleet.apply_records(
+            {record.key: record for record in records}, True
+        )
         self.own_records = [
-            one for one in records if one.failure_domain == 'd0'
+            record for record in records if record.failure_domain == 'd0'
         ]
         self.router = TargetRouter(
             self.fleet,
@@ -149,16 +151,16 @@
 
     def apply_entry_change(self) -> object:
         """Apply the list entry of a member and find the serving replicas."""
-        one = self.fleet.instances[next(self._instance_names)]
-        self.fleet.apply_instances({one.id: one}, False)
+        instance = self.fleet.instances[next(self._instance_names)]
+        self.fleet.apply_instances({instance.id: instance}, False)
         return self.fleet.heads(_ENGINE_SERVICE, 'small')
 
     def find_transitions(self) -> object:
         """Evaluate the required transitions of one failure domain."""
         lost = self.failure_detector.lost_instances()
         return [
-            required_transition(one, self.fleet, lost, _CONFIG)
-            for one in self.own_records
+            required_transition(record, self.fleet, lost, _CONFIG)
+            for record in self.own_records
         ]
 
     def reference_instances(self) -> object:
@@ -180,9 +182,9 @@
     def plan_initially(self) -> object:
         """Plan all instances before the first request."""
         free = tuple(
-            attrs.evolve(one, membership=None, loaded=(), staged=())
-            for one in self.fleet.instances.values()
-            if one.service == _ENGINE_SERVICE
+            attrs.evolve(instance, membership=None, loaded=(), staged=())
+            for instance in self.fleet.instances.values()
+            if instance.service == _ENGINE_SERVICE
         )
         plan_input = PlanInput(
             _PROFILE,
@@ -243,12 +245,12 @@
 
 
 def _replica_records(number: int) -> list[ReplicaRecord]:
-    names = [one.id for one in _fabric_instances(number)]
+    names = [instance.id for instance in _fabric_instances(number)]
     sizes = [('large', 32), *(('small', 8) for _repetition in range(5))]
-    found = []
+    records = []
     for place, (model, size) in enumerate(sizes):
         members, names = tuple(names[:size]), names[size:]
-        found.append(
+        records.append(
             ReplicaRecord(
                 f'f{number:02}-{place}',
                 1,
@@ -259,7 +261,7 @@
                 members,
             ),
         )
-    return found
+    return records
 
 
 async def _ignore_report(_record: ReplicaRecord) -> None:
--- a/tools/bench/_placement.py
+++ b/tools/bench/_placement.py
@@ -43,7 +43,7 @@
         'decision_ms': _plan_ms(damaged),
         'lost_instances': len(damaged.lost),
         'replicas_dissolved': sum(
-            isinstance(one, RetireReplica) for one in plan(damaged)
+            isinstance(action, RetireReplica) for action in plan(damaged)
         ),
         'replicas_after': len(after.rows),
         'stranded_accelerators': alive - len(after.rows) * _MEMBERS_PER_REPLICA,
--- a/tools/bench/_plain.py
+++ b/tools/bench/_plain.py
@@ -135,7 +135,7 @@
     def _deliver_reports(self) -> None:
         due = [name for at, name in self._pending_reports if at <= self.now]
         self._pending_reports = [
-            one for one in self._pending_reports if one[0] > self.now
+            report for report in self._pending_reports if report[0] > self.now
         ]
         for name in due:
             for ejection in self._ejections:
@@ -144,7 +144,9 @@
 
 def _random_faults(random_source: random.Random) -> Sequence[Fault]:
     affected = [
-        one for one in range(_INSTANCES) if random_source.getrandbits(1)
+        instance
+        for instance in range(_INSTANCES)
+        if random_source.getrandbits(1)
     ]
     return [_random_fault(random_source, instance) for instance in affected]
 
--- a/tools/bench/_policies.py
+++ b/tools/bench/_policies.py
@@ -59,7 +59,7 @@
         if outcome.first_token_seconds is not None
     ]
     hits = sum(outcome.cache == 'hit' for outcome in outcomes)
-    answered = sum(one.kind is OutcomeKind.ANSWERED for one in outcomes)
+    answered = sum(outcome.kind is OutcomeKind.ANSWERED for outcome in outcomes)
     return {
         'first_token_ms_p50': quantile(first_token_ms, P50),
         'first_token_ms_p95': quantile(first_token_ms, P95),
@@ -95,7 +95,8 @@
         tokens_per_second=_NO_LIMIT,
     )
     organisations = tuple(
-        attrs.evolve(one, limits=limits) for one in example.organisations
+        attrs.evolve(organisation, limits=limits)
+        for organisation in example.organisations
     )
     declarations = attrs.evolve(
         example,
--- a/tools/bench/_relay.py
+++ b/tools/bench/_relay.py
@@ -83,7 +83,8 @@
         tokens_per_second=_NO_LIMIT,
     )
     organisations = tuple(
-        attrs.evolve(one, limits=limits) for one in example.organisations
+        attrs.evolve(organisation, limits=limits)
+        for organisation in example.organisations
     )
     declarations = attrs.evolve(
         example,
--- a/tools/bench/_times.py
+++ b/tools/bench/_times.py
@@ -73,9 +73,9 @@
 
 def _loss_seconds(cluster: LocalCluster) -> tuple[float, float]:
     replica = next(
-        one
-        for one in cluster.control.serving_replicas()
-        if one.failure_domain == _DOMAINS[0]
+        replica
+        for replica in cluster.control.serving_replicas()
+        if replica.failure_domain == _DOMAINS[0]
     )
     started = time.monotonic()
     cluster.kill(replica.members[1])
--- a/tools/kinds.py
+++ b/tools/kinds.py
@@ -49,12 +49,12 @@
         return ' + '.join(str(fault['kind']) for fault in self.faults)
 
     @property
-    def how(self) -> str:
+    def variant(self) -> str:
         """Return the variants of the faults."""
         return ' + '.join(str(fault.get('how') or '-') for fault in self.faults)
 
     @property
-    def aim(self) -> str:
+    def target(self) -> str:
         """Return the target of the first fault."""
         first = self.faults[0]
         names = (first.get(name) for name in ('service', 'zone', 'class'))
@@ -63,10 +63,10 @@
     @property
     def name(self) -> str:
         """Return a name that is valid as a file name."""
-        label = f'{self.kind}-{self.how}-{self.aim}'
+        label = f'{self.kind}-{self.variant}-{self.target}'
         return re.sub('[^a-z0-9]+', '-', label).strip('-')
 
-    def day(self, seed: str) -> str:
+    def to_toml(self, seed: str) -> str:
         """Return the scenario as TOML for the benchmark."""
         parts = {'plan' if self.planned else 'faults': self.faults}
         lists = (
@@ -87,14 +87,16 @@
         fault_fields = {
             name: row[name] for name in row if name not in _TABLE_FIELDS
         }
-        beside = row.get('beside', ())
-        for how, aim in itertools.product(
+        simultaneous = row.get('beside', ())
+        for variant, target in itertools.product(
             row.get('hows', ('',)),
             _targets(row.get('aims', ''), site),
         ):
-            variant = {'how': how} if how else {}
-            fault = {**fault_fields, **variant, **aim}
-            yield FaultScenario((fault, *beside), row.get('planned', False))
+            variant_field = {'how': variant} if variant else {}
+            fault = {**fault_fields, **variant_field, **target}
+            yield FaultScenario(
+                (fault, *simultaneous), row.get('planned', False)
+            )
 
 
 def _targets(aims: str, site: _Fields) -> list[Mapping[str, str]]:
@@ -150,8 +152,8 @@
     worth = '' if run_result.worth is None else f'{run_result.worth:.3f}'
     cells = (
         scenario.kind,
-        scenario.how,
-        scenario.aim,
+        scenario.variant,
+        scenario.target,
         run_result.run.seed,
         worth,
         f'{run_result.share("served"):.3f}',
@@ -184,7 +186,7 @@
     runs = []
     for number, (scenario, seed) in enumerate(requested):
         day = folder / f'{number}.toml'
-        day.write_text(scenario.day(seed), 'utf-8')
+        day.write_text(scenario.to_toml(seed), 'utf-8')
         runs.append(BenchmarkRun(Path.cwd(), Path(_FLAGS.site), str(day), seed))
     return runs
 
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -393,7 +393,11 @@
 
 def main(names: Sequence[str]) -> int:
     """Run the named mutations, or all; return the number not detected."""
-    selected = [one for one in MUTATIONS if not names or one.name in names]
+    selected = [
+        mutation
+        for mutation in MUTATIONS
+        if not names or mutation.name in names
+    ]
     return sum(not _is_detected(mutation) for mutation in selected)
 
 
