--- a/src/cranecart/cli/__init__.py
+++ b/src/cranecart/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: a registry of commands that imports lazily."""
+"""The command line; modules of commands are imported lazily."""
 
 from cranecart.cli._main import main
 
--- a/src/cranecart/cli/_apply.py
+++ b/src/cranecart/cli/_apply.py
@@ -1,4 +1,4 @@
-"""Have the declarations of a folder accepted. Usage: apply FOLDER."""
+"""Apply the declarations of a folder. Usage: apply FOLDER."""
 
 import getpass
 from pathlib import Path
@@ -23,20 +23,22 @@
     flags.DEFINE_integer(
         'base_version',
         None,
-        'the version the change was made on; the newest if not given',
+        'the version that the change is based on; by default the newest',
         flag_values=flag_values,
     )
     flags.DEFINE_float(
         'wait_seconds',
         0,
-        'how long to wait until it is in force on every node',
+        'how long to wait until the change is in force on every node',
         flag_values=flag_values,
     )
-    flags.DEFINE_string('note', '', 'why it changes', flag_values=flag_values)
+    flags.DEFINE_string(
+        'note', '', 'reason for the change', flag_values=flag_values
+    )
 
 
 def run(flag_values: flags.FlagValues, rest: list[str]) -> ExitCode:
-    """Check, apply, and print which version the change became."""
+    """Check and apply the declarations; print the new version."""
     _common.require_arguments(rest, ['FOLDER'])
     wanted = compile_folder(Path(rest[0]))
     client = _common.make_client(flag_values)
@@ -83,7 +85,7 @@
     version: int,
     seconds: float,
 ) -> list[str]:
-    """Wait for a version everywhere; return who is behind in the end."""
+    """Wait for a version on all nodes; return the nodes still behind."""
     deadline = since_boot() + seconds
     while True:
         domains = (await client.status()).domains
@@ -103,7 +105,7 @@
     base_version: int | None,
     note: str,
 ) -> Change:
-    """Apply declarations on top of a version, the newest if not given."""
+    """Apply declarations based on a version, by default the newest."""
     if base_version is None:
         base_version = (await client.declared()).version
     return await client.apply(wanted, base_version, getpass.getuser(), note)
--- a/src/cranecart/cli/_check.py
+++ b/src/cranecart/cli/_check.py
@@ -16,7 +16,7 @@
 
 
 def run(flag_values: flags.FlagValues, rest: list[str]) -> ExitCode:
-    """Print what is wrong, all at once, or what the folder declares."""
+    """Print all findings, or a summary of what the folder declares."""
     _common.require_arguments(rest, ['FOLDER'])
     try:
         declared = compile_folder(Path(rest[0]))
@@ -30,6 +30,6 @@
         {'findings': (), 'declarations': declared},
         f'{rest[0]}: {len(declared.models)} models, '
         f'{len(declared.services)} services, '
-        f'{len(declared.organisations)} organisations: all well',
+        f'{len(declared.organisations)} organisations: no errors',
     )
     return ExitCode.OK
--- a/src/cranecart/cli/_common.py
+++ b/src/cranecart/cli/_common.py
@@ -1,4 +1,4 @@
-"""Flags and output that the operators' commands share."""
+"""Flags and output shared by the operators' commands."""
 
 import os
 import sys
@@ -16,7 +16,7 @@
 
 
 def declare_node_flags(flag_values: flags.FlagValues) -> None:
-    """Declare how a node is found and how answers are printed."""
+    """Declare the flags for the node's address and JSON output."""
     flags.DEFINE_string(
         'node_address',
         '127.0.0.1:8081',
@@ -27,7 +27,7 @@
 
 
 def declare_json_flag(flag_values: flags.FlagValues) -> None:
-    """Declare the flag that asks for JSON."""
+    """Declare the flag for JSON output."""
     flags.DEFINE_bool(
         'json',
         default=False,
@@ -37,15 +37,15 @@
 
 
 def make_client(flag_values: flags.FlagValues) -> OperatorClient:
-    """Make a client from flags and the key in the environment."""
+    """Make a client with the key from the environment."""
     key = os.environ.get(KEY_VARIABLE, '').strip()
     if not key:
-        raise OperatorError(f"put the operators' key into {KEY_VARIABLE}")
+        raise OperatorError(f"set {KEY_VARIABLE} to the operators' key")
     return OperatorClient(Address.from_text(flag_values.node_address), key)
 
 
 def require_arguments(rest: list[str], names: Iterable[str]) -> None:
-    """Raise ``flags.Error`` unless there is one word for each name."""
+    """Raise ``flags.Error`` unless there is one argument for each name."""
     wanted = list(names)
     if len(rest) != len(wanted):
         shown = ' '.join(wanted) or 'nothing'
@@ -53,7 +53,7 @@
 
 
 def show(flag_values: flags.FlagValues, answer: object, text: str) -> None:
-    """Print an answer as JSON or as text."""
+    """Print a result as JSON or as text."""
     if flag_values.json:
         encoded = msgspec.json.encode(answer)
         text = msgspec.json.format(encoded, indent=_INDENT).decode()
--- a/src/cranecart/cli/_explain.py
+++ b/src/cranecart/cli/_explain.py
@@ -1,9 +1,9 @@
-"""Tell why something was decided. Usage: explain ID LOG_FILE [LOG_FILE ...].
+"""Show why decisions were made. Usage: explain ID LOG_FILE [LOG_FILE ...].
 
 The id is that of a request, a replica or an instance. Every decision that
-names it is printed in order of time; for a request also what its node came
-to believe about the replicas and instances that it touched, and what all nodes
-found of targets that ended under it, in whatever try.
+mentions it is printed in order of time. For a request, this includes its node's
+events about the replicas and instances involved, and what any node found about
+targets that ended while running it, in any attempt.
 """
 
 import itertools
@@ -23,7 +23,7 @@
     read_lines,
 )
 
-# Fields that the first columns show, or that say nothing about a decision.
+# Fields shown in the first columns or unrelated to the decision.
 _HIDDEN = frozenset(('asctime', 'levelname', 'name', 'message', 'request'))
 
 
@@ -46,11 +46,12 @@
     around = lines_with_context(lines, about) if is_request else []
     shown = sorted((*about, *around), key=lambda line: line.at)
     text = '\n'.join(
-        f'{"" if line in about else "  | "}{_sentence(line)}' for line in shown
+        f'{"" if line in about else "  | "}{_format_line(line)}'
+        for line in shown
     )
     _common.show(
         flag_values,
-        list(map(_plain, shown)),
+        list(map(_to_dict, shown)),
         text or f'nothing was decided about {rest[0]}',
     )
     return ExitCode.OK if about else ExitCode.FAILED
@@ -63,7 +64,7 @@
         raise OperatorError(f'{name}: {error.strerror}') from error
 
 
-def _plain(line: LogLine) -> dict[str, Any]:
+def _to_dict(line: LogLine) -> dict[str, Any]:
     return {
         'at': line.at,
         'node': line.node,
@@ -72,7 +73,7 @@
     }
 
 
-def _sentence(line: LogLine) -> str:
+def _format_line(line: LogLine) -> str:
     details = ' '.join(
         f'{name}={text}'
         for name, text in line.fields.items()
--- a/src/cranecart/cli/_flags.py
+++ b/src/cranecart/cli/_flags.py
@@ -9,7 +9,7 @@
 
 
 def run_flagged(name: str, command: ModuleType, words: Sequence[str]) -> int:
-    """Run a command with its flags; raise ``UsageError`` if they are wrong."""
+    """Run a command with its flags; raise ``UsageError`` if they are invalid."""
     flag_values = flags.FlagValues()
     command.declare_flags(flag_values)
     try:
@@ -20,7 +20,7 @@
 
 
 def flags_help(command: ModuleType) -> str:
-    """Return what a command's flags are for."""
+    """Return the help text of a command's flags."""
     flag_values = flags.FlagValues()
     command.declare_flags(flag_values)
     return flag_values.get_help()
--- a/src/cranecart/cli/_load.py
+++ b/src/cranecart/cli/_load.py
@@ -1,6 +1,6 @@
-"""Send a seeded load and check each answer. Usage: load PROMPTS_FILE.
+"""Send a reproducible load and check each response. Usage: load PROMPTS_FILE.
 
-The answers are checked against what the stand-in engines must say.
+Responses are checked against the expected output of the stand-in engines.
 """
 
 from pathlib import Path
@@ -24,7 +24,7 @@
 )
 from cranecart.standins import read_record
 
-_SETTLE_SECONDS = 1.0
+_READINESS_CHECK_SECONDS = 1.0
 
 
 def declare_flags(flag_values: flags.FlagValues) -> None:
@@ -40,15 +40,15 @@
     flags.DEFINE_string(
         'record',
         '',
-        'file in which the stand-ins recorded what ran',
+        'file in which the stand-ins recorded executions',
         flag_values=flag_values,
     )
     for name, amount, about in (
         ('count', 100, 'calls to send'),
         ('per_second', 10, 'calls a second'),
-        ('repeats', 0, 'times a failed call is sent again'),
-        ('tokens', 16, 'tokens of each answer'),
-        ('seed', 1, 'seed of everything that is random'),
+        ('repeats', 0, 'retries of a failed call'),
+        ('tokens', 16, 'tokens per response'),
+        ('seed', 1, 'random seed'),
     ):
         flags.DEFINE_integer(name, amount, about, flag_values=flag_values)
 
@@ -86,15 +86,15 @@
         tokens=flag_values.tokens,
     )
     balancer = _balancer(flag_values.nodes)
-    watching = await curio.spawn(balancer.run, daemon=True)
-    await curio.sleep(_SETTLE_SECONDS)
+    health_checks = await curio.spawn(balancer.run, daemon=True)
+    await curio.sleep(_READINESS_CHECK_SECONDS)
     outcomes = await run_load(
         balancer,
         make_calls(profile, prompts, flag_values.count, flag_values.seed),
         flag_values.per_second,
         flag_values.repeats,
     )
-    await watching.cancel()
+    await health_checks.cancel()
     return outcomes
 
 
--- a/src/cranecart/cli/_main.py
+++ b/src/cranecart/cli/_main.py
@@ -83,10 +83,10 @@
 
 def _help(name: str, command: ModuleType) -> str:
     about = (command.__doc__ or '').strip()
-    told = (
+    flags_text = (
         load_flags().flags_help(command) if COMMANDS[name].takes_flags else ''
     )
-    return f'cranecart {name}: {about}\n{told}\n'
+    return f'cranecart {name}: {about}\n{flags_text}\n'
 
 
 def _write(stream: TextIO, text: str) -> None:
--- a/src/cranecart/cli/_node.py
+++ b/src/cranecart/cli/_node.py
@@ -1,4 +1,4 @@
-"""Run a node until it is told to stop. Usage: node SETTINGS_FILE."""
+"""Run a node until it is stopped. Usage: node SETTINGS_FILE."""
 
 from pathlib import Path
 
@@ -13,7 +13,7 @@
 
 
 def declare_flags(flag_values: flags.FlagValues) -> None:
-    """Declare the command's flags: it has none, only its settings."""
+    """Mark the flags as parsed; the command has none."""
     flag_values.mark_as_parsed()
 
 
--- a/src/cranecart/cli/_plan.py
+++ b/src/cranecart/cli/_plan.py
@@ -17,7 +17,7 @@
 
 
 def run(flag_values: flags.FlagValues, rest: list[str]) -> ExitCode:
-    """Print the differences and the replicas that would move."""
+    """Print the differences and the replicas to start or retire."""
     _common.require_arguments(rest, ['FOLDER'])
     wanted = compile_folder(Path(rest[0]))
     client = _common.make_client(flag_values)
@@ -44,7 +44,7 @@
 
 
 def replica_changes(status: NodeStatus, wanted: Declarations) -> Iterator[str]:
-    """Say for each model how many replicas would come and go."""
+    """Yield for each model how many replicas would start or retire."""
     serving = Counter(
         f'{replica.model}@{replica.version}' for replica in status.replicas
     )
@@ -53,4 +53,4 @@
         change = declared.get(key, 0) - serving[key]
         if change:
             verb = 'start' if change > 0 else 'retire'
-            yield f'{verb} {abs(change)} of {key} ({serving[key]} serve now)'
+            yield f'{verb} {abs(change)} of {key} ({serving[key]} serving now)'
--- a/src/cranecart/cli/_registry.py
+++ b/src/cranecart/cli/_registry.py
@@ -10,7 +10,7 @@
 
 @attrs.frozen
 class CommandInfo:
-    """Where a command is found, and what it does in one line."""
+    """A command's module and one-line summary."""
 
     module: str
     summary: str
@@ -21,13 +21,13 @@
     {
         'check': CommandInfo('_check', 'check a folder of declarations'),
         'plan': CommandInfo('_plan', 'show what applying would change'),
-        'apply': CommandInfo('_apply', 'have declarations accepted'),
+        'apply': CommandInfo('_apply', 'apply declarations'),
         'history': CommandInfo('_history', 'list accepted changes'),
-        'rollback': CommandInfo('_rollback', 'accept an earlier version anew'),
+        'rollback': CommandInfo('_rollback', 'apply an earlier version again'),
         'status': CommandInfo('_status', 'show nodes, duties and replicas'),
-        'explain': CommandInfo('_explain', 'tell why a decision was taken'),
+        'explain': CommandInfo('_explain', 'show why a decision was made'),
         'node': CommandInfo('_node', 'run a node'),
-        # It has none, and loads nothing that it does not need.
+        # Takes no flags, so that it starts without loading the flags library.
         'serve': CommandInfo(
             '_serve',
             "run a node on a users' platform",
@@ -42,14 +42,15 @@
 
 
 def load_flags() -> ModuleType:
-    """Import what commands with flags need."""
+    """Import the module that runs commands with flags."""
     return importlib.import_module('cranecart.cli._flags')
 
 
 def load_command(name: str) -> ModuleType:
-    """Import the module of a command that is in the registry.
+    """Import the module of a registered command.
 
-    Nothing of it is ever garbage, and looking through it delays the start.
+    Garbage collection is off meanwhile: imported modules are never garbage, and
+    scanning them delays the start.
     """
     gc.disable()
     try:
--- a/src/cranecart/cli/_rollback.py
+++ b/src/cranecart/cli/_rollback.py
@@ -1,7 +1,7 @@
-"""Accept what an earlier version declared anew. Usage: rollback VERSION.
+"""Apply an earlier version again. Usage: rollback VERSION.
 
-The version in force only rises: a rollback is a new version that says what
-an earlier one said.
+Versions only increase: a rollback creates a new version with the declarations
+of an earlier one.
 """
 
 import curio
@@ -21,13 +21,13 @@
     """Apply the earlier declarations and print the new version."""
     _common.require_arguments(rest, ['VERSION'])
     if not rest[0].isdecimal():
-        raise OperatorError(f'{rest[0]!r} is no version number')
+        raise OperatorError(f'{rest[0]!r} is not a version number')
     client = _common.make_client(flag_values)
     change = curio.run(_roll_back, client, int(rest[0]))
     _common.show(
         flag_values,
         change,
-        f'version {rest[0]} is accepted anew as version {change.version}',
+        f'version {rest[0]} is applied again as version {change.version}',
     )
     return ExitCode.OK
 
@@ -35,6 +35,6 @@
 async def _roll_back(client: OperatorClient, version: int) -> Change:
     earlier = await client.declared(version)
     if earlier.declarations is None:
-        raise OperatorError(f'version {version} declares nothing')
+        raise OperatorError(f'version {version} has no declarations')
     note = f'rollback to version {version}'
     return await apply_change(client, earlier.declarations, None, note)
--- a/src/cranecart/cli/_serve.py
+++ b/src/cranecart/cli/_serve.py
@@ -1,6 +1,6 @@
 """Run a node on a deployment's platform. Usage: serve [SETTINGS_FILE].
 
-Without a file the path stands in the variable CRANECART_NODE_FILE.
+Without an argument, CRANECART_NODE_FILE holds the path of the file.
 """
 
 import os
@@ -32,5 +32,5 @@
 def _settings_file(rest: list[str]) -> Path:
     named = rest[0] if rest else os.environ.get(FILE_VARIABLE, '')
     if not named:
-        raise ConfigError(f'name a settings file, or set {FILE_VARIABLE}')
+        raise ConfigError(f'pass a settings file, or set {FILE_VARIABLE}')
     return Path(named)
--- a/src/cranecart/cli/_standin.py
+++ b/src/cranecart/cli/_standin.py
@@ -1,4 +1,4 @@
-"""Run a stand-in until told to stop.
+"""Run a stand-in until it is stopped.
 
 Usage: standin platform|engine|service|proxy ADDRESS
 """
@@ -31,7 +31,7 @@
 def declare_flags(flag_values: flags.FlagValues) -> None:
     """Declare the flags of all stand-ins."""
     for name, default, about in (
-        ('record', '', 'file for what truly happened'),
+        ('record', '', 'file to record events in'),
         ('instance', '', 'id of the instance'),
         ('platform', '127.0.0.1:8090', 'address of the platform'),
         ('failure_domain', '', 'failure domain of the instance'),
@@ -39,7 +39,7 @@
         ('service', '', 'name of the plain service'),
         ('upstream', '', 'address behind a proxy'),
         ('control', '127.0.0.1:0', 'control address of a proxy'),
-        ('listed_address', '', 'address to list, if not the own one'),
+        ('listed_address', '', 'address to list, by default its own'),
     ):
         flags.DEFINE_string(name, default, about, flag_values=flag_values)
     for name, amount, about in (
@@ -77,14 +77,14 @@
     if rest[0] not in makers:
         known = ', '.join(makers)
         raise flags.IllegalFlagValueError(f'KIND must be one of {known}')
-    curio.run(_until_told, makers[rest[0]](flag_values, address))
+    curio.run(_run_until_stopped, makers[rest[0]](flag_values, address))
     return ExitCode.OK
 
 
 _Runner = Callable[[], Awaitable[None]]
 
 
-async def _until_told(runner: _Runner) -> None:
+async def _run_until_stopped(runner: _Runner) -> None:
     async with stop_signal() as stop, curio.TaskGroup(wait=any) as tasks:
         await tasks.spawn(runner)
         await tasks.spawn(stop.wait)
@@ -115,14 +115,14 @@
     )
     record = EventRecord.from_path(flag_values.instance, flag_values.record)
     engine = EngineStandin(address, options, record)
-    return _Listed(flag_values, address, engine.run, 'engine').run
+    return _RegisteredInstance(flag_values, address, engine.run, 'engine').run
 
 
 def _service(flag_values: flags.FlagValues, address: Address) -> _Runner:
     options = ServiceOptions(flag_values.instance, flag_values.delay_ms)
     record = EventRecord.from_path(flag_values.instance, flag_values.record)
     service = ServiceStandin(address, options, record)
-    return _Listed(flag_values, address, service.run, 'service').run
+    return _RegisteredInstance(flag_values, address, service.run, 'service').run
 
 
 def _proxy(flag_values: flags.FlagValues, address: Address) -> _Runner:
@@ -133,8 +133,8 @@
     ).run
 
 
-class _Listed:
-    """Puts a stand-in instance on the stand-in platform's list."""
+class _RegisteredInstance:
+    """Registers a stand-in instance with the stand-in platform."""
 
     def __init__(
         self,
@@ -159,7 +159,7 @@
         }
 
     async def run(self) -> None:
-        """List the instance and run it."""
+        """Register the instance and run it."""
         request = Request(
             'POST',
             '/standin/instances',
--- a/src/cranecart/cli/_status.py
+++ b/src/cranecart/cli/_status.py
@@ -1,4 +1,4 @@
-"""Show what a node sees: nodes, duties and replicas. Usage: status."""
+"""Show a node's view of nodes, duties and replicas. Usage: status."""
 
 from collections.abc import Iterator
 
--- a/src/cranecart/config/__init__.py
+++ b/src/cranecart/config/__init__.py
@@ -1,4 +1,4 @@
-"""Declarations of operators: compiling, and what changes between two."""
+"""Compile operators' declarations and compare them."""
 
 from cranecart.config._compile import compile_folder
 from cranecart.config._differences import Difference, differences
--- a/src/cranecart/config/_compile.py
+++ b/src/cranecart/config/_compile.py
@@ -1,4 +1,4 @@
-"""Compile a folder of declarations into what the nodes act on."""
+"""Compile a folder of declarations into the form that nodes use."""
 
 from collections.abc import Iterator, Mapping
 from pathlib import Path
@@ -49,7 +49,7 @@
 
 @attrs.define
 class _Files:
-    """The files of a folder, by kind, with their documents."""
+    """The parsed files of a folder by kind, with their documents."""
 
     deployments: list[tuple[Document, DeploymentFile]] = attrs.field(
         factory=list,
@@ -65,7 +65,7 @@
 def compile_folder(folder: Path) -> Declarations:
     """Read, check and instantiate all files of a folder.
 
-    Raise ``FindingsError`` that carries every finding, with file and line.
+    Raise ``FindingsError`` with all findings, each with file and line.
     """
     findings: list[Finding] = []
     files = _read_folder(folder, findings)
@@ -92,7 +92,7 @@
         except FindingsError as error:
             findings.extend(error.findings)
         else:
-            findings.extend(_file(files, document, parsed))
+            findings.extend(_add_file(files, document, parsed))
     return files
 
 
@@ -107,7 +107,7 @@
     return structure(document, _KINDS[kind])
 
 
-def _file(
+def _add_file(
     files: _Files,
     document: Document,
     parsed: _Parsed,
@@ -117,7 +117,7 @@
             files.deployments.append((document, parsed))
         case TemplateFile():
             if parsed.name in files.templates:
-                yield _doubled(document, parsed.name)
+                yield _duplicate_name(document, parsed.name)
             for name in unknown_references(parsed):
                 hint = suggest(name, parsed.parameters)
                 yield document.finding(
@@ -127,17 +127,17 @@
             files.templates[parsed.name] = (document, parsed)
         case OrganisationFile():
             if parsed.name in files.organisations:
-                yield _doubled(document, parsed.name)
+                yield _duplicate_name(document, parsed.name)
             files.organisations[parsed.name] = (document, parsed)
 
 
-def _doubled(document: Document, name: str) -> Finding:
-    return document.finding(('name',), f'name {name!r} is taken already')
+def _duplicate_name(document: Document, name: str) -> Finding:
+    return document.finding(('name',), f'name {name!r} is already in use')
 
 
 @attrs.define
 class _Compiler:
-    """Instantiates templates, one organisation after the other."""
+    """Instantiates the templates that each organisation uses."""
 
     _files: _Files
     _deployment: DeploymentFile
@@ -238,7 +238,7 @@
             self._models[spec.key] = spec
             return
         # Organisations that instantiate the same model share its replicas.
-        together = earlier.replicas + spec.replicas
+        total_replicas = earlier.replicas + spec.replicas
         if attrs.evolve(earlier, replicas=spec.replicas) != spec:
             self._findings.append(
                 document.finding(
@@ -247,7 +247,7 @@
                     'than its number of replicas',
                 ),
             )
-        self._models[spec.key] = attrs.evolve(earlier, replicas=together)
+        self._models[spec.key] = attrs.evolve(earlier, replicas=total_replicas)
 
     def _to_spec(self, model: ModelBody) -> ModelSpec:
         return ModelSpec(
--- a/src/cranecart/config/_differences.py
+++ b/src/cranecart/config/_differences.py
@@ -1,4 +1,4 @@
-"""Say what a change of configuration would change."""
+"""List the differences between two configurations."""
 
 from collections.abc import Iterable, Iterator
 
@@ -16,7 +16,7 @@
 
 @attrs.frozen
 class Difference:
-    """One thing that is added, removed or changed."""
+    """One item that is added, removed or changed."""
 
     what: str
     name: str
@@ -27,7 +27,7 @@
     before: Declarations | None,
     after: Declarations,
 ) -> list[Difference]:
-    """List what differs between two compiled declarations."""
+    """List the differences between two compiled declarations."""
     return [
         *_compare('model', before.models if before else (), after.models),
         *_compare(
--- a/src/cranecart/config/_files.py
+++ b/src/cranecart/config/_files.py
@@ -1,4 +1,4 @@
-"""The shapes of the files that operators write."""
+"""Schemas of the files that operators write."""
 
 from collections.abc import Mapping
 from typing import Any, Literal
@@ -12,7 +12,7 @@
 
 @attrs.frozen
 class DeploymentFile:
-    """The place that all other files speak about."""
+    """The deployment to which all other files apply."""
 
     kind: Literal['deployment']
     name: str
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class TemplateFile:
-    """A template: parameters, and a body that may name them."""
+    """A template: parameters, and a body that may refer to them."""
 
     kind: Literal['template']
     name: str
@@ -71,7 +71,7 @@
 
 @attrs.frozen
 class ModelBody:
-    """A model as a template's body states it."""
+    """A model in a template's body."""
 
     name: str
     version: str
@@ -91,7 +91,7 @@
 
 @attrs.frozen
 class ServiceBody:
-    """A plain service as a template's body states it."""
+    """A plain service in a template's body."""
 
     name: str
     non_repeatable_paths: tuple[str, ...] = ()
@@ -99,7 +99,7 @@
 
 @attrs.frozen
 class Body:
-    """What a template's body gives once its parameters are filled in."""
+    """A template's body with its parameters substituted."""
 
     models: tuple[ModelBody, ...] = ()
     services: tuple[ServiceBody, ...] = ()
--- a/src/cranecart/config/_template.py
+++ b/src/cranecart/config/_template.py
@@ -1,4 +1,4 @@
-"""Fill parameters into a template's body."""
+"""Substitute parameters in a template's body."""
 
 import re
 from collections.abc import Iterator, Mapping
@@ -17,7 +17,7 @@
     template: TemplateFile,
     use: Use,
 ) -> Iterator[tuple[str, str]]:
-    """Yield the name and the problem of each wrong argument of a use."""
+    """Yield the name and problem of each invalid argument of a use."""
     for name in use.parameters.keys() - template.parameters.keys():
         hint = suggest(name, template.parameters)
         yield name, f'template has no parameter {name!r}{hint}'
@@ -32,7 +32,7 @@
     if found is None:
         return 'has no default and must be given'
     wanted = _TYPES[parameter.type]
-    # ``bool`` is an ``int`` to Python, but not to whoever writes settings.
+    # In Python ``bool`` is a subclass of ``int``, but a file must not mix them.
     if isinstance(found, bool) or not isinstance(found, wanted):
         return f'must be of type {parameter.type}, found {found!r}'
     if isinstance(found, int):
@@ -52,7 +52,7 @@
 
 
 def fill_body(template: TemplateFile, use: Use) -> object:
-    """Return the body with each ``${name}`` replaced; keep types whole."""
+    """Return the body with each ``${name}`` replaced, keeping types."""
     arguments = {
         name: use.parameters.get(name, parameter.default)
         for name, parameter in template.parameters.items()
@@ -61,7 +61,7 @@
 
 
 def unknown_references(template: TemplateFile) -> list[str]:
-    """Return the names that the body uses without their being declared."""
+    """Return the undeclared parameters that the body refers to."""
     return sorted(set(_references(template.body)) - set(template.parameters))
 
 
--- a/src/cranecart/documents/__init__.py
+++ b/src/cranecart/documents/__init__.py
@@ -1,4 +1,4 @@
-"""Files of JSON with comments: reading with lines, checking by class."""
+"""Parse JSON files with comments and validate them by attrs classes."""
 
 from cranecart.documents._source import (
     Document,
--- a/src/cranecart/documents/_source.py
+++ b/src/cranecart/documents/_source.py
@@ -1,4 +1,4 @@
-"""Read JSON with comments, and remember the line of each value."""
+"""Parse JSON with comments and record the line of each value."""
 
 import difflib
 import functools
@@ -17,19 +17,19 @@
 
 @attrs.frozen
 class Finding:
-    """One rule that a file breaks, and where."""
+    """One error in a file, with its line."""
 
     file: str
     line: int
     message: str
 
     def __str__(self) -> str:
-        """Write the finding as editors expect it."""
+        """Format the finding as compilers do, for editors."""
         return f'{self.file}:{self.line}: {self.message}'
 
 
 class FindingsError(ConfigError):
-    """Files break rules; carries every finding at once."""
+    """Files are invalid; carries all findings."""
 
     def __init__(self, findings: Iterable[Finding]) -> None:
         """Join the findings into one message."""
@@ -39,14 +39,14 @@
 
 @attrs.frozen
 class Document:
-    """A parsed file and the line on which each value starts."""
+    """A parsed file with the line on which each value starts."""
 
     file: str
     root: object
     lines: Mapping[KeyPath, int]
 
     def finding(self, path: KeyPath, message: str) -> Finding:
-        """Make a finding at a path, or at its nearest known parent."""
+        """Make a finding at a path, or at its closest known parent."""
         known = next(
             path[:length]
             for length in range(len(path), -1, -1)
@@ -62,7 +62,7 @@
 
 
 def read_document(file: Path) -> Document:
-    """Parse one file; raise ``FindingsError`` where it is not JSON."""
+    """Parse one file; raise ``FindingsError`` if it is not JSON."""
     try:
         source = file.read_bytes()
     except OSError as error:
@@ -114,7 +114,7 @@
 
 @attrs.frozen
 class _Reader:
-    """Turns syntax nodes into values."""
+    """Converts syntax nodes into values."""
 
     file: str
     lines: dict[KeyPath, int]
@@ -146,7 +146,7 @@
                     Finding(
                         self.file,
                         key_node.start_point.row + 1,
-                        f'key {key!r} stands twice',
+                        f'key {key!r} is duplicated',
                     ),
                 )
             found[key] = self.read(value_node, (*path, key))
@@ -158,6 +158,6 @@
 
 
 def suggest(name: str, known: Iterable[str]) -> str:
-    """Return a hint that names the nearest known name, or nothing."""
+    """Return a hint with the closest known name, or an empty text."""
     near = difflib.get_close_matches(name, list(known), n=1)
     return f'; did you mean {near[0]!r}?' if near else ''
--- a/src/cranecart/documents/_structure.py
+++ b/src/cranecart/documents/_structure.py
@@ -1,4 +1,4 @@
-"""Check documents against attrs classes, and name what is wrong where."""
+"""Validate documents against attrs classes; report errors by line."""
 
 import itertools
 import re
@@ -31,7 +31,7 @@
 
 
 def _strict(found: object, wanted: type) -> object:
-    # ``bool`` is an ``int`` to Python, but not to whoever writes settings.
+    # In Python ``bool`` is a subclass of ``int``, but a file must not mix them.
     if isinstance(found, bool) != (wanted is bool) or not isinstance(
         found,
         wanted,
@@ -41,14 +41,14 @@
 
 
 def _number(found: object, _wanted: type) -> float:
-    # A whole number stays one, so that it is shown as it was written.
+    # Integers are kept, so that they are shown as they were written.
     if isinstance(found, bool) or not isinstance(found, int | float):
         raise ValueError(f'expected a number, found {found!r}')
     return found
 
 
 _CONVERTER = _converter(forbid_extra_keys=True)
-# For files that a platform writes, which may say more than is known here.
+# For files that a platform writes, which may have unknown fields.
 _LENIENT_CONVERTER = _converter(forbid_extra_keys=False)
 
 
@@ -60,9 +60,9 @@
     *,
     ignores_unknown: bool = False,
 ) -> Data:
-    """Check a document against an attrs class.
+    """Validate a document against an attrs class.
 
-    Raise ``FindingsError`` with every rule that is broken.
+    Raise ``FindingsError`` with all errors.
     """
     source = document.root if found is None else found
     try:
@@ -76,7 +76,7 @@
 
 
 def _describe(error: BaseException, wanted: type[object] | None) -> str:
-    # What a validator of ours has to say is clearer than 'invalid value'.
+    # Messages of our own validators are clearer than 'invalid value'.
     if isinstance(error, ValueError) and error.args:
         return str(error.args[0])
     return format_exception(error, wanted)
@@ -116,7 +116,7 @@
 
 
 def all_field_names(wanted: type[object]) -> list[str]:
-    """Return the field names of an attrs class and of those inside it."""
+    """Return the field names of an attrs class and of nested ones."""
     if not attrs.has(wanted):
         return []
     fields = attrs.fields(wanted)
--- a/tests/functional/test_end_to_end.py
+++ b/tests/functional/test_end_to_end.py
@@ -140,7 +140,7 @@
             (('plan', folder), 'against version'),
             (('apply', '--wait_seconds=15', folder), 'on every node'),
             (('history',), 'test'),
-            (('rollback', '1'), 'is accepted anew'),
+            (('rollback', '1'), 'is applied again'),
         )
         os.environ[KEY_VARIABLE] = OPERATOR_KEY
         for words, shown in expected:
