--- a/tests/lib/clusters.py
+++ b/tests/lib/clusters.py
@@ -1,4 +1,4 @@
-"""Clusters for functional tests."""
+"""Clusters of local processes for functional tests."""
 
 import os
 import sys
@@ -16,7 +16,7 @@
 from tools.local_cluster import ClusterOptions, LocalCluster
 
 EXAMPLES = Path(__file__).parent.parent.parent / 'examples'
-KEEP_VARIABLE = 'CRANECART_KEEP_LOGS'
+KEEP_LOGS_VARIABLE = 'CRANECART_KEEP_LOGS'
 DOMAINS = ('buda-terem', 'pest-terem')
 
 
@@ -24,32 +24,39 @@
     test: type[unittest.TestCase] | unittest.TestCase,
     **options: Any,
 ) -> LocalCluster:
-    """Start a cluster of the first example for a test or a test class."""
+    """Start a cluster with the example deployment for a test or its class.
+
+    ``options`` override fields of ClusterOptions.
+    """
     if isinstance(test, unittest.TestCase):
         add_cleanup = test.addCleanup
     else:
         add_cleanup = test.addClassCleanup
-    chosen = {'domains': DOMAINS, 'service': 'brigad-app', **options}
-    cluster = LocalCluster(_folder(add_cleanup), ClusterOptions(**chosen))
+    cluster_options = {'domains': DOMAINS, 'service': 'brigad-app', **options}
+    cluster = LocalCluster(
+        _folder(add_cleanup), ClusterOptions(**cluster_options)
+    )
     add_cleanup(cluster.stop)
     cluster.__enter__()
-    bring_up(cluster)
+    apply_example(cluster)
     return cluster
 
 
-def bring_up(cluster: LocalCluster) -> None:
-    """Apply the example and wait until its replicas serve everywhere."""
+def apply_example(cluster: LocalCluster) -> None:
+    """Apply the example declarations and wait until all nodes serve them."""
     control = cluster.control
-    wait_until(lambda: _reads_platform(cluster), 'a node reads the platform')
-    declared = compile_folder(EXAMPLES / 'katyuszerviz')
-    curio.run(apply_change, control.operator(), declared, 0, 'test')
     wait_until(
-        lambda: all(_is_up(cluster, name) for name in cluster.endpoints),
+        lambda: _can_read_declarations(cluster), 'a node can read the platform'
+    )
+    declarations = compile_folder(EXAMPLES / 'katyuszerviz')
+    curio.run(apply_change, control.operator(), declarations, 0, 'test')
+    wait_until(
+        lambda: all(_is_ready(cluster, name) for name in cluster.endpoints),
         'every node sees all replicas and services, and is ready',
     )
 
 
-def _reads_platform(cluster: LocalCluster) -> bool:
+def _can_read_declarations(cluster: LocalCluster) -> bool:
     try:
         curio.run(cluster.control.operator().declared)
     except CranecartError:
@@ -57,10 +64,10 @@
     return True
 
 
-def _is_up(cluster: LocalCluster, node: str) -> bool:
+def _is_ready(cluster: LocalCluster, node: str) -> bool:
     status = cluster.control.status(node)
     options = cluster.options
-    # The example declares two replicas, one for each of two domains.
+    # The example declares one replica for each of two failure domains.
     replicas = len(options.domains) if options.engines_per_domain else 0
     services = len(options.domains) * options.services_per_domain
     if status is None or not status.ready:
@@ -68,23 +75,25 @@
     return (
         len(status.replicas) >= replicas
         and len(status.services) >= services
-        and len(status.nodes) == _nodes_beside(cluster, node)
+        and len(status.nodes) == _domain_node_count(cluster, node)
     )
 
 
-def _nodes_beside(cluster: LocalCluster, node: str) -> int:
-    """Return how many nodes a node's failure domain has, with itself."""
+def _domain_node_count(cluster: LocalCluster, node: str) -> int:
+    """Return the number of nodes in a node's failure domain, including it."""
     domains = cluster.options.domains
-    places = [number % len(domains) for number in range(len(cluster.endpoints))]
-    own = places[list(cluster.endpoints).index(node)]
-    return places.count(own)
+    node_domains = [
+        number % len(domains) for number in range(len(cluster.endpoints))
+    ]
+    own_domain = node_domains[list(cluster.endpoints).index(node)]
+    return node_domains.count(own_domain)
 
 
 def _folder(add_cleanup: Any) -> Path:
-    if os.environ.get(KEEP_VARIABLE):
-        kept = tempfile.mkdtemp(prefix='cranecart-')
-        sys.stderr.write(f'logs stay in {kept}\n')
-        return Path(kept)
+    if os.environ.get(KEEP_LOGS_VARIABLE):
+        kept_folder = tempfile.mkdtemp(prefix='cranecart-')
+        sys.stderr.write(f'logs are kept in {kept_folder}\n')
+        return Path(kept_folder)
     folder = tempfile.TemporaryDirectory(prefix='cranecart-')
     add_cleanup(folder.cleanup)
     return Path(folder.name)
--- a/tests/lib/fake_platform.py
+++ b/tests/lib/fake_platform.py
@@ -1,4 +1,4 @@
-"""A table in memory whose faults a test decides, call by call."""
+"""An in-memory table with faults that a test chooses for each commit."""
 
 from collections.abc import Iterable, Iterator
 
@@ -11,16 +11,20 @@
 )
 from cranecart.ports import Put, Row, Transaction, make_version, store_number_of
 
-FINE = 'fine'
+NO_FAULT = 'fine'
 REFUSED = 'refused'
-LOST_ANSWER = 'lost answer'
+LOST_RESPONSE = 'lost answer'
 LOST_WRITE = 'lost write'
-FAULTS = (FINE, FINE, REFUSED, LOST_ANSWER, LOST_WRITE)
+FAULTS = (NO_FAULT, NO_FAULT, REFUSED, LOST_RESPONSE, LOST_WRITE)
 
 
 @attrs.define
 class FakePlatform:
-    """Stands in for a table client where only the table is used."""
+    """A substitute for the table client.
+
+    The next commits take their faults from ``faults``; ``down`` fails all
+    calls.
+    """
 
     rows: dict[str, Row] = attrs.field(factory=dict)
     version: int = 0
@@ -38,39 +42,39 @@
         return (await self.read_keys([key])).get(key)
 
     async def read_prefix(self, prefix: str) -> dict[str, Row]:
-        """Read rows behind a prefix."""
+        """Read rows whose key has a prefix."""
         self._fail_if_down()
         return {
             key: row for key, row in self.rows.items() if key.startswith(prefix)
         }
 
     async def commit(self, transaction: Transaction) -> int:
-        """Write a transaction, as far as the next fault allows."""
+        """Commit a transaction, subject to the next fault."""
         self._fail_if_down()
-        fault = next(self.faults, FINE)
+        fault = next(self.faults, NO_FAULT)
         if fault == REFUSED:
             raise PlatformUnavailableError(fault)
         if fault == LOST_WRITE:
             raise WriteUnknownError(fault)
         self._apply(transaction)
-        if fault == LOST_ANSWER:
+        if fault == LOST_RESPONSE:
             raise WriteUnknownError(fault)
         return self.version
 
-    def copied(self) -> tuple[int, dict[str, Row]]:
-        """Return a copy of what the table holds now."""
+    def snapshot_rows(self) -> tuple[int, dict[str, Row]]:
+        """Return a snapshot: the version number and the rows."""
         return store_number_of(self.version), dict(self.rows)
 
-    def restore(self, earlier: tuple[int, dict[str, Row]]) -> None:
-        """Come back from a copy: versions are given out again."""
+    def restore(self, snapshot: tuple[int, dict[str, Row]]) -> None:
+        """Restore a snapshot in a new era; version numbers are reused."""
         self.era += 1
-        self.version = make_version(self.era, earlier[0])
+        self.version = make_version(self.era, snapshot[0])
         self.rows = {
             key: attrs.evolve(
                 row,
                 version=make_version(self.era, store_number_of(row.version)),
             )
-            for key, row in earlier[1].items()
+            for key, row in snapshot[1].items()
         }
 
     def _apply(self, transaction: Transaction) -> None:
@@ -88,4 +92,4 @@
 
     def _fail_if_down(self) -> None:
         if self.down:
-            raise PlatformUnavailableError('down')
+            raise PlatformUnavailableError('the fake platform is down')
--- a/tests/lib/loads.py
+++ b/tests/lib/loads.py
@@ -1,4 +1,4 @@
-"""Load beside which a test injects its faults."""
+"""Run a load while a test injects faults."""
 
 from collections.abc import Awaitable, Callable
 
@@ -20,29 +20,29 @@
     per_second: float = 20,
     retries: int = 0,
 ) -> list[Outcome]:
-    """Send a seeded load and inject faults while it runs."""
+    """Send a load with a fixed seed and inject faults while it runs."""
 
     async def run() -> list[Outcome]:  # noqa: WPS430
         balancer = cluster.control.balancer()
-        watching = await curio.spawn(balancer.run, daemon=True)
+        polling = await curio.spawn(balancer.run, daemon=True)
         await curio.sleep(_BALANCER_SECONDS)
         faults = await curio.spawn(inject_faults)
         count = round(seconds * per_second)
         calls = make_calls(profile, ['one', 'two', 'three'], count, seed=5)
         outcomes = await run_load(balancer, calls, per_second, retries)
         await faults.join()
-        await watching.cancel()
+        await polling.cancel()
         return outcomes
 
     return curio.run(run)
 
 
 def language_profile(**changes: object) -> Profile:
-    """Return calls of the example's model only."""
-    settings: dict[str, object] = {
+    """Return a profile with only calls of the example's model."""
+    options: dict[str, object] = {
         'api_keys': ['demo-budapest', 'demo-gyor'],
         'models': ['nyelvi-szerver'],
         'tokens': 24,
         **changes,
     }
-    return Profile(**settings)  # type: ignore[arg-type]
+    return Profile(**options)  # type: ignore[arg-type]
--- a/tests/lib/sample_instances.py
+++ b/tests/lib/sample_instances.py
@@ -1,4 +1,4 @@
-"""Small failure domains for the tests of decisions."""
+"""Sample instances, model specs and reports of one failure domain."""
 
 from collections.abc import Iterable
 
@@ -14,8 +14,10 @@
 DOMAIN = 'buda-terem'
 
 
-def make_instances(count: int, fabrics: int = 1) -> dict[str, Instance]:
-    """Make engines, spread over fabric domains in turn."""
+def make_instances(
+    count: int, fabric_domain_count: int = 1
+) -> dict[str, Instance]:
+    """Make engines, assigned to fabric domains in turn."""
     return {
         f'e{number:02}': Instance(
             f'e{number:02}',
@@ -23,24 +25,24 @@
             '127.0.0.1',
             1000 + number,
             DOMAIN,
-            f'f{number % fabrics}',
+            f'f{number % fabric_domain_count}',
         )
         for number in range(count)
     }
 
 
 def make_spec(replicas: int, size: int = 4, version: str = 'v1') -> ModelSpec:
-    """Make a model that runs in the one domain."""
+    """Make a model spec for the one failure domain."""
     return ModelSpec('nyelvi-szerver', version, replicas, size, (DOMAIN,))
 
 
 def idle_reports(names: Iterable[str]) -> dict[str, MemberReport]:
-    """Make the reports of instances that do nothing."""
+    """Make the reports of idle instances."""
     return {name: MemberReport(name) for name in names}
 
 
 def ready_reports(row: ReplicaRow) -> dict[str, MemberReport]:
-    """Make the reports of a replica's members that all serve."""
+    """Make the reports of a replica's members, all ready."""
     return {
         name: MemberReport(
             name,
--- a/tests/lib/settings_template.py
+++ b/tests/lib/settings_template.py
@@ -1,4 +1,4 @@
-"""Fill a settings template as the platform says it does."""
+"""Render a settings template by the platform's template language."""
 
 import re
 from collections.abc import Mapping, Sequence
@@ -6,47 +6,55 @@
 import msgspec
 
 _SECTION = re.compile(r'\{\{([#^])([\w.]+)\}\}(.*?)\{\{/\2\}\}', re.DOTALL)
-_GAP = re.compile(r'\{\{([\w.@]+)(\|json)?\}\}')
+_PLACEHOLDER = re.compile(r'\{\{([\w.@]+)(\|json)?\}\}')
 _COMMA = '{{,}}'
 
 
 def render(template: str, fields: Mapping[str, object]) -> str:
-    """Return the text with all sections and gaps filled."""
-    whole = _SECTION.sub(lambda found: _section(found, fields), template)
-    return _gaps(whole, fields, '')
+    """Return the template with sections and placeholders expanded."""
+    expanded = _SECTION.sub(
+        lambda match: _fill_section(match, fields), template
+    )
+    return _fill_placeholders(expanded, fields, '')
 
 
-def _section(found: re.Match[str], fields: Mapping[str, object]) -> str:
-    kind, name, body = found.groups()
+def _fill_section(match: re.Match[str], fields: Mapping[str, object]) -> str:
+    sign, name, body = match.groups()
     value = _look_up(name, fields)
-    is_there = value is not None and value is not False
-    if kind == '^':
-        return '' if is_there else body
+    is_present = value is not None and value is not False
+    if sign == '^':
+        return '' if is_present else body
     if isinstance(value, Mapping):
-        return _entries(list(value.items()), body)
+        return _fill_entries(list(value.items()), body)
     if isinstance(value, Sequence) and not isinstance(value, str):
-        return _entries(list(enumerate(value)), body)
-    return _gaps(body, {'.': value}, '') if is_there else ''
+        return _fill_entries(list(enumerate(value)), body)
+    return _fill_placeholders(body, {'.': value}, '') if is_present else ''
 
 
-def _entries(entries: Sequence[tuple[object, object]], body: str) -> str:
+def _fill_entries(entries: Sequence[tuple[object, object]], body: str) -> str:
     last = len(entries) - 1
     return ''.join(
-        _gaps(
-            body.replace(_COMMA, '' if number == last else ','),
+        _fill_placeholders(
+            body.replace(_COMMA, '' if index == last else ','),
             {'.': value},
             str(key),
         )
-        for number, (key, value) in enumerate(entries)
+        for index, (key, value) in enumerate(entries)
     )
 
 
-def _gaps(text: str, fields: Mapping[str, object], key: str) -> str:
-    return _GAP.sub(lambda found: _gap(found, fields, key), text)
+def _fill_placeholders(
+    text: str, fields: Mapping[str, object], key: str
+) -> str:
+    return _PLACEHOLDER.sub(
+        lambda match: _fill_placeholder(match, fields, key), text
+    )
 
 
-def _gap(found: re.Match[str], fields: Mapping[str, object], key: str) -> str:
-    name, as_json = found.groups()
+def _fill_placeholder(
+    match: re.Match[str], fields: Mapping[str, object], key: str
+) -> str:
+    name, as_json = match.groups()
     if name == '@':
         return key
     value = _look_up(name, fields)
@@ -60,15 +68,15 @@
 def _look_up(name: str, fields: Mapping[str, object]) -> object:
     if name == '.':
         return fields[name]
-    found: object = fields
-    for step in name.split('.'):
-        found = _step(found, step)
-    return found
+    value: object = fields
+    for key in name.split('.'):
+        value = _child(value, key)
+    return value
 
 
-def _step(node: object, step: str) -> object:
+def _child(node: object, key: str) -> object:
     if isinstance(node, Mapping):
-        return node.get(step)
-    if isinstance(node, list) and int(step) < len(node):
-        return node[int(step)]
+        return node.get(key)
+    if isinstance(node, list) and int(key) < len(node):
+        return node[int(key)]
     return None
--- a/tests/lib/synchronous.py
+++ b/tests/lib/synchronous.py
@@ -1,4 +1,4 @@
-"""Run coroutines that never wait, without an event loop."""
+"""Run coroutines that never suspend, without an event loop."""
 
 from collections.abc import Coroutine
 from typing import Any, TypeVar
@@ -7,9 +7,9 @@
 
 
 def run_synchronously(coroutine: Coroutine[Any, Any, Answer]) -> Answer:
-    """Return what a coroutine returns; fail if it waits for anything."""
+    """Return the result of a coroutine; fail if it suspends."""
     try:
         coroutine.send(None)
     except StopIteration as stop:
         return stop.value
-    raise AssertionError('the coroutine waits for something')
+    raise AssertionError('the coroutine must not suspend, but did')
--- a/tests/lib/time_windows.py
+++ b/tests/lib/time_windows.py
@@ -1,14 +1,14 @@
-"""Count events within a window of time."""
+"""Count events in sliding time windows."""
 
 from collections.abc import Sequence
 
 
 def max_in_window(times: Sequence[float], seconds: float) -> int:
-    """Return the most of some ascending times in any window of a length."""
-    first = 0
+    """Return the maximum number of the sorted times in any window."""
+    start = 0
     max_count = 0
-    for last, at in enumerate(times):
-        while at - times[first] > seconds:
-            first += 1
-        max_count = max(max_count, last + 1 - first)
+    for end, event_time in enumerate(times):
+        while event_time - times[start] > seconds:
+            start += 1
+        max_count = max(max_count, end + 1 - start)
     return max_count
--- a/tests/lib/waiting.py
+++ b/tests/lib/waiting.py
@@ -1,4 +1,4 @@
-"""Wait for something in a test, but not for ever."""
+"""Wait for a condition in a test, with a timeout."""
 
 import time
 from collections.abc import Callable
@@ -6,10 +6,12 @@
 import curio
 
 
-async def until(holds: Callable[[], object], seconds: float = 3) -> None:
-    """Wait for something; fail if it does not come."""
-    ends = time.monotonic() + seconds
-    while not holds():
-        if time.monotonic() > ends:
-            raise AssertionError('it did not come in time')
+async def until(condition: Callable[[], object], seconds: float = 3) -> None:
+    """Poll until a condition holds; fail after the timeout."""
+    deadline = time.monotonic() + seconds
+    while not condition():
+        if time.monotonic() > deadline:
+            raise AssertionError(
+                'the condition did not hold before the timeout'
+            )
         await curio.sleep(0.01)
--- a/tests/unit/test_grouping_faults.py
+++ b/tests/unit/test_grouping_faults.py
@@ -16,14 +16,21 @@
 )
 from cranecart.ports import Row
 from tests.lib.fake_engines import DOMAIN, listed_instance
-from tests.lib.fake_platform import FINE, LOST_ANSWER, LOST_WRITE, REFUSED
+from tests.lib.fake_platform import LOST_RESPONSE, LOST_WRITE, NO_FAULT, REFUSED
 from tests.lib.waiting import until
 from tests.unit.test_grouping import PlacerTestbed
 
 _STEP_SECONDS = 0.06
 TableSnapshot = tuple[int, dict[str, Row]]
 _INSTANCES = 9
-_STORE_FAULTS = (REFUSED, FINE, LOST_ANSWER, FINE, LOST_WRITE, REFUSED)
+_STORE_FAULTS = (
+    REFUSED,
+    NO_FAULT,
+    LOST_RESPONSE,
+    NO_FAULT,
+    LOST_WRITE,
+    REFUSED,
+)
 
 _fault_events = st.lists(
     st.tuples(
@@ -121,7 +128,7 @@
         testbed = self.testbed
         match kind:
             case 'snapshot':
-                self.snapshot = testbed.table.copied()
+                self.snapshot = testbed.table.snapshot_rows()
             case 'restore':
                 testbed.table.restore(self.snapshot)
                 testbed.fleet.apply_records(self._rows(), False)
--- a/tests/unit/test_lease.py
+++ b/tests/unit/test_lease.py
@@ -88,7 +88,7 @@
         platform = FakePlatform()
         clock = _Clock()
         leases = _leases(platform, clock)
-        backups = [platform.copied()]
+        backups = [platform.snapshot_rows()]
         # A node that has never seen the row acquires a missing one at once.
         for lease in leases.values():
             _try_acquire(lease)
@@ -97,7 +97,7 @@
         for step in steps:
             match step:
                 case 'backup':
-                    backups.append(platform.copied())
+                    backups.append(platform.snapshot_rows())
                 case 'restore':
                     platform.restore(backups[-1])
                 case name, wait:
@@ -110,7 +110,7 @@
         """A holder that is running renews its lease without a wait."""
         platform = FakePlatform()
         lease = _leases(platform, _Clock())['a']
-        backup = platform.copied()
+        backup = platform.snapshot_rows()
         _try_acquire(lease)
         platform.restore(backup)
         before = lease.fencing
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -31,7 +31,7 @@
 )
 from cranecart.quarantine._pending import PendingTerminations
 from tests.lib.fake_platform import (
-    LOST_ANSWER,
+    LOST_RESPONSE,
     REFUSED,
     FakePlatform,
 )
@@ -361,7 +361,7 @@
 
     def test_a_row_is_written_once(self) -> None:
         """Also where a response was lost or the store was unavailable."""
-        for faults in ((), (LOST_ANSWER,), (REFUSED, REFUSED)):
+        for faults in ((), (LOST_RESPONSE,), (REFUSED, REFUSED)):
             with self.subTest(faults=faults):
                 table = FakePlatform(faults=iter(faults))
                 cases = CaseRegistry()
--- a/tests/unit/test_restored_records.py
+++ b/tests/unit/test_restored_records.py
@@ -86,7 +86,7 @@
     async def _run_after_forming(
         self, scenario: Callable[[], Awaitable[None]]
     ) -> None:
-        self.empty_table = self.testbed.table.copied()
+        self.empty_table = self.testbed.table.snapshot_rows()
         self.running = await curio.spawn(self.testbed.placer.run)
         await until(lambda: len(self.testbed.heads()) == 2)
         self.initial_replicas = {head.replica for head in self.testbed.heads()}
@@ -116,7 +116,7 @@
 
     async def _resurrect_records(self) -> None:
         testbed = self.testbed
-        earlier = testbed.table.copied()
+        earlier = testbed.table.snapshot_rows()
         lost = testbed.heads()[0]
         testbed.lose(lost.members[1])
         await until(lambda: lost.replica not in self._recorded())
@@ -129,7 +129,7 @@
 
     async def _restore_while_ending(self) -> None:
         testbed = self.testbed
-        earlier = testbed.table.copied()
+        earlier = testbed.table.snapshot_rows()
         testbed.engines.work_seconds = 1
         head = testbed.heads()[0]
         leaving_member = attrs.evolve(
--- a/tests/unit/test_restored_rows.py
+++ b/tests/unit/test_restored_rows.py
@@ -20,7 +20,7 @@
         self.clock = _Clock()
         self.table = FakePlatform()
         self.cases = CaseRegistry(self.clock)
-        self.empty = self.table.copied()
+        self.empty = self.table.snapshot_rows()
         self.rows = HeldRows('n0', self.table, self.cases, self.clock)
 
     def test_a_held_request_missing_from_the_copy(self) -> None:
@@ -48,7 +48,7 @@
     def test_a_released_request_present_in_the_copy(self) -> None:
         """It stays released, and its row is deleted again."""
         self._hold(is_own=True)
-        earlier = self.table.copied()
+        earlier = self.table.snapshot_rows()
         self.rows.apply(dict.fromkeys(self.table.rows), False)
         self.table.restore(earlier)
         self.rows.restore(dict(self.table.rows))
@@ -75,7 +75,7 @@
             failure_domain='east',
         )
         table = FakePlatform()
-        empty = table.copied()
+        empty = table.snapshot_rows()
         registry = NodeRegistration(settings, table)
         curio.run(registry.register)
         registry.restore(dict(table.rows))
