--- a/tests/unit/test_cli.py
+++ b/tests/unit/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""Tests of the command line."""
 
 import contextlib
 import io
@@ -29,26 +29,26 @@
 
 
 class CommandLineTest(unittest.TestCase):
-    """What every command has."""
+    """Tests that apply to all commands."""
 
     def test_every_command_has_help(self) -> None:
-        """The help names the command."""
+        """The help text contains the command's name."""
         for name in COMMANDS:
             with self.subTest(command=name):
                 code, out, _ = _run(name, '--help')
                 self.assertEqual(code, ExitCode.OK)
                 self.assertIn(f'cranecart {name}:', out)
 
-    def test_modules_have_what_the_registry_needs(self) -> None:
-        """Each declares its flags and runs."""
+    def test_command_modules_have_the_required_functions(self) -> None:
+        """Each defines ``run``, and ``declare_flags`` if it takes flags."""
         for name, command in COMMANDS.items():
             module = load_command(name)
             declares = callable(getattr(module, 'declare_flags', None))
             self.assertEqual(declares, command.takes_flags)
             self.assertTrue(callable(module.run))
 
-    def test_unknown_command_and_flag(self) -> None:
-        """Both are told on standard error."""
+    def test_unknown_command_and_flag_are_rejected(self) -> None:
+        """Both are reported on standard error."""
         code, _, err = _run('chekc')
         self.assertEqual(code, ExitCode.USAGE)
         self.assertIn("no command 'chekc'", err)
@@ -59,8 +59,8 @@
         self.assertEqual(code, ExitCode.USAGE)
         self.assertIn('jsno', err)
 
-    def test_a_node_that_is_away(self) -> None:
-        """The exit code says that something is unavailable."""
+    def test_unreachable_node(self) -> None:
+        """The exit code is that of an unavailable service."""
         os.environ[KEY_VARIABLE] = 'key'
         self.addCleanup(os.environ.pop, KEY_VARIABLE)
         code, _, err = _run('status', '--node_address=127.0.0.1:1')
@@ -69,16 +69,16 @@
 
 
 class KeyTest(unittest.TestCase):
-    """The operators' key comes from the environment."""
+    """Tests of the operators' key in the environment."""
 
-    def test_without_a_key(self) -> None:
-        """The error says where to put it."""
+    def test_missing_key(self) -> None:
+        """The error names the environment variable."""
         code, _, err = _run('status')
         self.assertEqual(code, ExitCode.FAILED)
         self.assertIn(KEY_VARIABLE, err)
 
-    def test_with_an_impossible_key(self) -> None:
-        """A key that no header can hold is told, not raised."""
+    def test_key_that_is_invalid_in_a_header(self) -> None:
+        """The command reports the error instead of a traceback."""
         os.environ[KEY_VARIABLE] = 'two\nlines'
         self.addCleanup(os.environ.pop, KEY_VARIABLE)
         with socket.create_server(('127.0.0.1', 0)) as listener:
@@ -89,15 +89,15 @@
 
 
 class CheckTest(unittest.TestCase):
-    """``check`` needs no node."""
+    """Tests of ``check``, which needs no node."""
 
-    def test_a_good_folder(self) -> None:
-        """It says what the folder declares."""
+    def test_valid_folder(self) -> None:
+        """The output summarises the declarations."""
         code, out, _ = _run('check', str(_EXAMPLES / 'atril'))
         self.assertEqual(code, ExitCode.OK)
         self.assertIn('1 models', out)
 
-    def test_a_bad_folder(self) -> None:
+    def test_invalid_folder(self) -> None:
         """Findings have files and lines, as text and as JSON."""
         with tempfile.TemporaryDirectory() as folder:
             file = Path(folder) / 'x.json'
@@ -110,18 +110,18 @@
         self.assertEqual(code, ExitCode.INVALID_DECLARATION)
         self.assertEqual(msgspec.json.decode(out)['findings'][0]['line'], 2)
 
-    def test_a_missing_folder(self) -> None:
-        """It is told like any other finding."""
+    def test_missing_folder(self) -> None:
+        """It is reported like any other finding."""
         code, _, err = _run('check', '/nowhere')
         self.assertEqual(code, ExitCode.INVALID_DECLARATION)
         self.assertIn('needs exactly one deployment file', err)
 
 
 class ExplainTest(unittest.TestCase):
-    """``explain`` reads a decision log."""
+    """Tests of ``explain``."""
 
     def test_decisions_about_an_id(self) -> None:
-        """Also where the id stands in a list, and among other lines."""
+        """Ids in lists are found too, and other lines are ignored."""
         lines = (
             {'name': 'cranecart.decisions', 'event': 'routed', 'request': 'a'},
             {
@@ -140,8 +140,8 @@
         self.assertEqual(code, ExitCode.OK)
         self.assertEqual(len(out.splitlines()), 2)
 
-    def test_a_held_request(self) -> None:
-        """What ended under its other tries, seen or heard by any node."""
+    def test_quarantined_request(self) -> None:
+        """Targets that ended in its other attempts are shown, from any node."""
         lines = (
             {
                 'event': 'target_ended',
@@ -160,8 +160,8 @@
         self.assertIn('n2 target_ended', out)
         self.assertEqual(len(out.splitlines()), 2)
 
-    def test_nothing_decided(self) -> None:
-        """It says so and fails."""
+    def test_id_without_decisions(self) -> None:
+        """The command reports that there are none and fails."""
         code, out, _ = _run('explain', 'zzz', sys.executable)
         self.assertEqual(code, ExitCode.FAILED)
         self.assertIn('nothing was decided about zzz', out)
--- a/tests/unit/test_compile.py
+++ b/tests/unit/test_compile.py
@@ -1,4 +1,4 @@
-"""Declarations: what is checked, and how it is said."""
+"""Tests of the validation of declarations and of its messages."""
 
 import tempfile
 import unittest
@@ -37,10 +37,10 @@
 
 
 class CompileTest(unittest.TestCase):
-    """A folder of declarations."""
+    """Tests with a folder of declarations."""
 
     def setUp(self) -> None:
-        """Write a folder that is well."""
+        """Write a valid folder."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
@@ -48,20 +48,20 @@
         self._write('chat.json', _TEMPLATE)
         self._write('o.json', _ORGANISATION)
 
-    def test_examples_are_well(self) -> None:
-        """What the repository ships compiles."""
+    def test_examples_compile(self) -> None:
+        """The example folders of the repository are valid."""
         for name in ('katyuszerviz', 'atril'):
             declared = compile_folder(_ROOT / 'examples' / name)
             self.assertEqual(declared.deployment, name)
             self.assertEqual(declared.models[0].replicas, 2)
 
     def test_parameters_are_filled_in(self) -> None:
-        """A whole reference keeps the parameter's type."""
+        """A value that is only a reference keeps the parameter's type."""
         declared = compile_folder(self.folder)
         self.assertEqual(declared.models[0].replicas, 2)
         self.assertEqual(declared.organisations[0].models, ('m',))
 
-    def test_all_errors_are_told_at_once_with_lines(self) -> None:
+    def test_all_errors_are_reported_with_lines(self) -> None:
         """Each finding names its file, line and rule."""
         self._edit('o.json', '"replicas": 2', '"replicas": 9')
         self._edit('o.json', '"limits"', '"limitz"')
@@ -71,19 +71,19 @@
         self.assertIn("did you mean 'limits'?", findings)
         self.assertIn('o.json:1: limits: required', findings)
 
-    def test_bounds_are_kept(self) -> None:
-        """A parameter over its maximum is refused where it stands."""
+    def test_parameter_over_its_maximum(self) -> None:
+        """The finding names the line of the argument."""
         self._edit('o.json', '"replicas": 2', '"replicas": 9')
         self.assertIn('o.json:7: parameter', self._findings())
         self.assertIn('at most 4, found 9', self._findings())
 
-    def test_unknown_template_names_the_near_one(self) -> None:
-        """A typing error is met with a suggestion."""
+    def test_unknown_template_suggests_a_similar_name(self) -> None:
+        """A misspelt name gives a suggestion."""
         self._edit('o.json', '"template": "chat"', '"template": "chta"')
         self.assertIn("did you mean 'chat'?", self._findings())
 
     def test_unknown_failure_domain(self) -> None:
-        """A template may only spread over declared failure domains."""
+        """A template may only name declared failure domains."""
         self._edit(
             'chat.json',
             '"instances_per_replica": 4',
@@ -91,20 +91,20 @@
         )
         self.assertIn("unknown failure domain 'b'", self._findings())
 
-    def test_broken_json_names_its_line(self) -> None:
-        """A file that is not JSON says where."""
+    def test_invalid_json_is_reported_with_its_line(self) -> None:
+        """The finding for a syntax error has a line."""
         self._edit('o.json', '"name": "o",', '"name": "o"')
         self.assertRegex(self._findings(), r'o\.json:\d+: is not JSON')
 
     def test_wrong_type(self) -> None:
-        """A text is no number, and true is no number either."""
+        """A boolean is not accepted as an integer."""
         self._edit(
             'o.json', '"concurrent_requests": 5', '"concurrent_requests": true'
         )
         self.assertIn('expected int', self._findings())
 
-    def test_missing_key_names_the_key(self) -> None:
-        """A required key that is absent is named."""
+    def test_missing_key_is_named(self) -> None:
+        """The finding names the required key."""
         self._edit('o.json', '"name": "o",', '')
         self.assertIn('name', self._findings())
 
--- a/tests/unit/test_deploy_template.py
+++ b/tests/unit/test_deploy_template.py
@@ -1,12 +1,11 @@
-"""A node starts with whatever figures its platform names.
-
-A deployment came up with no node at all: every process ended at once with
-``retry_slack: invalid value for type, expected int``. The platform names
-whole numbers and fractions alike, and there that figure was a fraction; the
-settings took whole numbers only. The template's other gaps had faults of the
-kind: a figure that a deployment does not name came as null, and seconds were
-made into milliseconds by writing three zeros behind them, so that 2.5 s
-would have been taken for 2.5 ms.
+"""Tests that nodes start with all values that a platform may give.
+
+They guard against a failure in which no node started: every process exited
+with ``retry_slack: invalid value for type, expected int``, as the platform gave
+a fraction and the settings accepted integers only. The template had similar
+faults: a value that a deployment does not set was rendered as null, and seconds
+were converted to milliseconds by appending three zeros, so that 2.5 s would have
+been read as 2.5 ms.
 """
 
 import tempfile
@@ -31,7 +30,7 @@
 _TEMPLATE = _ROOT / 'deploy' / 'node.json'
 _MISSING = object()
 
-# What the platform names, by the field that takes it.
+# Names of the platform's values by settings field.
 _FIGURES = MappingProxyType(
     {
         'retry_ratio': 'retryBudgetRatio',
@@ -79,10 +78,10 @@
 
 
 class TemplateTest(unittest.TestCase):
-    """The settings that the template gives for a platform's fields."""
+    """Tests of the settings that the template renders."""
 
     def setUp(self) -> None:
-        """Make a place for the file."""
+        """Create a folder for the file."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.file = Path(folder.name) / 'node.json'
@@ -92,8 +91,8 @@
             {name: _DRAWN for name in _FIGURES.values()},
         ),
     )
-    def test_figures(self, bounds: Mapping[str, object]) -> None:
-        """Each figure is taken as it is named, or has its default."""
+    def test_numbers(self, bounds: Mapping[str, object]) -> None:
+        """Each value is taken unchanged, or its default if it is not given."""
         found = attrs.asdict(self._read(_fields(bounds)))
         usual = {one.name: one.default for one in attrs.fields(ServingSettings)}
         for field, name in _FIGURES.items():
@@ -104,7 +103,7 @@
 
     @given(zones=st.one_of(_ZONES, st.none(), st.just(_MISSING)))
     def test_failure_domains(self, zones: object) -> None:
-        """All are known, however many; the node's own in any case."""
+        """All are known, and the node's own in any case."""
         found = self._read(_fields({}, zones=zones)).all_failure_domains
         named = set(zones) if isinstance(zones, Mapping) else set()
         self.assertEqual(set(found), named | {'here'})
@@ -112,22 +111,22 @@
 
     @given(named=_DRAWN)
     def test_descriptors(self, named: object) -> None:
-        """They are the machine's; a node without the figure has some."""
+        """The machine's limit is used, or the default if it is not given."""
         found = self._read(_fields({}, limits=_named({'maxFds': named})))
         if named is None or named is _MISSING:
             named = attrs.fields(ServingSettings).max_descriptors.default
         self.assertEqual(found.max_descriptors, named)
 
     def test_first_start(self) -> None:
-        """It holds only where it is named."""
+        """It is true only if the platform says so."""
         for named, wanted in ((True, True), (False, False), (None, False)):
             found = self._read(_fields({}, bootstrap=named))
             self.assertIs(found.first_start, wanted)
         found = self._read(_fields({}, bootstrap=_MISSING))
         self.assertIs(found.first_start, False)
 
-    def test_what_cannot_be_taken_is_named(self) -> None:
-        """The message names the field and what stands there."""
+    def test_invalid_value_is_named(self) -> None:
+        """The message names the field and the value."""
         for field, name in _FIGURES.items():
             for wrong in (True, 'many', -1):
                 with self.assertRaises(FindingsError) as caught:
@@ -136,8 +135,8 @@
                 self.assertIn(field, message)
                 self.assertIn(str(wrong), message)
 
-    def test_no_place(self) -> None:
-        """A node without a name or an address says so."""
+    def test_missing_name_or_address(self) -> None:
+        """The error names the missing field."""
         gaps = (
             ('nodeName', 'node_id'),
             ('zone', 'failure_domain'),
@@ -150,7 +149,7 @@
                 self._read(_fields({}, **{gap: _MISSING}))
 
     def test_the_command_names_the_field(self) -> None:
-        """A process that cannot start ends with the documented code."""
+        """A process that cannot start exits with the documented code."""
         self._write(_fields({'graceS': 'many'}))
         code = main(['serve', str(self.file)])
         self.assertEqual(code, ExitCode.INVALID_DECLARATION)
@@ -164,10 +163,10 @@
 
 
 class RenderTest(unittest.TestCase):
-    """The renderer gives what the platform was seen to give."""
+    """Tests that the renderer behaves like the platform's."""
 
-    def test_gaps_and_sections(self) -> None:
-        """A zero is given, null and what is missing are not."""
+    def test_values_and_sections(self) -> None:
+        """Sections are rendered for zero, but not for null or missing values."""
         fields = {'b': {'zero': 0, 'no': False, 'part': 2.5}, 'null': None}
         for template, wanted in (
             ('[{{b.none|json}}]', '[null]'),
--- a/tests/unit/test_settings.py
+++ b/tests/unit/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a node on a platform: read, refused, taken up."""
+"""Tests of reading, rejecting and reloading settings."""
 
 import os
 import signal
@@ -33,36 +33,36 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """One settings file and what becomes of it."""
+    """Tests with one settings file."""
 
     def setUp(self) -> None:
-        """Write a good file."""
+        """Write a valid file."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.file = Path(folder.name) / 'node.json'
         self._write()
 
     def test_comments_and_unknown_fields(self) -> None:
-        """Both are passed over."""
+        """Both are ignored."""
         text = msgspec.json.encode(_fields(later='field')).decode()
         self.file.write_text(f'// a comment\n{text}')
         self.assertEqual(ServingSettings.from_file(self.file).node_id, 'n')
 
-    def test_all_mistakes_at_once(self) -> None:
-        """Each is told with its line."""
+    def test_all_errors_are_reported(self) -> None:
+        """Each error gives a finding."""
         self._write(node_id=3, failure_domain=4)
         with self.assertRaises(FindingsError) as caught:
             ServingSettings.from_file(self.file)
         self.assertEqual(len(caught.exception.findings), 2)
 
-    def test_a_bad_address(self) -> None:
-        """The field is named."""
+    def test_invalid_address(self) -> None:
+        """The finding names the field."""
         self._write(client_address='nowhere')
         with self.assertRaisesRegex(FindingsError, 'client_address'):
             ServingSettings.from_file(self.file)
 
-    def test_the_command_says_what_is_wrong(self) -> None:
-        """A bad or missing file ends with the documented exit code."""
+    def test_exit_code_for_invalid_settings(self) -> None:
+        """An invalid or missing file gives the documented exit code."""
         self._write(node_id=3)
         code = main(['serve', str(self.file)])
         self.assertEqual(code, ExitCode.INVALID_DECLARATION)
@@ -70,7 +70,7 @@
         self.assertEqual(code, ExitCode.INVALID_DECLARATION)
 
     def test_changed_file(self) -> None:
-        """What can be taken up is; what cannot waits for a start."""
+        """Reloadable settings apply; others wait for a restart."""
         now = [1.5]
         live = LiveSettings(
             ServingSettings.from_file(self.file),
@@ -84,15 +84,15 @@
         self.assertEqual(live.current.retry_slack, 7)
         self.assertEqual(live.current.node_id, 'n')
 
-    def test_a_broken_file_changes_nothing(self) -> None:
-        """The settings in force stay."""
+    def test_invalid_file_changes_nothing(self) -> None:
+        """The current settings remain."""
         live = LiveSettings(ServingSettings.from_file(self.file), self.file)
         self.file.write_text('{"node_id": ')
         self.assertFalse(live.reload('a test'))
         self.assertEqual(live.current.node_id, 'n')
 
-    def test_hang_up(self) -> None:
-        """It is told, and the process lives on."""
+    def test_hang_up_signal_does_not_stop_the_process(self) -> None:
+        """SIGHUP calls the handler, and the process continues."""
         told: list[int] = []
         curio.run(self._hang_up, told)
         self.assertEqual(told, [1])
--- a/tests/unit/test_wire_names.py
+++ b/tests/unit/test_wire_names.py
@@ -1,4 +1,4 @@
-"""The users' platform's names stand in its adapter and nowhere else."""
+"""Test that names of the platform's protocol are used only in its adapter."""
 
 import re
 import unittest
@@ -8,7 +8,7 @@
 
 _ROOT = Path(cranecart.__file__).parent
 _ADAPTER = _ROOT / 'platform'
-# The native protocol has names of its own, which begin with x-.
+# Names of the native protocol begin with x-.
 _NAMES = re.compile(
     r'(?<!x-)\b('
     'replica-signature|replica-id|not-executed|expect-replica|expect-version'
@@ -24,10 +24,10 @@
 
 
 class WireNamesTest(unittest.TestCase):
-    """A check of the sources."""
+    """Tests that search the sources."""
 
     def test_only_in_the_adapter(self) -> None:
-        """Whoever needs one of these names needs a port instead."""
+        """Code outside of the adapter uses the ports instead."""
         found = [
             f'{file.relative_to(_ROOT)}: {match.group()}'
             for file in sorted(_ROOT.rglob('*.py'))
@@ -36,7 +36,7 @@
         ]
         self.assertEqual(found, [])
 
-    def test_the_check_sees_them(self) -> None:
-        """In the adapter there are many."""
+    def test_names_are_found_in_the_adapter(self) -> None:
+        """The search finds names where they are expected."""
         texts = [file.read_text('utf-8') for file in _ADAPTER.glob('*.py')]
         self.assertGreater(len(_NAMES.findall('\n'.join(texts))), 20)
