--- a/tools/checks.py
+++ b/tools/checks.py
@@ -65,7 +65,7 @@
 
 
 def run_suites(names: Sequence[str]) -> int:
-    """Run test suites in parallel; return the number of unknown failures."""
+    """Run test suites in parallel; return the number of unexpected failures."""
     units = sorted(itertools.chain.from_iterable(map(test_units, names)))
     with ThreadPoolExecutor(_WORKERS) as pool:
         outcomes = list(pool.map(run_test_unit, units))
@@ -128,14 +128,14 @@
     known = known_failures().keys() & all_failed
     for name in sorted(all_failed):
         _print_line(f'red: {known_failures().get(name, name)}')
-    unknown = len(all_failed) - len(known)
+    unexpected = len(all_failed) - len(known)
     ran = sum(outcome.tests for outcome in outcomes)
     skipped = sum(outcome.skipped for outcome in outcomes)
     passed = ran - len(all_failed) - skipped
     _print_line(
-        f'{passed} passed, {unknown} failed, {skipped + len(known)} skipped',
+        f'{passed} passed, {unexpected} failed, {skipped + len(known)} skipped',
     )
-    return unknown
+    return unexpected
 
 
 def known_failures() -> dict[str, str]:
