--- a/src/cranecart/cli/_apply.py
+++ b/src/cranecart/cli/_apply.py
@@ -37,10 +37,10 @@
     )
 
 
-def run(flag_values: flags.FlagValues, rest: list[str]) -> ExitCode:
+def run(flag_values: flags.FlagValues, arguments: list[str]) -> ExitCode:
     """Check and apply the declarations; print the new version."""
-    _common.require_arguments(rest, ['FOLDER'])
-    wanted = compile_folder(Path(rest[0]))
+    _common.require_arguments(arguments, ['FOLDER'])
+    wanted = compile_folder(Path(arguments[0]))
     client = _common.make_client(flag_values)
     change = curio.run(
         apply_change,
@@ -49,7 +49,7 @@
         flag_values.base_version,
         flag_values.note,
     )
-    _common.show(
+    _common.print_result(
         flag_values,
         change,
         f'accepted as version {change.version} (change {change.change_id})',
@@ -61,16 +61,16 @@
             change.version,
             flag_values.wait_seconds,
         )
-        return _show_in_force(flag_values, change, behind)
+        return _report_in_force(flag_values, change, behind)
     return ExitCode.OK
 
 
-def _show_in_force(
+def _report_in_force(
     flag_values: flags.FlagValues,
     change: Change,
     behind: list[str],
 ) -> ExitCode:
-    _common.show(
+    _common.print_result(
         flag_values,
         {'version': change.version, 'behind': behind},
         f'not in force yet: {", ".join(behind)}'
--- a/src/cranecart/cli/_check.py
+++ b/src/cranecart/cli/_check.py
@@ -15,20 +15,20 @@
     _common.declare_json_flag(flag_values)
 
 
-def run(flag_values: flags.FlagValues, rest: list[str]) -> ExitCode:
+def run(flag_values: flags.FlagValues, arguments: list[str]) -> ExitCode:
     """Print all findings, or a summary of what the folder declares."""
-    _common.require_arguments(rest, ['FOLDER'])
+    _common.require_arguments(arguments, ['FOLDER'])
     try:
-        declared = compile_folder(Path(rest[0]))
+        declared = compile_folder(Path(arguments[0]))
     except FindingsError as error:
         if not flag_values.json:
             raise
-        _common.show(flag_values, {'findings': error.findings}, '')
+        _common.print_result(flag_values, {'findings': error.findings}, '')
         return ExitCode.INVALID_DECLARATION
-    _common.show(
+    _common.print_result(
         flag_values,
         {'findings': (), 'declarations': declared},
-        f'{rest[0]}: {len(declared.models)} models, '
+        f'{arguments[0]}: {len(declared.models)} models, '
         f'{len(declared.services)} services, '
         f'{len(declared.organisations)} organisations: no errors',
     )
--- a/src/cranecart/cli/_common.py
+++ b/src/cranecart/cli/_common.py
@@ -44,15 +44,17 @@
     return OperatorClient(Address.from_text(flag_values.node_address), key)
 
 
-def require_arguments(rest: list[str], names: Iterable[str]) -> None:
+def require_arguments(arguments: list[str], names: Iterable[str]) -> None:
     """Raise ``flags.Error`` unless there is one argument for each name."""
     wanted = list(names)
-    if len(rest) != len(wanted):
+    if len(arguments) != len(wanted):
         shown = ' '.join(wanted) or 'nothing'
         raise flags.IllegalFlagValueError(f'expected arguments: {shown}')
 
 
-def show(flag_values: flags.FlagValues, answer: object, text: str) -> None:
+def print_result(
+    flag_values: flags.FlagValues, answer: object, text: str
+) -> None:
     """Print a result as JSON or as text."""
     if flag_values.json:
         encoded = msgspec.json.encode(answer)
--- a/src/cranecart/cli/_explain.py
+++ b/src/cranecart/cli/_explain.py
@@ -32,15 +32,17 @@
     _common.declare_json_flag(flag_values)
 
 
-def run(flag_values: flags.FlagValues, rest: list[str]) -> ExitCode:
+def run(flag_values: flags.FlagValues, arguments: list[str]) -> ExitCode:
     """Print the decisions about one id."""
-    if len(rest) < 2:  # noqa: WPS432
-        _common.require_arguments(rest, ['ID', 'LOG_FILE'])
+    if len(arguments) < 2:  # noqa: WPS432
+        _common.require_arguments(arguments, ['ID', 'LOG_FILE'])
     lines = read_lines(
-        itertools.chain.from_iterable(map(_read, rest[1:])),
+        itertools.chain.from_iterable(map(_read, arguments[1:])),
+    )
+    about = lines_mentioning(lines, arguments[0])
+    is_request = any(
+        line.fields.get('request') == arguments[0] for line in about
     )
-    about = lines_mentioning(lines, rest[0])
-    is_request = any(line.fields.get('request') == rest[0] for line in about)
     if is_request:
         about = [*about, *lines_about_target_ends(lines, about)]
     around = lines_with_context(lines, about) if is_request else []
@@ -49,10 +51,10 @@
         f'{"" if line in about else "  | "}{_format_line(line)}'
         for line in shown
     )
-    _common.show(
+    _common.print_result(
         flag_values,
         list(map(_to_dict, shown)),
-        text or f'nothing was decided about {rest[0]}',
+        text or f'nothing was decided about {arguments[0]}',
     )
     return ExitCode.OK if about else ExitCode.FAILED
 
--- a/src/cranecart/cli/_flags.py
+++ b/src/cranecart/cli/_flags.py
@@ -13,8 +13,8 @@
     flag_values = flags.FlagValues()
     command.declare_flags(flag_values)
     try:
-        rest = flag_values([name, *words])[1:]
-        return int(command.run(flag_values, rest))
+        arguments = flag_values([name, *words])[1:]
+        return int(command.run(flag_values, arguments))
     except flags.Error as error:
         raise UsageError(str(error)) from error
 
--- a/src/cranecart/cli/_history.py
+++ b/src/cranecart/cli/_history.py
@@ -12,11 +12,11 @@
 declare_flags = _common.declare_node_flags
 
 
-def run(flag_values: flags.FlagValues, rest: list[str]) -> ExitCode:
+def run(flag_values: flags.FlagValues, arguments: list[str]) -> ExitCode:
     """Print the history."""
-    _common.require_arguments(rest, [])
+    _common.require_arguments(arguments, [])
     changes = curio.run(_common.make_client(flag_values).changes)
-    _common.show(flag_values, changes, '\n'.join(map(_line, changes)))
+    _common.print_result(flag_values, changes, '\n'.join(map(_line, changes)))
     return ExitCode.OK
 
 
--- a/src/cranecart/cli/_load.py
+++ b/src/cranecart/cli/_load.py
@@ -53,13 +53,13 @@
         flags.DEFINE_integer(name, amount, about, flag_values=flag_values)
 
 
-def run(flag_values: flags.FlagValues, rest: list[str]) -> ExitCode:
+def run(flag_values: flags.FlagValues, arguments: list[str]) -> ExitCode:
     """Send the load and print the summary; fail on any violation."""
-    _common.require_arguments(rest, ['PROMPTS_FILE'])
+    _common.require_arguments(arguments, ['PROMPTS_FILE'])
     try:
-        lines = Path(rest[0]).read_text('utf-8').splitlines()
+        lines = Path(arguments[0]).read_text('utf-8').splitlines()
     except OSError as error:
-        raise OperatorError(f'{rest[0]}: {error.strerror}') from error
+        raise OperatorError(f'{arguments[0]}: {error.strerror}') from error
     prompts = [line for line in lines if line and not line.startswith('#')]
     outcomes = curio.run(_send_all, flag_values, prompts)
     summary = Summary.from_outcomes(
@@ -67,7 +67,7 @@
         read_record(Path(flag_values.record)) if flag_values.record else [],
     )
     shown = attrs.asdict(summary)
-    _common.show(
+    _common.print_result(
         flag_values,
         shown,
         '\n'.join(f'{name}: {number}' for name, number in shown.items()),
--- a/src/cranecart/cli/_node.py
+++ b/src/cranecart/cli/_node.py
@@ -17,10 +17,10 @@
     flag_values.mark_as_parsed()
 
 
-def run(flag_values: flags.FlagValues, rest: list[str]) -> ExitCode:
+def run(flag_values: flags.FlagValues, arguments: list[str]) -> ExitCode:
     """Serve until SIGTERM or SIGINT."""
-    _common.require_arguments(rest, ['SETTINGS_FILE'])
-    settings = NodeSettings.from_file(Path(rest[0]))
+    _common.require_arguments(arguments, ['SETTINGS_FILE'])
+    settings = NodeSettings.from_file(Path(arguments[0]))
     set_up_logging(
         as_json=settings.log_format == 'json',
         level=settings.log_level,
--- a/src/cranecart/cli/_plan.py
+++ b/src/cranecart/cli/_plan.py
@@ -16,10 +16,10 @@
 declare_flags = _common.declare_node_flags
 
 
-def run(flag_values: flags.FlagValues, rest: list[str]) -> ExitCode:
+def run(flag_values: flags.FlagValues, arguments: list[str]) -> ExitCode:
     """Print the differences and the replicas to start or retire."""
-    _common.require_arguments(rest, ['FOLDER'])
-    wanted = compile_folder(Path(rest[0]))
+    _common.require_arguments(arguments, ['FOLDER'])
+    wanted = compile_folder(Path(arguments[0]))
     client = _common.make_client(flag_values)
     declared = curio.run(client.declared)
     found = differences(declared.declarations, wanted)
@@ -31,7 +31,7 @@
     ]
     if not found:
         lines.append('  nothing would change')
-    _common.show(
+    _common.print_result(
         flag_values,
         {
             'base_version': declared.version,
--- a/src/cranecart/cli/_rollback.py
+++ b/src/cranecart/cli/_rollback.py
@@ -17,17 +17,17 @@
 declare_flags = _common.declare_node_flags
 
 
-def run(flag_values: flags.FlagValues, rest: list[str]) -> ExitCode:
+def run(flag_values: flags.FlagValues, arguments: list[str]) -> ExitCode:
     """Apply the earlier declarations and print the new version."""
-    _common.require_arguments(rest, ['VERSION'])
-    if not rest[0].isdecimal():
-        raise OperatorError(f'{rest[0]!r} is not a version number')
+    _common.require_arguments(arguments, ['VERSION'])
+    if not arguments[0].isdecimal():
+        raise OperatorError(f'{arguments[0]!r} is not a version number')
     client = _common.make_client(flag_values)
-    change = curio.run(_roll_back, client, int(rest[0]))
-    _common.show(
+    change = curio.run(_roll_back, client, int(arguments[0]))
+    _common.print_result(
         flag_values,
         change,
-        f'version {rest[0]} is applied again as version {change.version}',
+        f'version {arguments[0]} is applied again as version {change.version}',
     )
     return ExitCode.OK
 
--- a/src/cranecart/cli/_serve.py
+++ b/src/cranecart/cli/_serve.py
@@ -17,9 +17,9 @@
 FILE_VARIABLE = 'CRANECART_NODE_FILE'
 
 
-def run(rest: list[str]) -> ExitCode:
+def run(arguments: list[str]) -> ExitCode:
     """Serve until SIGTERM or SIGINT."""
-    file = _settings_file(rest)
+    file = _settings_file(arguments)
     settings = ServingSettings.from_file(file)
     lines = set_up_log_queue(settings.log_level, settings.node_id)
     try:
@@ -29,8 +29,8 @@
     return ExitCode.OK
 
 
-def _settings_file(rest: list[str]) -> Path:
-    named = rest[0] if rest else os.environ.get(FILE_VARIABLE, '')
+def _settings_file(arguments: list[str]) -> Path:
+    named = arguments[0] if arguments else os.environ.get(FILE_VARIABLE, '')
     if not named:
         raise ConfigError(f'pass a settings file, or set {FILE_VARIABLE}')
     return Path(named)
--- a/src/cranecart/cli/_standin.py
+++ b/src/cranecart/cli/_standin.py
@@ -63,21 +63,21 @@
         )
 
 
-def run(flag_values: flags.FlagValues, rest: list[str]) -> ExitCode:
+def run(flag_values: flags.FlagValues, arguments: list[str]) -> ExitCode:
     """Run one stand-in."""
-    _common.require_arguments(rest, ['KIND', 'ADDRESS'])
+    _common.require_arguments(arguments, ['KIND', 'ADDRESS'])
     set_up_logging(as_json=False, level='warning')
-    address = Address.from_text(rest[1])
+    address = Address.from_text(arguments[1])
     makers: dict[str, Callable[[flags.FlagValues, Address], _Runner]] = {
         'platform': _platform,
         'engine': _engine,
         'service': _service,
         'proxy': _proxy,
     }
-    if rest[0] not in makers:
+    if arguments[0] not in makers:
         known = ', '.join(makers)
         raise flags.IllegalFlagValueError(f'KIND must be one of {known}')
-    curio.run(_run_until_stopped, makers[rest[0]](flag_values, address))
+    curio.run(_run_until_stopped, makers[arguments[0]](flag_values, address))
     return ExitCode.OK
 
 
--- a/src/cranecart/cli/_status.py
+++ b/src/cranecart/cli/_status.py
@@ -13,11 +13,11 @@
 declare_flags = _common.declare_node_flags
 
 
-def run(flag_values: flags.FlagValues, rest: list[str]) -> ExitCode:
+def run(flag_values: flags.FlagValues, arguments: list[str]) -> ExitCode:
     """Print the status."""
-    _common.require_arguments(rest, [])
+    _common.require_arguments(arguments, [])
     status = curio.run(_common.make_client(flag_values).status)
-    _common.show(flag_values, status, '\n'.join(_lines(status)))
+    _common.print_result(flag_values, status, '\n'.join(_lines(status)))
     return ExitCode.OK
 
 
--- a/src/cranecart/clocks.py
+++ b/src/cranecart/clocks.py
@@ -13,7 +13,7 @@
 import attrs
 
 # A smaller difference comes from reading the two clocks one after the other.
-_LEAST_SECONDS = 0.05
+_MIN_SUSPENSION_SECONDS = 0.05
 
 
 def since_boot() -> float:
@@ -30,13 +30,13 @@
 class SuspensionWatch:
     """Detects suspensions of the machine by the drift between its clocks."""
 
-    _apart: float = attrs.field(factory=lambda: since_boot() - awake_seconds())
+    _offset: float = attrs.field(factory=lambda: since_boot() - awake_seconds())
 
     def slept_seconds(self) -> float:
         """Return the seconds of suspension since the last call."""
-        apart = since_boot() - awake_seconds()
-        slept = apart - self._apart
-        if slept < _LEAST_SECONDS:
+        offset = since_boot() - awake_seconds()
+        slept = offset - self._offset
+        if slept < _MIN_SUSPENSION_SECONDS:
             return 0
-        self._apart = apart
+        self._offset = offset
         return slept
--- a/src/cranecart/signals.py
+++ b/src/cranecart/signals.py
@@ -18,11 +18,11 @@
     def __init__(
         self,
         reader: curio.io.Socket,
-        hang_up: Callable[[], None] | None,
+        on_hang_up: Callable[[], None] | None,
     ) -> None:
         """Wrap the socket to which signal numbers are written."""
         self._reader = reader
-        self._hang_up = hang_up
+        self._on_hang_up = on_hang_up
 
     async def wait(self) -> None:
         """Return on the first stop signal.
@@ -34,31 +34,31 @@
             number = received[0]
             if number in _STOP_SIGNALS:
                 return
-            if number == signal.SIGHUP and self._hang_up is not None:
-                self._hang_up()
+            if number == signal.SIGHUP and self._on_hang_up is not None:
+                self._on_hang_up()
 
 
 @contextlib.asynccontextmanager
 async def stop_signal(
-    hang_up: Callable[[], None] | None = None,
+    on_hang_up: Callable[[], None] | None = None,
 ) -> AsyncGenerator[StopSignal, None]:
     """Handle the stop signals while the context lasts.
 
-    With ``hang_up``, SIGHUP calls it instead of ending the process. The
+    With ``on_hang_up``, SIGHUP calls it instead of ending the process. The
     interpreter's handler writes each signal to a socket, so the event loop
     only reads from it.
     """
     reader, writer = socket.socketpair()
     reader.setblocking(False)
     writer.setblocking(False)
-    taken = _STOP_SIGNALS if hang_up is None else _ALL_SIGNALS
+    taken = _STOP_SIGNALS if on_hang_up is None else _ALL_SIGNALS
     earlier = signal.set_wakeup_fd(writer.fileno())
     handlers = {
         number: signal.signal(number, lambda _number, _frame: None)
         for number in taken
     }
     try:
-        yield StopSignal(curio.io.Socket(reader), hang_up)
+        yield StopSignal(curio.io.Socket(reader), on_hang_up)
     finally:
         _restore(handlers, earlier)
         _close(reader, writer)
--- a/tests/platform/test_malformed_rows.py
+++ b/tests/platform/test_malformed_rows.py
@@ -125,7 +125,7 @@
     def test_row_is_logged_once(self) -> None:
         """A malformed row that is read repeatedly is logged once."""
         source = PlatformTargetList(FixedRowsClient({'i1': b'{'}))
-        with patch('cranecart.logs._unreadable.decision') as log_decision:
+        with patch('cranecart.logs._unreadable.log_decision') as log_decision:
             for _turn in range(5):
                 curio.run(source.changes, 1, 0)
         self.assertEqual(log_decision.call_count, 1)
@@ -133,7 +133,7 @@
     def test_log_rate_is_limited(self) -> None:
         """Only a few of many malformed rows are logged per second."""
         rows = UnreadableRowLog('odd', lambda: 7.5)
-        with patch('cranecart.logs._unreadable.decision') as log_decision:
+        with patch('cranecart.logs._unreadable.log_decision') as log_decision:
             for number in range(1000):
                 rows.report(f'row {number}', 'it is no JSON')
         self.assertLessEqual(log_decision.call_count, 5)
