--- a/src/cranecart/placement/_placer.py
+++ b/src/cranecart/placement/_placer.py
@@ -136,7 +136,7 @@
     def _must_wait(self, declarations: Declarations) -> bool:
         """Return whether an earlier holder's orders may still be in flight.
 
-        Engines that ignore fencing numbers would accept them. A holder stops
+        Engines that ignore fencing tokens would accept them. A holder stops
         sending orders when its trusted time ends, which others have waited out,
         and an order takes a bounded time after that.
         """
