--- a/src/cranecart/settings/_serving.py
+++ b/src/cranecart/settings/_serving.py
@@ -8,7 +8,8 @@
 from cranecart.documents import Finding, FindingsError, read_document, structure
 from cranecart.http import Address
 
-# Figures of both users' capacity sheets; their platforms set their own values.
+# Defaults: the retry window and the bounds on stalls, on stopping and on leaving
+# that the deployments' platforms name today. A settings file may set others.
 _RETRY_WINDOW_SECONDS = 10.0
 _STALL_MS = 4000.0
 _STOP_GRACE_SECONDS = 8.0
