--- a/tests/lib/random_restores.py
+++ b/tests/lib/random_restores.py
@@ -293,7 +293,7 @@
         restores = RandomRestores(seed, *rest)
         violations = curio.run(restores.run)
         failed += bool(violations)
-        sys.stderr.write(f'seed {seed}: {violations or "nothing violations"}\n')
+        sys.stderr.write(f'seed {seed}: violations: {violations or "none"}\n')
     return failed
 
 
--- a/tests/platform/test_restored_store.py
+++ b/tests/platform/test_restored_store.py
@@ -55,8 +55,8 @@
         """An instance that leaves after the restore gets no more requests."""
         self._run_scenario(self._announce_leaving)
 
-    def test_fencing_number_reused_after_restore(self) -> None:
-        """A lease taken after the restore gets a higher fencing number."""
+    def test_fencing_token_reused_after_restore(self) -> None:
+        """A lease taken after the restore gets a higher fencing token."""
         curio.run(self._take_lease_after_restore)
 
     def test_leaving_target_used_after_restore(self) -> None:
