--- a/tests/functional/test_node_start.py
+++ b/tests/functional/test_node_start.py
@@ -1,8 +1,8 @@
-"""Clients of a node that is starting, as a separate process.
+"""Clients can connect to a node's process while the node is starting.
 
 Importing the program takes 0.55 s of CPU time, over a second on a small
-machine. When the client address was bound only afterwards, 191 requests were
-refused and lost after all nodes had lost power at once.
+machine. If the client address is bound only afterwards, requests that arrive
+earlier are refused: 191 were lost after all nodes had lost power at once.
 """
 
 import json
--- a/tests/lib/crash_simulation.py
+++ b/tests/lib/crash_simulation.py
@@ -1,9 +1,10 @@
-"""Simulated days on which targets terminate, with or without a culprit request.
+"""A simulation of terminating targets, with or without a culprit request.
 
-Requests wait at a target, begin, run, and move when it terminates; all nodes
-know all evidence at once, which is the worst case for requests that are there
-by chance. To simulate many days, run: python -m tests.lib.crash_simulation
-DAYS
+It counts the requests that are held although they are not the culprit. Requests
+wait at a target, begin, run, and move when it terminates. All nodes know all
+evidence at once, which is the worst case for requests that are at a terminating
+target by chance. A simulated day lasts a minute. To simulate many days, run:
+python -m tests.lib.crash_simulation DAYS
 """
 
 import heapq
--- a/tests/platform/test_stalled_feeds.py
+++ b/tests/platform/test_stalled_feeds.py
@@ -1,4 +1,7 @@
-"""Long polls on stalled connections while the store answers on others."""
+"""Nodes restart long polls on stalled connections while others still work.
+
+A long poll does not notice by itself that its connection has stalled.
+"""
 
 import unittest
 
--- a/tests/unit/test_announced_limits.py
+++ b/tests/unit/test_announced_limits.py
@@ -1,11 +1,11 @@
 """Targets get no more requests than they announce, from all nodes together.
 
-Targets announced limits of 1.4 and 1.6 requests a second and went on getting 4
-and 5 a second from all nodes, as nothing evaluated what a target says about
-itself. Preferring other targets does not suffice, as all targets may be
-limited: limits are kept by incarnation, published to all nodes and checked
-before every choice, and requests above the limits are refused at once with a
-retry time.
+If nothing evaluates the limits that targets announce, targets with limits of
+1.4 and 1.6 requests a second go on getting 4 and 5 a second from all nodes.
+Preferring other targets does not suffice, as all targets may be limited. Limits
+are therefore kept by incarnation, published to all nodes and checked before
+every choice, and requests above the limits are refused at once with a retry
+time.
 """
 
 import unittest
--- a/tests/unit/test_crashing_requests.py
+++ b/tests/unit/test_crashing_requests.py
@@ -1,12 +1,12 @@
-"""A request must not crash one target after the other.
-
-A request whose bytes crash each engine that begins to run it was retried at
-any node. Each try crashed as many replica heads as its route allows, 0.04 to
-0.12 s after it began there ('did not finish its response: peer closed
-connection'), and the client's next try started without that knowledge, as
-nodes kept state by target, service or try, and each try has a new id. 23 and
-26 instances terminated under one request, along with the other streams on
-them. The digest of the request is the same at all of these terminations.
+"""A request that crashes its targets is held instead of being retried further.
+
+The bytes of such a request crash each engine that begins to run it. Without the
+hold, any node retries it: each try crashes as many replica heads as its route
+allows, 0.04 to 0.12 s after it begins there ('did not finish its response: peer
+closed connection'). The client's next try has a new id, and as nodes keep state
+by target, service or try, it starts without that knowledge. 23 and 26 instances
+were terminated by one request each, along with the other streams on them. What
+all these terminations have in common is the digest of the request.
 """
 
 import contextlib
--- a/tests/unit/test_restarted_instances.py
+++ b/tests/unit/test_restarted_instances.py
@@ -1,10 +1,10 @@
-"""Instances that restart under their id, distinguished by start time.
+"""Instances that restart under their id are told apart by their start time.
 
-An instance was killed and restarted before its entry lapsed. Its replica was
-shut down as if the member had left in order, failures of the old process were
-counted against the new one, a loss that had been found stayed in effect for
-six seconds, and the members of a dead head waited 4.3 s for its end although
-the list showed that the head had restarted.
+An instance that is killed may restart before its entry lapses. If nodes compare
+only ids, its replica is shut down as if the member had left in order, failures
+of the old process count against the new one, a loss that was found stays in
+effect for six seconds, and the members of a dead head wait 4.3 s for its end
+although the list shows that the head has restarted.
 """
 
 import time
--- a/tests/unit/test_surplus_responses.py
+++ b/tests/unit/test_surplus_responses.py
@@ -1,13 +1,14 @@
 """Surplus responses of a target reach no client.
 
-A service sent a second response, 88 bytes without a request id, after every
-other one. It arrived in the same read as the first, stayed in the parser of the
-idle connection and was taken for the response to the next request, sent 1 to
-4 ms later: 11 clients got the response of another request. The node compared
-request ids only where there was one, stopped after two mismatches, and checked
-the socket but not the parser before it reused a connection.
-
-A response received in parts was truncated as well: the part read so far was
+A service that sends a second response, 88 bytes without a request id, after
+every other one causes the failure. The second response arrives in the same read
+as the first, stays in the parser of the idle connection and is taken for the
+response to the next request, sent 1 to 4 ms later: 11 clients got the response
+to another request. This happens if the node compares request ids only where
+there is one, stops after two mismatches, and checks the socket but not the
+parser before it reuses a connection.
+
+A response that is received in parts is truncated if the part read so far is
 lost at each poll of the target's state, every 25 ms.
 """
 
