--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -355,7 +355,7 @@
         'restored-snapshot-treated-as-complete',
         'fleet/_source_follower.py',
         'self._apply_restored(items)',
-        'self._take(items, True)',
+        'self._apply(items, True)',
         f'{_RESTORED_STORE}.test_new_target_lost_after_restore',
     ),
     Mutation(
