--- a/src/cranecart/platform/__init__.py
+++ b/src/cranecart/platform/__init__.py
@@ -15,5 +15,4 @@
     'PlatformTable',
     'PlatformTargetList',
     'StoreClient',
-    'PlatformCallTranslator',
 )
--- a/src/cranecart/ports/__init__.py
+++ b/src/cranecart/ports/__init__.py
@@ -43,5 +43,4 @@
     'era_of',
     'store_number_of',
     'make_version',
-    'Incarnation',
 )
