--- a/tests/lib/random_restores.py
+++ b/tests/lib/random_restores.py
@@ -164,6 +164,13 @@
 
     def _partition(self, testbed: StoreTestbed) -> None:
         """Partition a node from the store, or end all partitions."""
+        ended = self._end_partitions(testbed)
+        if not ended and len(testbed.nodes) > 1:
+            node = testbed.nodes[self._random.choice(sorted(testbed.nodes))]
+            node.client.is_partitioned = True
+
+    def _end_partitions(self, testbed: StoreTestbed) -> int:
+        """Let all nodes reach the store again; return how many could not."""
         partitioned = [
             node
             for node in testbed.nodes.values()
@@ -172,9 +179,7 @@
         for node in partitioned:
             node.client.is_partitioned = False
             self._in_contact_since[node.name] = time.monotonic()
-        if not partitioned and len(testbed.nodes) > 1:
-            node = testbed.nodes[self._random.choice(sorted(testbed.nodes))]
-            node.client.is_partitioned = True
+        return len(partitioned)
 
     async def _restore(self, _testbed: StoreTestbed) -> None:
         """Take the store down for a while and restore one of its backups."""
@@ -200,8 +205,7 @@
 
     async def _check_convergence(self, testbed: StoreTestbed) -> None:
         """Check that all nodes converge to the contents of the store."""
-        for node in testbed.nodes.values():
-            node.client.is_partitioned = False
+        self._end_partitions(testbed)
         ready = {one.name for one in self._targets if one.state == 'ready'}
         try:
             await until(
