--- a/src/cranecart/grouping/_allocation.py
+++ b/src/cranecart/grouping/_allocation.py
@@ -74,7 +74,8 @@
 ) -> Allocation:
     """Return the allocation of a fabric domain with the highest score.
 
-    ``replica_counts`` has the replicas of the whole deployment.
+    ``replica_counts`` has the number of replicas of each model in the whole
+    deployment.
     """
     return max(
         _allocations(pool, objective, replica_counts),
@@ -150,11 +151,11 @@
 
 
 def _max_preempted(model: EngineModel, models: Sequence[EngineModel]) -> int:
-    """Return how many of a model's replicas one of another may need.
+    """Return how many of a model's replicas to preempt at most.
 
-    The limit follows from the sizes: two replicas of two members for one of
-    four, but four replicas of four for one of sixteen. A fixed limit of two
-    never made room for sixteen.
+    The limit follows from the sizes: two replicas of two members make room for
+    one of four, but four replicas of four for one of sixteen. A fixed limit of
+    two never made room for sixteen.
     """
     largest = max(other.size for other in models)
     return math.ceil(largest / model.size)
--- a/src/cranecart/grouping/_context.py
+++ b/src/cranecart/grouping/_context.py
@@ -1,4 +1,4 @@
-"""What the replica tasks of one placer share."""
+"""Dependencies that the replica tasks of one placer share."""
 
 from collections.abc import Callable
 
--- a/src/cranecart/grouping/_environment.py
+++ b/src/cranecart/grouping/_environment.py
@@ -16,10 +16,10 @@
     lease, ``is_synced`` whether the instance list and the records have been
     read, ``has_traffic`` whether requests have arrived, so that loads have to
     be limited, and ``demand`` the demand for each model in replicas.
-    ``is_isolated`` returns whether this node hears none of its peers,
-    ``is_store_unreachable`` whether its readers cannot reach the store.
-    ``announce_stopped`` tells all nodes that a replica accepts no more
-    requests, why, and whether it completes the running ones.
+    ``is_isolated`` returns whether this node has peers but receives nothing
+    from them, ``is_store_unreachable`` whether its readers cannot reach the
+    store. ``announce_stopped`` announces to all nodes that a replica accepts no
+    more requests, why, and whether it completes the running ones.
     """
 
     config: Callable[[], RouteConfig | None]
--- a/src/cranecart/grouping/_failure_detector.py
+++ b/src/cranecart/grouping/_failure_detector.py
@@ -14,7 +14,8 @@
 # An instance that is still listed this long after it was found lost is alive:
 # the entry of a dead one lapses after three heartbeats.
 _LOST_TTL_SECONDS = 6.0
-# Two of them may have failed together with the replica's members.
+# Instances that are probed if no member answers. Two of them may have failed
+# together with the replica's members.
 _REFERENCE_COUNT = 3
 # Minimum interval between two checks of the same replica.
 _RECHECK_SECONDS = 0.6
--- a/src/cranecart/grouping/_inventory.py
+++ b/src/cranecart/grouping/_inventory.py
@@ -55,7 +55,7 @@
             1 if self._has_traffic() else _STARTUP_LOAD_TIME_FACTOR,
             sum(
                 1
-                for _one in self._fleet.instance_list.all_of_service(
+                for _instance in self._fleet.instance_list.all_of_service(
                     profile.name
                 )
             ),
@@ -105,7 +105,7 @@
         return discount(model.load_seconds)
 
     def _release_delays(self) -> Iterator[tuple[str, float]]:
-        """Yield members of ending replicas and the delay until release."""
+        """Yield members that will be released, and after how many seconds."""
         for record in self._fleet.records.values():
             if record.state is RecordState.SERVING:
                 continue
--- a/src/cranecart/grouping/_liveness.py
+++ b/src/cranecart/grouping/_liveness.py
@@ -29,9 +29,11 @@
 
 @attrs.frozen
 class LivenessResult:
-    """The members that did not answer.
+    """The members to which no connection could be opened.
 
-    ``refused`` ones rejected the connection: no process listens there.
+    Those in ``unresponsive`` did not answer; those in ``refused`` rejected the
+    connection: no process listens there. Unless the result ``is_conclusive``,
+    the reason may lie with this node or its link.
     """
 
     unresponsive: frozenset[str]
@@ -45,7 +47,7 @@
 
 
 async def _probe_instance(instance: ListedInstance) -> bool | None:
-    """Return whether an instance listens; ``None`` if nothing answers."""
+    """Return whether an instance listens, or ``None`` without an answer."""
     async with curio.TaskGroup(wait=object) as attempts:
         for number in range(_ATTEMPTS):
             await attempts.spawn(
@@ -83,17 +85,17 @@
         self.checks += 1
         started = self._clock()
         answers = await self._probe_all(members)
-        is_answered = _any_answered(answers)
-        took = self._clock() - started
-        if not is_answered:
+        has_answer = _any_answered(answers)
+        elapsed = self._clock() - started
+        if not has_answer:
             # Members are probed again too, because time has passed.
             started = self._clock()
             all_answers = await self._probe_all(
                 (*members, *reference_instances)
             )
             answers = {instance: all_answers[instance] for instance in members}
-            is_answered = _any_answered(all_answers)
-            took = self._clock() - started
+            has_answer = _any_answered(all_answers)
+            elapsed = self._clock() - started
         outcome = LivenessResult(
             frozenset(
                 instance.id
@@ -105,8 +107,9 @@
                 for instance, answer in answers.items()
                 if answer is False
             ),
-            is_answered
-            and took < _CONNECT_TIMEOUT_SECONDS + _MAX_SCHEDULING_DELAY_SECONDS,
+            has_answer
+            and elapsed
+            < _CONNECT_TIMEOUT_SECONDS + _MAX_SCHEDULING_DELAY_SECONDS,
         )
         log_decision(
             'members_checked',
@@ -114,7 +117,7 @@
             silent=sorted(outcome.unresponsive),
             closed=sorted(outcome.refused),
             sure=outcome.is_conclusive,
-            took=round(took, 3),
+            took=round(elapsed, 3),
         )
         return outcome
 
@@ -133,7 +136,10 @@
 
 
 async def _probe_after(instance: ListedInstance, wait: float) -> bool | None:
-    """Connect once, after a delay; all attempts share one deadline."""
+    """Connect once, after a delay; all attempts share one deadline.
+
+    Return whether the instance listens, or ``None`` without an answer.
+    """
     await curio.sleep(wait)
     try:
         connection = await HttpConnection.open(
--- a/src/cranecart/grouping/_load_budget.py
+++ b/src/cranecart/grouping/_load_budget.py
@@ -10,7 +10,8 @@
 # left for a placer that has taken over and does not know which loads were
 # started before.
 _BUDGET_SHARE = 0.8
-# Loads that may start together after an idle period: a replica of three.
+# Loads that may start together after an idle period: those of a replica of
+# three members.
 _BURST = 3.0
 
 
@@ -23,7 +24,7 @@
     _refilled_at: float | None = attrs.field(default=None, init=False)
 
     def take(self, count: int, loads_per_second: float, placers: int) -> bool:
-        """Take tokens for some loads; return whether they may start now."""
+        """Take tokens for ``count`` loads; return whether they may start."""
         now = self._clock()
         if self._refilled_at is not None:
             rate = _BUDGET_SHARE * loads_per_second / max(placers, 1)
--- a/src/cranecart/grouping/_member_selection.py
+++ b/src/cranecart/grouping/_member_selection.py
@@ -62,9 +62,9 @@
 class CandidateRanking:
     """Candidates, ranked once for each model.
 
-    Scoring a fabric domain of 37 instances asks for some twenty allocations of
-    the same candidates, and again for each set of preempted replicas. Sorting
-    them anew for each replica took 38 ms for a first plan of six such domains,
+    Scoring a fabric domain of 37 instances compares some twenty allocations of
+    the same candidates, and as many for each set of preempted replicas. Sorting
+    them again for each replica took 38 ms for a first plan of six such domains;
     ranking them once takes 9 ms.
     """
 
@@ -110,7 +110,7 @@
         candidates,
         key=lambda candidate: (
             _seconds_until_ready(candidate, model, load_time_factor),
-            # Among instances that must load, prefer those that hold no model.
+            # Among instances that must load, prefer those without any model.
             len(models_of(candidate.instance)),
             candidate.instance.id,
         ),
--- a/src/cranecart/grouping/_objective.py
+++ b/src/cranecart/grouping/_objective.py
@@ -20,7 +20,7 @@
 # 54 in 34 s of quiet days), and three seconds pass until the replica opens
 # again.
 _DOWNTIME_PER_MEMBER = 0.03
-# A model with hardly any requests still gets one replica.
+# In replicas, so that a model with hardly any requests still gets one.
 _MIN_DEMAND = 0.1
 # Fraction of all instances that is assumed to be busy until demand is known.
 _DEFAULT_UTILIZATION = 0.6
--- a/src/cranecart/grouping/_orphans.py
+++ b/src/cranecart/grouping/_orphans.py
@@ -45,7 +45,7 @@
     )
 
     def watch(self) -> None:
-        """Search for orphaned replicas from now on."""
+        """Start to search for orphaned replicas, for a limited time."""
         self._watch_until = self._clock() + _WATCH_SECONDS
 
     def members(self) -> frozenset[str]:
@@ -61,21 +61,21 @@
 
         A replica that lacks members is recorded as ending.
         """
-        found = self._unrecorded_replicas()
+        orphans = self._unrecorded_replicas()
         now = self._clock()
         self._first_seen = {
             replica_epoch: self._first_seen.get(replica_epoch, now)
-            for replica_epoch in found
+            for replica_epoch in orphans
         }
-        return list(self._records(found, config, now))
+        return list(self._records(orphans, config, now))
 
     def _records(
         self,
-        found: _Groups,
+        orphans: _Groups,
         config: RouteConfig,
         now: float,
     ) -> Iterator[ReplicaRecord]:
-        for replica_epoch, members in found.items():
+        for replica_epoch, members in orphans.items():
             is_complete = _is_complete(members, config)
             wait = (
                 _ORPHAN_GRACE_SECONDS
@@ -123,7 +123,7 @@
     members: Sequence[ListedInstance],
     config: RouteConfig,
 ) -> bool:
-    """Return whether all members of a declared model are present."""
+    """Return whether all members are present that the model declares."""
     ranks = [member.membership.rank for member in members if member.membership]
     profile = config.services.get(members[0].service)
     engine = None if profile is None else profile.engine
--- a/src/cranecart/grouping/_placer.py
+++ b/src/cranecart/grouping/_placer.py
@@ -31,10 +31,10 @@
 # Well below the time for which a lease is trusted, so that one renewal may
 # fail; each renewal is a call to the store.
 _RENEW_SECONDS = 2.0
-# Used while the peers may not hear this node, or its last call failed: they
-# then look at the lease itself and would take it over.
+# Used while the peers may not receive this node's heartbeats, or its last call
+# failed: they then read the lease and would take it over if it expired.
 _URGENT_RENEW_SECONDS = 1.0
-# How long other nodes wait before they look at the lease again.
+# Interval at which nodes that do not hold the lease read it.
 _LEASE_POLL_SECONDS = 0.4
 # If a reader of this node cannot reach the store, reading the lease would
 # probably fail too.
@@ -102,8 +102,8 @@
         )
         self._tasks = RecordTasks(fleet, self._make_task)
         self._fenced: dict[str, str] = {}
-        # Spreads the first looks of nodes that start together: the first one to
-        # take the lease announces it to the rest.
+        # Spreads the first reads of nodes that start together: the first one to
+        # acquire the lease announces it to the others.
         self._lease_checked_at = (
             since_boot() - _LEASE_POLL_SECONDS * random.random()
         )
@@ -116,7 +116,7 @@
         """Return the failure domain if this node holds its lease, else ''.
 
         After a failed renewal the node no longer claims the lease, so that
-        others look at it.
+        other nodes read it.
         """
         is_confirmed = self.lease.is_held and not self._is_failing
         return self._scope.failure_domain if is_confirmed else ''
@@ -168,7 +168,7 @@
         await self._tasks.reconcile(self._record_store.records())
 
     async def _announce_loss(self, record: ReplicaRecord) -> None:
-        """Tell all nodes before the new state is written to the table."""
+        """Announce a loss to all nodes before it is written to the table."""
         if record.state is RecordState.SERVING:
             self._environment.announce_stopped(
                 record, 'a member was found lost', False
@@ -213,7 +213,7 @@
             self._is_failing = False
 
     def _needs_reread(self, now: float) -> bool:
-        """Return whether to read again, as the table has been restored."""
+        """Return whether to read again because the table was restored."""
         if now - self._lease_checked_at < _REREAD_SECONDS:
             return False
         return self._record_store.is_stale or not self.lease.is_current_era
--- a/src/cranecart/grouping/_plan.py
+++ b/src/cranecart/grouping/_plan.py
@@ -67,9 +67,10 @@
 ) -> Allocation:
     """Return the part of an allocation that may start now.
 
-    While preemption is deferred, the replicas that depend on it wait, and so do
-    the free instances reserved for them. If smaller replicas took those
-    meanwhile, fifteen survivors of sixteen became three smaller replicas.
+    While preemption is deferred, the replicas that depend on it wait, and the
+    free instances that they need stay reserved. Otherwise smaller replicas take
+    these: the fifteen remaining members of a replica of sixteen became three
+    smaller replicas.
     """
     if scope is not PreemptionScope.DEFERRED:
         return allocation
@@ -143,7 +144,7 @@
     replicas: Sequence[NewReplica],
     preempted: tuple[str, ...],
 ) -> Plan:
-    """Add which models spares and members should stage or load."""
+    """Return the plan, with what spares and members stage or load."""
     fabric_replica_counts = Counter(plan_input.fabric_replica_counts)
     fabric_replica_counts.update(
         (replica.fabric_domain, replica.model) for replica in replicas
@@ -167,7 +168,7 @@
     roles: Sequence[Staging | Warming],
     plan_input: PlanInput,
 ) -> tuple[Staging, ...]:
-    """Put spares without any model first and members in use last."""
+    """Return stagings, for spares without a model first, members last."""
     stagings = [role for role in roles if isinstance(role, Staging)]
     stagings.sort(key=lambda staging: staging.use is StagingUse.SECOND_MODEL)
     members = ((member.instance, member.model) for member in plan_input.members)
--- a/src/cranecart/grouping/_plan_executor.py
+++ b/src/cranecart/grouping/_plan_executor.py
@@ -25,7 +25,7 @@
 
 @attrs.define
 class PlanExecutor:
-    """Plans for a failure domain and starts what the plans ask for."""
+    """Plans for a failure domain and starts what the plans contain."""
 
     _fleet: Fleet
     _environment: PlacerEnvironment
@@ -147,8 +147,8 @@
             demand=_rounded(plan_input.objective.demand),
         )
         await self._record_store.write([*closing, record])
-        # Announced after the write: if it failed, the replica would be closed
-        # without one that replaces it.
+        # Announced after the write: if the write failed, these replicas would
+        # have been closed without a replacement.
         for preempted in closing:
             self._environment.announce_stopped(
                 preempted, preempted.reason, True
--- a/src/cranecart/grouping/_plan_types.py
+++ b/src/cranecart/grouping/_plan_types.py
@@ -106,7 +106,7 @@
     """The input of a plan for one service.
 
     ``free`` are the instances to plan for that belong to no replica or
-    to one that is ending. ``release_delays`` tells after how many seconds the
+    to one that is ending. ``release_delays`` has the seconds after which the
     latter can join another one. ``replica_counts`` has the number of replicas
     of each model in the whole deployment, ``fabric_replica_counts`` the number
     by fabric domain and model. ``measured_demand`` is in replicas that it would
--- a/src/cranecart/grouping/_preemption.py
+++ b/src/cranecart/grouping/_preemption.py
@@ -56,7 +56,7 @@
         return DRAIN_SECONDS
 
     def after_preemption(self) -> Self:
-        """Return the scope that remains after one fabric domain preempted."""
+        """Return the scope after a preemption in one fabric domain."""
         if self is PreemptionScope.NONE:
             return self
         return type(self).DEFERRED
@@ -67,8 +67,9 @@
     """Keeps several placers from preempting for the same demand.
 
     The cooldown starts when a preempted replica is first seen, since the
-    replica that it makes room for is known at the same time. Starting when its
-    record was deleted, one that closed slowly blocked all other placers.
+    replica that it makes room for is known at the same time. When the cooldown
+    started only with the deletion of the record, a replica that closed slowly
+    blocked all other placers.
     """
 
     _clock: Callable[[], float] = since_boot
--- a/src/cranecart/grouping/_record_store.py
+++ b/src/cranecart/grouping/_record_store.py
@@ -33,7 +33,7 @@
 
     @property
     def is_stale(self) -> bool:
-        """Return whether the rows have to be read before anything is done."""
+        """Return whether rows must be read before anything is written."""
         return self._read_era != era_of(self.lease.version)
 
     def records(self) -> list[ReplicaRecord]:
@@ -49,23 +49,27 @@
         self._read_era = None
 
     async def read(self) -> None:
-        """Read all rows; raise ``PlatformError``.
+        """Read all rows; raise ``PlatformError`` or ``LeaseLostError``.
 
         If the table was restored from a copy, write the records that it lacks
-        and delete those that reappeared; raise ``LeaseLostError`` too.
+        and delete those that reappeared, which requires the lease.
         """
         prefix = records_prefix(self.failure_domain)
         rows = await self._table.read_prefix(prefix)
-        read = {key: record_from_row(row) for key, row in rows.items()}
+        stored = {key: record_from_row(row) for key, row in rows.items()}
         for record in self.records():
             if record.key not in rows and not self._predates_restore(record):
                 self._fleet.apply_records({record.key: None}, False)
         self._fleet.apply_records(
-            {key: record for key, record in read.items() if record is not None},
+            {
+                key: record
+                for key, record in stored.items()
+                if record is not None
+            },
             False,
         )
         await self._rewrite_missing()
-        await self._delete_resurrected(read)
+        await self._delete_resurrected(stored)
         self._read_era = era_of(self.lease.version)
 
     async def write(self, records: Sequence[ReplicaRecord]) -> None:
@@ -134,13 +138,13 @@
 
     async def _delete_resurrected(
         self,
-        read: Mapping[str, ReplicaRecord | None],
+        stored: Mapping[str, ReplicaRecord | None],
     ) -> None:
-        """Delete the rows of replicas that had already been given up."""
+        """Delete rows that had been deleted before the table was restored."""
         known = self._fleet.records
         resurrected = [
             key
-            for key, record in read.items()
+            for key, record in stored.items()
             if record is not None and key not in known
         ]
         for start in range(0, len(resurrected), _MAX_ROWS_PER_TRANSACTION):
--- a/src/cranecart/grouping/_spares.py
+++ b/src/cranecart/grouping/_spares.py
@@ -1,4 +1,4 @@
-"""Choose the models that spares and members hold ready.
+"""Choose the models that spares and members keep loaded or staged.
 
 An instance has one model loaded and one staged on its host, and joins a replica
 of either within two seconds. So another model than the loaded one is staged:
@@ -38,7 +38,7 @@
     replica_counts: Mapping[str, float],
     fabric_replica_counts: Mapping[tuple[str, str], int],
 ) -> Iterable[Staging | Warming]:
-    """Warm spares for models they hold; stage models that no spare holds."""
+    """Yield warmings of staged models, and stagings of missing ones."""
     wanted = _wanted_spares(
         plan_input, fabric, len(free), replica_counts, fabric_replica_counts
     )
@@ -69,7 +69,7 @@
     plan_input: PlanInput,
     loaded: Iterable[tuple[ListedInstance, str]],
 ) -> Iterable[Staging]:
-    """Stage another model than the one that an instance has loaded."""
+    """Yield stagings of another model than an instance has loaded."""
     scarcest_first = sorted(
         plan_input.models,
         key=plan_input.current_demand_per_replica,
@@ -90,7 +90,10 @@
     replica_counts: Mapping[str, float],
     fabric_replica_counts: Mapping[tuple[str, str], int],
 ) -> Counter[str]:
-    """Give each spare to the model for which one more gains most."""
+    """Return how many spares each model should get.
+
+    Each spare goes to the model that gains most from one more.
+    """
     needs = {
         model.name: plan_input.demand_per_replica(
             model, replica_counts.get(model.name, 0) + _DAMPING_REPLICAS
@@ -114,7 +117,7 @@
 
 
 def _failure_probability(at_least: int, members: float) -> float:
-    """Return the probability of at least that many failures soon."""
+    """Return the probability that at least so many members fail."""
     expected = _FAILURES_PER_MEMBER * members
     fewer = sum(
         expected**failures / math.factorial(failures)
--- a/src/cranecart/grouping/_stager.py
+++ b/src/cranecart/grouping/_stager.py
@@ -1,4 +1,4 @@
-"""Copy models to the hosts of unused instances and limit all loads."""
+"""Copy models to the hosts of instances, and limit all loads."""
 
 from collections.abc import Callable, Mapping
 
@@ -15,7 +15,7 @@
 from cranecart.ports import Incarnation, ListedInstance, Orders
 
 # Longer than a load takes while the weight store is busy, so that the same
-# instance is not asked again in the meantime.
+# instance is not sent the order again in the meantime.
 _STAGE_RETRY_SECONDS = 25.0
 # Load slots that second models leave to more urgent loads: replicas that wait
 # for members, and spares without any model.
@@ -65,10 +65,12 @@
         in_progress: int,
         reserve: int = 0,
     ) -> bool:
-        """Take loads from the budget; before traffic they are not limited.
+        """Return whether loads may start; if so, take them from the budget.
 
-        ``in_progress`` counts the running loads. At most as many run at once as
-        do not slow each other down, unless a single replica needs more.
+        Before traffic starts, they are not limited. ``in_progress`` counts the
+        running loads, ``reserve`` those to keep free for more urgent ones. At
+        most as many run at once as do not slow each other down, unless a single
+        replica needs more.
         """
         if not count or not self._has_traffic():
             return True
--- a/src/cranecart/grouping/_teardown.py
+++ b/src/cranecart/grouping/_teardown.py
@@ -90,7 +90,8 @@
         if self._member_left_at is None:
             self._check_ended_members()
         if self._member_left_at is None and self._is_head_unreachable():
-            # The head answers nobody, so the time until it breaks starts here.
+            # An unreachable head cannot be ordered to leave; releasing another
+            # member starts the time after which it breaks.
             await self._release_one_member()
         if self._head_phase() is MemberPhase.BROKEN:
             return 'the head is broken'
@@ -141,17 +142,17 @@
                 self._member_left_at = self._clock()
                 return
         if not any(map(self._fleet.find_instance, self.record.members)):
-            # Nobody is left to release. Members may be listed again, so wait as
-            # long as a head takes to break.
+            # No member is known that could be released. Some may be listed
+            # again, so wait as long as a head takes to break.
             self._member_left_at = self._clock()
 
     def _members_due_for_leave(self) -> list[ListedInstance]:
         """Return the members that may be sent an order.
 
-        If all were found lost, return only one of them, and only from time to
-        time. Ordering fifteen unreachable members in turn delayed the teardown
-        by six seconds a round, although a later incarnation of the head was
-        listed.
+        If all were found lost, return only one of them in each
+        ``_LOST_RETRY_SECONDS``. Sending orders to fifteen unreachable members
+        in turn delayed the teardown by six seconds a round, although a later
+        incarnation of the head was listed.
         """
         known = filter(
             None, map(self._fleet.find_instance, self.record.members[1:])
@@ -193,7 +194,7 @@
         return True
 
     def _had_left_already(self, instance: ListedInstance, why: str) -> bool:
-        """Return whether a refusal means that it is no longer a member."""
+        """Return whether an instance that refused is no longer a member."""
         self._log_failure(instance, why)
         known = self._fleet.find_instance(instance.id)
         return known is None or (
--- a/src/cranecart/grouping/_transitions.py
+++ b/src/cranecart/grouping/_transitions.py
@@ -25,7 +25,7 @@
 ) -> Transition | None:
     """Return the transition that a replica needs, if any.
 
-    A closing replica ends early only if it has stalled.
+    A closing replica ends early only if it can no longer serve.
     """
     replica_epoch = (record.name, record.epoch)
     lost_members = [name for name in record.members if name in lost]
--- a/src/cranecart/grouping/_warmer.py
+++ b/src/cranecart/grouping/_warmer.py
@@ -18,7 +18,7 @@
 from cranecart.logs import log_decision
 from cranecart.ports import Incarnation, Orders
 
-# Longer than loading a staged model takes; then the list shows it.
+# Longer than it takes to load a staged model and to show it in the list.
 _WARM_RETRY_SECONDS = 4.0
 
 
