--- a/src/cranecart/fleet/_fleet.py
+++ b/src/cranecart/fleet/_fleet.py
@@ -79,11 +79,11 @@
 
     def of_model(self, model: ModelKey) -> tuple[ServingHead, ...]:
         """Return the heads of a model's serving replicas."""
-        found = self._cache.get(model)
-        if found is None:
-            found = tuple(self._by_model.get(model, {}).values())
-            self._cache[model] = found
-        return found
+        heads = self._cache.get(model)
+        if heads is None:
+            heads = tuple(self._by_model.get(model, {}).values())
+            self._cache[model] = heads
+        return heads
 
     def all_heads(self) -> list[ServingHead]:
         """Return the heads of all serving replicas."""
--- a/src/cranecart/fleet/_incarnations.py
+++ b/src/cranecart/fleet/_incarnations.py
@@ -16,8 +16,8 @@
 from cranecart.ports import Incarnation, ListedInstance
 
 # A running instance writes its entry every heartbeat (1.2 s by the platform's
-# specification). An entry with an earlier start time that has stood for more
-# than two heartbeats is not a delayed write of an ended incarnation.
+# specification). An entry with an earlier start time that is still listed after
+# more than two heartbeats is not a delayed write of an ended incarnation.
 _CONFIRM_SECONDS = 3.0
 # Writes are delayed by seconds, in which an instance restarts a few times at
 # most.
@@ -75,7 +75,7 @@
         self._uncertain.pop(name, None)
 
     def take_confirmed(self) -> list[ListedInstance]:
-        """Remove and return uncertain entries that stood long enough."""
+        """Remove and return entries that were listed for long enough."""
         now = self._clock()
         confirmed = [
             entry
--- a/src/cranecart/fleet/_instance_list.py
+++ b/src/cranecart/fleet/_instance_list.py
@@ -67,13 +67,13 @@
         ``grace_until`` is given when the store has just recovered: if many
         entries are missing, their instances are kept until then.
         """
-        gone = {name for name, item in items.items() if item is None}
+        missing = {name for name, item in items.items() if item is None}
         if is_complete:
-            gone.update(self.instances.keys() - items.keys())
-        gone &= self.instances.keys() - self._missing.keys()
-        if grace_until and self._is_mass_lapse(gone):
-            gone -= self._retain_missing(gone, grace_until)
-        for name in gone:
+            missing.update(self.instances.keys() - items.keys())
+        missing &= self.instances.keys() - self._missing.keys()
+        if grace_until and self._is_mass_lapse(missing):
+            missing -= self._retain_missing(missing, grace_until)
+        for name in missing:
             self._lapse(name)
         if is_complete:
             self._unconfirmed.keep_only(items)
@@ -113,7 +113,7 @@
         return restarted
 
     def accept_unconfirmed(self, now: float) -> list[str]:
-        """Accept unconfirmed entries whose wait is over; return their ids."""
+        """Accept unconfirmed entries after their timeout; return their ids."""
         expired = self._unconfirmed.take_expired(now)
         for item in expired:
             self._apply_entry(item)
@@ -131,7 +131,7 @@
         return True
 
     def is_leaving(self, incarnation: Incarnation) -> bool:
-        """Return whether an incarnation is leaving, by itself or its entry."""
+        """Return whether an incarnation is announced or listed as leaving."""
         known = self.find_instance(incarnation.id)
         is_leaving_entry = (
             known is not None
@@ -165,7 +165,9 @@
 
     def incarnations(self) -> frozenset[Incarnation]:
         """Return the incarnations of all listed instances."""
-        return frozenset(one.incarnation for one in self.instances.values())
+        return frozenset(
+            instance.incarnation for instance in self.instances.values()
+        )
 
     def is_superseded(self, incarnation: Incarnation) -> bool:
         """Return whether a different incarnation of the instance is known."""
@@ -191,27 +193,35 @@
 
     def available(self, service: str) -> tuple[ListedInstance, ...]:
         """Return the instances of a service that are not leaving."""
-        found = self._available.get(service)
-        if found is None:
+        available = self._available.get(service)
+        if available is None:
             instances = self.all_of_service(service)
-            found = tuple(one for one in instances if not one.leaving)
-            self._available[service] = found
-        return found
+            available = tuple(
+                instance for instance in instances if not instance.leaving
+            )
+            self._available[service] = available
+        return available
 
     def forget_lapsed(self, needed: Mapping[str, object]) -> None:
         """Forget lapsed instances except those that are needed."""
         self.lapsed = {
-            name: one for name, one in self.lapsed.items() if name in needed
+            name: instance
+            for name, instance in self.lapsed.items()
+            if name in needed
         }
 
-    def _is_mass_lapse(self, gone: Collection[str]) -> bool:
-        return len(gone) >= max(
+    def _is_mass_lapse(self, missing: Collection[str]) -> bool:
+        return len(missing) >= max(
             _MASS_LAPSE_MIN, _MASS_LAPSE_FRACTION * len(self.instances)
         )
 
-    def _retain_missing(self, gone: Collection[str], until: float) -> set[str]:
+    def _retain_missing(
+        self, missing: Collection[str], until: float
+    ) -> set[str]:
         """Keep missing instances for the grace period; return their ids."""
-        retained = {name for name in gone if not self.instances[name].leaving}
+        retained = {
+            name for name in missing if not self.instances[name].leaving
+        }
         self._missing.update(dict.fromkeys(retained, until))
         log_decision('instances_missing', instances=len(retained))
         return retained
--- a/src/cranecart/fleet/_item_cache.py
+++ b/src/cranecart/fleet/_item_cache.py
@@ -36,10 +36,10 @@
 
     def differences(self, items: Mapping[str, Item]) -> dict[str, Item | None]:
         """Return the changes that lead from the cached to the given items."""
-        gone = dict.fromkeys(self._items.keys() - items.keys())
+        removed = dict.fromkeys(self._items.keys() - items.keys())
         changed = {
             key: item
             for key, item in items.items()
             if self._items.get(key) != item
         }
-        return {**gone, **changed}
+        return {**removed, **changed}
--- a/src/cranecart/fleet/_leaving.py
+++ b/src/cranecart/fleet/_leaving.py
@@ -1,4 +1,4 @@
-"""Mark instances as leaving that announce it themselves."""
+"""Mark instances as leaving when they announce it themselves."""
 
 from cranecart.fleet._fleet import Fleet
 from cranecart.logs import log_decision
--- a/src/cranecart/fleet/_recent_entries.py
+++ b/src/cranecart/fleet/_recent_entries.py
@@ -7,7 +7,7 @@
 from cranecart.logs import log_decision
 from cranecart.ports import Incarnation, ListedInstance
 
-# The remembered incarnations end within a minute.
+# How many incarnations are remembered; they end within a minute.
 _MAX_INCARNATIONS = 1024
 # The store drops entries after three missed heartbeats of 1.2 s each.
 _ENTRY_TTL_SECONDS = 4.0
@@ -52,7 +52,7 @@
     def replace(
         self, entries: Mapping[str, ListedInstance], now: float
     ) -> None:
-        """Hold back these entries from now on, and no others."""
+        """Hold back these entries instead of any earlier ones."""
         for name in entries:
             log_decision('entry_awaited', instance=name)
         self._entries = {name: (item, now) for name, item in entries.items()}
--- a/src/cranecart/fleet/_record_rows.py
+++ b/src/cranecart/fleet/_record_rows.py
@@ -24,9 +24,9 @@
     """The state in which the placer wants a replica."""
 
     SERVING = 'serving'
-    # It finishes its requests, because one of its members is leaving.
+    # It finishes its requests, for example because a member is leaving.
     CLOSING = 'closing'
-    # Its members are being released; none may join another replica before.
+    # Its members are being released; none may join another replica yet.
     ENDING = 'ending'
 
 
@@ -101,8 +101,8 @@
 def record_from_row(row: Row) -> ReplicaRecord | None:
     """Decode a replica's row; return ``None`` for rows of another kind.
 
-    Rows that cannot be decoded, or that do not match their key, also count as
-    such: they are logged, and the last valid record stays in effect.
+    Return ``None`` also for rows that cannot be decoded or do not match their
+    key: they are logged, and the last valid record stays in effect.
     """
     if not row.key.split('/', 2)[2].startswith(_REPLICA):
         return None
--- a/src/cranecart/fleet/_replica_records.py
+++ b/src/cranecart/fleet/_replica_records.py
@@ -8,7 +8,7 @@
 from cranecart.fleet._record_rows import RecordState, ReplicaRecord
 from cranecart.ports import era_of
 
-# Keys of deleted rows that are remembered. No feed lags by more rows.
+# How many keys of deleted rows are remembered. No feed lags by more rows.
 _MAX_DROPPED_KEYS = 256
 
 ReplicaEpoch = tuple[str, int]
@@ -44,14 +44,14 @@
         restored store that has lost the record. Such a record is kept, as its
         placer decides what to do with it.
         """
-        gone = [key for key, record in items.items() if record is None]
+        removed = [key for key, record in items.items() if record is None]
         if is_complete:
-            gone.extend(
+            removed.extend(
                 key
                 for key in self.records.keys() - items.keys()
                 if era_of(self.records[key].version) >= era
             )
-        for key in gone:
+        for key in removed:
             self.drop(key)
         changed = [
             record
@@ -60,7 +60,7 @@
         ]
         for record in changed:
             self._put(record)
-        return [*gone, *(record.key for record in changed)]
+        return [*removed, *(record.key for record in changed)]
 
     def drop(self, key: str) -> None:
         """Remove the record of a deleted row."""
--- a/src/cranecart/fleet/_source_follower.py
+++ b/src/cranecart/fleet/_source_follower.py
@@ -42,7 +42,8 @@
 # Length of the poll that shows whether the store is reachable again.
 _PROBE_POLL_SECONDS = 0.25
 _JITTER = 0.25
-# Heartbeats are less frequent, and each check wakes up an idle node.
+# How often a node checks what others have announced. Heartbeats are less
+# frequent, and each check wakes up an idle node.
 _CHECK_INTERVAL_SECONDS = 0.1
 # While a deployment starts, all nodes read and the list grows entry by entry.
 # The interval has to be shorter than the quiet period after which placers take
@@ -51,14 +52,14 @@
 _STARTUP_SECONDS = 2.0
 # An announced update that has not arrived after this time is read instead.
 _MAX_LAG_SECONDS = 0.3
-# When the reader is gone, each node waits this long per rank, until a heartbeat
+# When the reader stops, each node waits this long per rank, until a heartbeat
 # has announced the next reader, so that not all nodes start to read.
 _TAKEOVER_STEP_SECONDS = 0.25
 # After its first read a node waits two heartbeats for the announcement of a
 # shared reader, as it may be passed on by a relay.
 _DISCOVERY_SECONDS = 0.5
 
-# If nobody has read a source for this long, it counts as an outage, at least
+# If no node has read a source for this long, it counts as an outage, at least
 # for this node.
 _OUTAGE_SECONDS = 2.0
 # After an outage, entries of running instances may be missing for this long.
@@ -146,7 +147,7 @@
                 await self._wait_before_next_read(started)
 
     def apply_update(self, update: SourceUpdate[Item]) -> None:
-        """Apply what another node has read, unless a change is missing."""
+        """Apply an update of another node, unless one before it is missing."""
         self._note_contact()
         if not self._has_snapshot or update.version < self._version:
             return
@@ -179,7 +180,8 @@
                 # Another node's update has arrived meanwhile.
                 return
             raise PlatformUnavailableError(
-                'the store returned an older version than it had before',
+                f'the store returned version {snapshot.version}, which is '
+                f'older than version {self._version} that was read before',
             )
         self._note_contact()
         earlier = self._last_change_version
@@ -203,8 +205,8 @@
         """Return how much of the source a snapshot covers."""
         if not self.is_informed:
             return Extent.COMPLETE
-        is_filling = self._clock() < self._resync_at < float('inf')
-        if is_filling or era_of(version) > era_of(self._version):
+        is_repopulating = self._clock() < self._resync_at < float('inf')
+        if is_repopulating or era_of(version) > era_of(self._version):
             return Extent.RESTORED
         return Extent.COMPLETE
 
@@ -240,8 +242,8 @@
 
     async def _read_changes(self) -> None:
         since = self._version
-        until_check = max(0, self._resync_at - self._clock())
-        seconds = min(self._poll_seconds, until_check)
+        until_resync = max(0, self._resync_at - self._clock())
+        seconds = min(self._poll_seconds, until_resync)
         try:
             changes = await self._reachability.read(
                 self._source.changes,
@@ -337,8 +339,8 @@
     async def _follow_shared_reader(self) -> bool:
         """Wait while another node shares what it reads.
 
-        Return whether there was a shared reader that is gone now. Otherwise
-        this node has to read for itself at once.
+        Return whether there was a shared reader that no longer announces
+        anything. Otherwise this node has to read for itself at once.
         """
         had_shared_reader = False
         behind_since: float | None = None
--- a/src/cranecart/fleet/_store_reachability.py
+++ b/src/cranecart/fleet/_store_reachability.py
@@ -15,8 +15,9 @@
 
 Answer = TypeVar('Answer')
 
-# Waiting readers check this often whether the store is back, and try for
-# themselves if the probing reader has had no result for the maximum time.
+# Waiting readers check at this interval whether the store is reachable again,
+# and try for themselves if the probing reader has had no success for the maximum
+# time.
 _CHECK_INTERVAL_SECONDS = 0.1
 _MAX_STANDBY_SECONDS = 5.0
 # With jitter, the recovery of the store is detected within a second.
@@ -41,7 +42,7 @@
 
     @property
     def is_unreachable(self) -> bool:
-        """Return whether the last call to the store failed."""
+        """Return whether a call failed and none has succeeded since."""
         return bool(self._probing_reader)
 
     @property
@@ -73,9 +74,10 @@
         since: int,
         seconds: float,
     ) -> Answer:
-        """Wait for changes of a source.
+        """Return the changes of a source, waiting up to ``seconds`` for any.
 
-        Raise ``ReadAbandonedError`` if ``restart_reads`` was called meanwhile.
+        Raise ``PlatformError`` if the call fails, and ``ReadAbandonedError`` if
+        ``restart_reads`` was called meanwhile.
         """
         async with curio.TaskGroup(wait=any) as tasks:
             reading = await tasks.spawn(_read_or_error, call, since, seconds)
--- a/src/cranecart/fleet/_updates.py
+++ b/src/cranecart/fleet/_updates.py
@@ -57,7 +57,7 @@
     itself. ``publish`` sends to other nodes what this node has read. A read
     waits up to ``poll_seconds`` for changes. ``min_interval_seconds`` returns
     the current minimum time between two reads, ``takeover_rank`` the position
-    of this node in the order in which nodes replace a reader that is gone.
+    of this node in the order in which nodes replace a reader that has stopped.
     """
 
     announced_version: Callable[[], int | None]
--- a/src/cranecart/leases/_lease.py
+++ b/src/cranecart/leases/_lease.py
@@ -6,8 +6,8 @@
 A process that was paused, or whose machine was suspended, finds its lease
 expired when it resumes, because the boot-time clock keeps running meanwhile.
 
-A table that was restored from a backup may lack the row, or hold the row of an
-earlier holder. Each restore begins a new era of the table. Fencing tokens
+A table that was restored from a backup may lack the row, or contain the row of
+an earlier holder. Each restore begins a new era of the table. Fencing tokens
 increase with the era, so that none is issued twice and each shows in which era
 its holder acquired the lease.
 """
@@ -89,7 +89,7 @@
 
     @property
     def held_seconds(self) -> float:
-        """Return how long this node has held the lease."""
+        """Return how long this node has held the lease, or 0 if it does not."""
         return self._clock() - self._acquired_at if self.is_held else 0
 
     @property
@@ -184,9 +184,9 @@
         """
         if self._last_row is None:
             return False
-        found = _decode(self._last_row)
-        is_taken = era_of(found.fencing) == self._table.era
-        return is_taken and found.holder != self.node_id
+        lease = _decode(self._last_row)
+        is_taken = era_of(lease.fencing) == self._table.era
+        return is_taken and lease.holder != self.node_id
 
     async def _read_row(self) -> None:
         rows = await self._table.read_keys([self.key])
@@ -194,8 +194,8 @@
         if row != self._last_row or self._last_row_at == 0:
             self._last_row = row
             self._last_row_at = self._clock()
-        # A row that is missing after a restore may have a holder, so it is
-        # waited for like an existing one.
+        # A lease whose row is missing after a restore may still be held, so its
+        # timeout applies as if the row existed.
         self._has_seen_row = self._has_seen_row or row is not None
 
     def _may_acquire(self, may_be_isolated: bool) -> bool:
@@ -214,8 +214,8 @@
         """
         if self._last_row is None:
             return not self._has_seen_row
-        found = _decode(self._last_row)
-        return not found.holder and era_of(found.fencing) == self._table.era
+        lease = _decode(self._last_row)
+        return not lease.holder and era_of(lease.fencing) == self._table.era
 
     async def _write(self, last_row: Row | None, fencing: int) -> None:
         started = self._clock()
@@ -270,8 +270,8 @@
 def _decode(row: Row) -> _LeaseValue:
     """Decode a lease's row; one that cannot be decoded counts as held.
 
-    It is waited for like any other. The next fencing token has to exceed all
-    earlier ones, so the row's version is used, which increases faster.
+    Its timeout applies as to any other. The next fencing token has to exceed
+    all earlier ones, so the row's version is used, which increases faster.
     """
     try:
         return msgspec.json.decode(row.value, type=_LeaseValue)
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -258,7 +258,7 @@
     Mutation(
         'entries-missing-after-an-outage-dropped',
         'fleet/_instance_list.py',
-        'if grace_until and self._is_mass_lapse(gone):',
+        'if grace_until and self._is_mass_lapse(missing):',
         'if False:',
         'tests.unit.test_list_after_outage.MissingEntriesTest'
         '.test_many_missing_instances_are_kept_after_an_outage',
