--- a/src/cranecart/dispatch/_client_retries.py
+++ b/src/cranecart/dispatch/_client_retries.py
@@ -1,7 +1,7 @@
 """Recognise retries of refused clients, and spread them in time.
 
-Clients that are all told the same short retry time come back together, meet
-the queue that refused them, and have used up their last attempt.
+Clients that all receive the same short retry time retry together, find the
+same full queue, and use up their last attempt.
 """
 
 from collections import defaultdict
@@ -12,7 +12,7 @@
 _MAX_RETRY_FRACTION = 1 / 3
 # After less time than this the load has not changed.
 _MIN_RETRY_SECONDS = 0.2
-# Random spread, so that refused clients do not come back at the same moment.
+# Random spread, so that refused clients do not retry at the same moment.
 _JITTER_FRACTION = 0.5
 # A deadline that is shorter than usual by less than this is explained by
 # network transit.
@@ -39,7 +39,7 @@
 
 @attrs.define
 class ClientRetryDetector:
-    """Infers from its deadline how long ago a client first asked.
+    """Infers from a client's deadline how long ago its first attempt was.
 
     Clients send their remaining time. The longest deadline seen on a route is
     taken for the initial one. A shorter deadline means a retry only while
@@ -53,7 +53,7 @@
     _refused_at: dict[str, float] = attrs.field(factory=dict, init=False)
 
     def record_refusal(self, route: str, now: float) -> None:
-        """Record that a client was refused and told to retry."""
+        """Record that a client was refused and asked to retry later."""
         self._refused_at[route] = now
 
     def elapsed_seconds(
@@ -70,5 +70,5 @@
         )
         refused_at = self._refused_at.get(route, float('-inf'))
         elapsed = self._longest_deadline[route] - deadline
-        is_likely = now - refused_at < _REFUSAL_MEMORY_SECONDS
-        return elapsed if is_likely and elapsed > _TRANSIT_SECONDS else 0
+        may_be_retry = now - refused_at < _REFUSAL_MEMORY_SECONDS
+        return elapsed if may_be_retry and elapsed > _TRANSIT_SECONDS else 0
--- a/src/cranecart/dispatch/_decision.py
+++ b/src/cranecart/dispatch/_decision.py
@@ -21,9 +21,9 @@
 # full local replica is passed over.
 _REMOTE_PENALTY_FRACTION = 0.1
 # Replicas sampled first, in each of local and remote. Counts from other nodes
-# are a quarter of a second old, so that all nodes would pick the same best
-# replica: in simulation this yields 0.976 of the value of served requests,
-# against 0.983 with two sampled.
+# are a quarter of a second old, so without sampling all nodes would pick the
+# same best replica: in simulation that yields 0.976 of the value of served
+# requests, against 0.983 with two sampled.
 _SAMPLE_SIZE = 2
 # Forecasts are rough, so a request is refused before its client's last moment.
 # A client that was refused before loses more by another refusal than by
@@ -58,9 +58,10 @@
 def decide(
     request: DispatchRequest, replicas: Sequence[ReplicaState]
 ) -> Send | Refuse:
-    """Choose one of at least one replica.
+    """Return the replica to send to, or a refusal.
 
-    The replicas come in an order that was drawn at random for this request.
+    There must be at least one replica. They come in an order that was drawn at
+    random for this request.
     """
     for candidates in (_sample(replicas), replicas):
         best, seconds = _fastest(request, candidates, deferred=False)
--- a/src/cranecart/dispatch/_forecast_errors.py
+++ b/src/cranecart/dispatch/_forecast_errors.py
@@ -42,7 +42,7 @@
         seconds: float,
         now: float,
     ) -> None:
-        """Add a measurement: how much later a first event came."""
+        """Record how many seconds later than forecast a first event came."""
         error = max(-_MAX_ERROR_SECONDS, min(_MAX_ERROR_SECONDS, seconds))
         previous = self.expected(name, model, now)
         updated = previous + _REPLICA_WEIGHT * (error - previous)
--- a/src/cranecart/dispatch/_inputs.py
+++ b/src/cranecart/dispatch/_inputs.py
@@ -19,7 +19,7 @@
     ``in_flight`` counts the requests of all nodes at the replica, ``deferred``
     those that this node has queued there behind all others. ``error_seconds``
     is by how much recent first events were later than forecast. ``is_local``
-    tells whether the replica is in the node's failure domain.
+    is whether the replica is in the node's failure domain.
     """
 
     name: str
@@ -34,7 +34,7 @@
     """One request to decide about; times in seconds.
 
     ``elapsed_seconds`` is the estimated time since the client's first attempt,
-    and ``was_refused`` tells whether that attempt was refused. ``is_resumed``
+    and ``was_refused`` is whether that attempt was refused. ``is_resumed``
     marks a stream that continues after another replica failed.
     ``completion_interval`` is the mean time between completed requests of the
     model at a fully occupied replica.
--- a/src/cranecart/routing/_availability.py
+++ b/src/cranecart/routing/_availability.py
@@ -20,11 +20,11 @@
     draw: Draw,
     retry_after: Callable[[float], float],
 ) -> tuple[Sequence[ServingHead], int]:
-    """Sample replicas that accept requests; count those left out.
+    """Return a sample of replicas that accept requests, and how many do not.
 
-    Checking all of them costs more than the decision itself where there are
-    many, so that it is done only if none of the first sample accepts. Raise
-    ``OverloadedError`` if no replica does.
+    Checking all of many replicas costs more than the decision itself, so this
+    is done only if none of the first sample accepts. Only the replicas that
+    were checked are counted. Raise ``OverloadedError`` if no replica accepts.
     """
     sampled = draw(heads)
     if throttle.is_unrestricted:
@@ -44,7 +44,7 @@
 ) -> Sequence[TargetT]:
     """Return the targets that accept requests of a rank.
 
-    Raise ``OverloadedError`` if none does; nothing is sent to them then.
+    Raise ``OverloadedError`` if none does, so that nothing is sent to them.
     ``retry_after`` turns the seconds until one accepts into the client's retry
     time.
     """
--- a/src/cranecart/routing/_ejection.py
+++ b/src/cranecart/routing/_ejection.py
@@ -1,4 +1,4 @@
-"""Eject targets that keep failing for a while, but never all of them."""
+"""Temporarily eject targets that keep failing, but never all of them."""
 
 import operator
 from collections.abc import Callable, Hashable, Iterable
@@ -64,7 +64,7 @@
         self._records.pop(key, None)
 
     def is_ejected(self, key: Key) -> bool:
-        """Tell whether a target is ejected now."""
+        """Return whether a target is ejected now."""
         return self._is_ejected(key, self._clock())
 
     def without_ejected(self, targets: Iterable[Target]) -> list[Target]:
--- a/src/cranecart/routing/_event_gaps.py
+++ b/src/cranecart/routing/_event_gaps.py
@@ -45,7 +45,7 @@
             gaps.stall_seconds = _compute_stall_seconds(gaps.recent)
 
     def stall_seconds(self, model: str) -> float:
-        """Return the silence after which a replica should be checked."""
+        """Return the seconds of silence after which to check a replica."""
         gaps = self._models.get(model)
         return _DEFAULT_STALL_SECONDS if gaps is None else gaps.stall_seconds
 
--- a/src/cranecart/routing/_request.py
+++ b/src/cranecart/routing/_request.py
@@ -12,7 +12,7 @@
     """One request that needs a target; times in seconds.
 
     ``elapsed_seconds`` is the time since the client's first attempt,
-    ``was_refused`` tells whether that was refused, and ``is_resumed`` marks a
+    ``was_refused`` is whether that was refused, and ``is_resumed`` marks a
     stream that continues after its replica failed. ``tried`` targets are
     excluded; those that are ``avoided`` are used only if there are no others.
     Smaller ranks are more urgent.
--- a/src/cranecart/routing/_router.py
+++ b/src/cranecart/routing/_router.py
@@ -50,8 +50,8 @@
 _BUSY_SECONDS = 0.2
 
 
-def _report_to_nobody(_incarnation: Incarnation) -> None:
-    """Ignore a report, for a router without other nodes."""
+def _ignore_report(_incarnation: Incarnation) -> None:
+    """Ignore a report, where there are no other nodes."""
 
 
 @attrs.define
@@ -71,7 +71,7 @@
     _clock: Callable[[], float] = since_boot
     # Called with instances of plain services that broke a connection.
     _report_broken: Callable[[Incarnation], None] = attrs.field(
-        default=_report_to_nobody
+        default=_ignore_report
     )
     throttle: TargetThrottle = attrs.field(factory=TargetThrottle)
     gaps: EventGapTracker = attrs.field(factory=EventGapTracker, init=False)
@@ -99,7 +99,10 @@
         return self._choose_replica(request, engine)
 
     def retry_after_seconds(self, request: RoutingRequest) -> float:
-        """Return when a client that targets have refused should retry."""
+        """Return after how many seconds a client should retry.
+
+        For a client whose request was refused by the targets.
+        """
         targets = _targets(
             self._fleet,
             request.config,
@@ -122,9 +125,9 @@
         model: str,
         tried: Collection[str],
     ) -> bool:
-        """Tell whether another target could take the request.
+        """Return whether another target accepts the request.
 
-        Called for every event of a stream, so that it builds no collection.
+        Called for every event of a stream, so it builds no collection.
         """
         is_open = self.throttle.is_unrestricted
         return any(
@@ -166,8 +169,8 @@
         """Eject an instance of a plain service that broke a connection.
 
         The instance may be restarting repeatedly, and each of many nodes sends
-        it too little to find that out alone, so that all nodes eject it for a
-        while. Under random faults this fails 13 of 1,000 calls, against 28
+        it too few requests to detect that alone, so all nodes eject it for a
+        while. Under random faults 13 of 1,000 calls fail this way, against 28
         where each node waits for three failures of its own.
         """
         is_new = not self._ejection.is_ejected(incarnation)
@@ -191,7 +194,7 @@
         self._ejection.record_success(incarnation)
 
     def is_stalled(self, target: Target, model: str) -> bool:
-        """Tell whether a replica has stopped sending on all of its streams."""
+        """Return whether a replica has stopped sending on all its streams."""
         return self.stalls.is_stalled(target.instance.incarnation, model)
 
     def load(self, name: str) -> int:
@@ -294,10 +297,12 @@
         return self.forecast_errors.expected(incarnation, model, self._clock())
 
     def _no_replica(self, request: RoutingRequest) -> NoReplicaError:
-        forms = self._fleet.replica_records.is_starting(
+        is_forming = self._fleet.replica_records.is_starting(
             request.service, request.model
         )
-        expected_seconds = _FORMING_SECONDS if forms else _NO_REPLICA_SECONDS
+        expected_seconds = (
+            _FORMING_SECONDS if is_forming else _NO_REPLICA_SECONDS
+        )
         return NoReplicaError(
             f'no complete replica of {request.model!r} is serving',
             retry_after=_retry_after(self._random, request, expected_seconds),
@@ -364,7 +369,7 @@
     request: RoutingRequest,
     expected_seconds: float,
 ) -> float:
-    """Return when a refused client should retry, spread at random."""
+    """Return the seconds until a refused client should retry, with jitter."""
     return spread_retry_after(
         expected_seconds, request.remaining_seconds, source.random()
     )
--- a/src/cranecart/routing/_stalls.py
+++ b/src/cranecart/routing/_stalls.py
@@ -3,7 +3,7 @@
 A replica that lost a member, or is cut off from this node, goes on accepting
 requests and answers none of them; requests that were sent there missed their
 objective. The silence of one stream says little, as it may wait for the
-prompts of others. Where several streams have begun and none of them brings an
+prompts of others. Where several streams have begun and none of them delivers an
 event, the replica is stalled.
 """
 
@@ -27,7 +27,7 @@
 class StallDetector:
     """The time of each replica's last event, and its number of begun streams.
 
-    ``_stall_seconds`` returns how long a stream of a model may be silent.
+    ``_stall_seconds`` returns how many seconds a model's stream may be silent.
     """
 
     _stall_seconds: Callable[[str], float]
@@ -57,7 +57,7 @@
         self._last_event_at[key] = self._clock()
 
     def is_stalled(self, key: Hashable, model: str) -> bool:
-        """Tell whether a replica has stopped sending on all of its streams."""
+        """Return whether a replica has stopped sending on all its streams."""
         if self._active_streams[key] < _MIN_STREAMS:
             return False
         silence = self._clock() - self._last_event_at[key]
@@ -79,6 +79,6 @@
     has_started: bool = attrs.field(default=False, init=False)
 
     def record_event(self) -> None:
-        """Record that the stream brought an event."""
+        """Record that the stream has delivered an event."""
         self._detector.record_event(self._key, not self.has_started)
         self.has_started = True
--- a/src/cranecart/selection/_policies.py
+++ b/src/cranecart/selection/_policies.py
@@ -68,7 +68,7 @@
     load: Load,
     rng: random.Random,
 ) -> Choice:
-    """Choose one of at least one replica."""
+    """Choose a replica by a policy; there must be at least one."""
     match policy:
         case PrefixAffinity():
             return _by_prefix(policy, replicas, prefix, load)
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -127,7 +127,7 @@
     Mechanism(
         'client retries recognized',
         'dispatch/_client_retries.py',
-        'return elapsed if is_likely and elapsed > _TRANSIT_SECONDS else 0',
+        'return elapsed if may_be_retry and elapsed > _TRANSIT_SECONDS else 0',
         'return 0',
     ),
     Mechanism(
