--- a/src/cranecart/placement/_free_instances.py
+++ b/src/cranecart/placement/_free_instances.py
@@ -27,22 +27,22 @@
 
     def take(self, fabric: str, count: int) -> tuple[str, ...]:
         """Take instances of one fabric domain, or none if there are too few."""
-        found = self._by_fabric.get(fabric, [])
-        if len(found) < count:
+        free = self._by_fabric.get(fabric, [])
+        if len(free) < count:
             return ()
-        self._by_fabric[fabric] = found[count:]
-        return tuple(found[:count])
+        self._by_fabric[fabric] = free[count:]
+        return tuple(free[:count])
 
     def choose_fabric(self, size: int, prefer: Preference) -> str | None:
-        """Return the fabric domain for a new replica.
+        """Return the fabric domain for a new replica, if any has room.
 
         To strand few accelerators, choose the tightest fit. To keep downtime
         short, choose the emptiest, which leaves spares everywhere.
         """
         fits = [
-            (len(found), fabric)
-            for fabric, found in self._by_fabric.items()
-            if len(found) >= size
+            (len(free), fabric)
+            for fabric, free in self._by_fabric.items()
+            if len(free) >= size
         ]
         if not fits:
             return None
--- a/src/cranecart/placement/_placer.py
+++ b/src/cranecart/placement/_placer.py
@@ -52,11 +52,11 @@
                 # The next tick reads the current state and decides again.
                 log_decision('placement_waits', why=str(error))
             await curio.sleep(_TICK_SECONDS)
-        # Returning would end the node, which stops when it is ready to.
+        # Returning would end the node before it has finished its shutdown.
         await curio.Event().wait()
 
     def stop(self) -> None:
-        """Renew the lease no more; finish what was started."""
+        """Stop renewing the lease; a tick in progress is completed."""
         self._stopped = True
 
     async def _tick(self, declarations: Declarations | None) -> None:
@@ -137,8 +137,8 @@
         """Return whether an earlier holder's orders may still be in flight.
 
         Engines that ignore fencing tokens would accept them. A holder stops
-        sending orders when its trusted time ends, which others have waited out,
-        and an order takes a bounded time after that.
+        sending orders when its lease expires, before another node can acquire
+        it, and an order takes a bounded time after that.
         """
         ignored = any(
             spec.fencing is FencingSupport.IGNORED
--- a/src/cranecart/placement/_plan.py
+++ b/src/cranecart/placement/_plan.py
@@ -115,10 +115,10 @@
     remaining: Sequence[ReplicaRow],
     growing: Collection[str],
 ) -> Iterator[ReplicaRow]:
-    """Yield the replicas that are no longer declared and may go.
+    """Yield the replicas that are no longer declared and may be ended.
 
     Replicas of an earlier version stay until those of the later version serve.
-    Without room for both, they go one at a time.
+    Without room for both, they are ended one at a time.
     """
     names = sorted({row.model for row in remaining})
     for name in names:
--- a/src/cranecart/placement/_state.py
+++ b/src/cranecart/placement/_state.py
@@ -1,4 +1,4 @@
-"""What the placer of one failure domain knows at one moment."""
+"""The state of one failure domain that a plan is based on."""
 
 from collections.abc import Mapping
 
@@ -14,8 +14,8 @@
 
     ``instances`` holds only the domain's engines; ``reports`` holds recent
     reports only; ``lost`` names instances that have not answered for so long
-    that they are given up; ``quiesced`` names instances that have reported for
-    long enough that they accept no more requests, so that all nodes know it.
+    that they are considered dead; ``quiesced`` names instances that have
+    refused requests for so long that all nodes have learned of it.
     """
 
     failure_domain: str
@@ -81,7 +81,7 @@
         )
 
     def is_drained(self, row: ReplicaRow, instance_id: str) -> bool:
-        """Return whether no work is left since an instance was closed."""
+        """Return whether a replica has no work left after a member closed."""
         report = self.leader_report(row)
         return (
             instance_id in self.quiesced
--- a/src/cranecart/rollout/_history.py
+++ b/src/cranecart/rollout/_history.py
@@ -118,14 +118,16 @@
         with contextlib.suppress(PlatformError):
             await self._platform.commit(transaction)
         try:
-            found = await self.find(change.change_id)
+            accepted = await self.find(change.change_id)
             head = await self.head()
         except PlatformUnavailableError as error:
             raise WriteUnknownError(str(error)) from error
-        if found is not None:
-            return found
+        if accepted is not None:
+            return accepted
         if head is not None and head.version >= change.version:
-            raise WriteConflictError('another change was accepted first')
+            raise WriteConflictError(
+                f'another change was accepted as version {change.version}'
+            )
         # The write may still be in flight and take effect later.
         raise WriteUnknownError(
             'the change is not in the history, but may still be accepted'
