--- a/src/cranecart/gossip/_entries.py
+++ b/src/cranecart/gossip/_entries.py
@@ -10,7 +10,7 @@
 class Topic(enum.Enum):
     """What an entry is about.
 
-    MEMBER is a node; REPORT is what a node found out about an instance;
+    MEMBER is a node; REPORT is a node's latest probe result for an instance;
     DEMAND is the demand of a node's clients; SUMMARY is the state of a failure
     domain; CASE is a request that may have ended targets.
     """
--- a/src/cranecart/gossip/_protocol.py
+++ b/src/cranecart/gossip/_protocol.py
@@ -99,7 +99,7 @@
 
     @property
     def is_isolated(self) -> bool:
-        """Return whether there are members but none was heard recently."""
+        """Return whether there are other members but no recent message."""
         silence = since_boot() - self._last_received_at
         return silence > _ISOLATION_SILENCE_SECONDS and bool(
             self._members.others()
@@ -158,7 +158,8 @@
         if self._member_changes_at_removal == self._store.member_changes:
             return
         self._member_changes_at_removal = self._store.member_changes
-        # An entry may arrive before its origin's member entry; it is kept.
+        # An entry may arrive before its origin's member entry, so those of
+        # unknown origin are kept.
         self._store.remove(
             entry.key
             for entry in self._store.all_entries()
@@ -167,10 +168,10 @@
         )
 
     def _ping_non_member(self, period: int) -> None:
-        """Ping a random address that is no member here, every few periods.
+        """Ping a random address that is not a member's, every few periods.
 
-        Such are the nodes of other domains, nodes not known yet, and dead ones,
-        which may only have been partitioned.
+        These belong to nodes of other domains, nodes that are not known yet,
+        and dead nodes, which may only have been partitioned.
         """
         domain_addresses = self._members.addresses()
         non_members = sorted(
@@ -198,7 +199,7 @@
         for entry in message.entries:
             if entry.key.topic is Topic.MEMBER:
                 self._config_exchange.check_member_entry(entry)
-            # Of other failure domains only these topics are stored.
+            # From other failure domains only these topics are accepted.
             is_wanted = (
                 is_same_domain or entry.key.topic in _CROSS_DOMAIN_TOPICS
             )
--- a/src/cranecart/gossip/_store.py
+++ b/src/cranecart/gossip/_store.py
@@ -1,4 +1,4 @@
-"""The entries that a node holds, and which of them are still to be sent."""
+"""The entries that a node stores, and which of them are still to be sent."""
 
 import heapq
 import math
@@ -12,8 +12,8 @@
 
 _RETRANSMIT_FACTOR = 2
 _MAX_ENTRIES_PER_MESSAGE = 48
-# These are published again periodically or bounded in number, so a missing
-# entry of them does not call for a full sync.
+# Entries of these topics are published again periodically or bounded in number,
+# so a missing one does not require a full sync.
 _UNDIGESTED_TOPICS = frozenset((Topic.SUMMARY, Topic.DEMAND, Topic.CASE))
 
 
@@ -32,7 +32,7 @@
     member_changes: int = attrs.field(default=0, init=False)
 
     def get(self, key: EntryKey) -> Entry | None:
-        """Return the entry of a key."""
+        """Return the entry of a key, or None if there is none."""
         return self._entries.get(key)
 
     def of_topic(self, topic: Topic) -> Iterator[Entry]:
@@ -70,9 +70,10 @@
     def next_pending(self, node_count: int) -> tuple[Entry, ...]:
         """Return the pending entries for one message, least often sent first.
 
-        An entry stops being pending when it was sent a multiple of the
-        logarithm of the number of nodes; by then all nodes have it with high
-        probability, and digests reveal the few that do not.
+        An entry stops being pending once the number of times it was sent
+        reaches a multiple of the logarithm of the number of nodes; by then all
+        nodes have it with high probability, and digests reveal those that do
+        not.
         """
         limit = _RETRANSMIT_FACTOR * math.ceil(math.log2(node_count + 1))
         chosen = heapq.nsmallest(
--- a/src/cranecart/mesh/_handler.py
+++ b/src/cranecart/mesh/_handler.py
@@ -30,7 +30,7 @@
 
 @attrs.define
 class MessageHandler:
-    """Updates the mesh state from messages, and calls back for the rest.
+    """Updates the mesh state from messages, and passes others to callbacks.
 
     An active relay also forwards messages of other failure domains to the
     nodes of its own.
@@ -87,7 +87,7 @@
     def _handle_source_update(self, message: SourceUpdateMessage) -> None:
         kind = (type(message), message.update.extent)
         # Two relays that are active at once forward to each other as well, so
-        # the version check stops the message from going round in circles.
+        # the version check stops the message from circulating between them.
         if message.update.version > self._forwarded_versions.get(kind, -1):
             if self._forward_to_domain(message, include_silent=False):
                 self._forwarded_versions[kind] = message.update.version
--- a/src/cranecart/mesh/_mesh.py
+++ b/src/cranecart/mesh/_mesh.py
@@ -33,7 +33,7 @@
 # their beats to it, so that counts are hardly older than if sent directly. A
 # relay handles some thirty beats in a few milliseconds.
 _RELAY_LEAD_SECONDS = 0.04
-# Peers not heard from lately are sent only one in this many beats.
+# Peers whose beats no longer arrive are sent only one in this many beats.
 _SILENT_PEER_BEATS = 8
 # Connections used only for urgent messages are closed after this time.
 _IDLE_CONNECTION_SECONDS = 10.0
@@ -95,11 +95,11 @@
         )
 
     def publish_stopped(self, message: Stopped) -> None:
-        """Tell all nodes that a replica has stopped.
+        """Notify all nodes that a replica has stopped.
 
-        Beats and summaries repeat it for nodes that it does not reach through a
-        relay. When it was sent directly to each of 195 nodes, every sender kept
-        a connection to every other node, each with heartbeats.
+        Beats and summaries repeat the notice for nodes that it does not reach
+        through a relay. When it was sent directly to each of 195 nodes, every
+        sender kept a connection to every other node, each with heartbeats.
         """
         self.state.stop_notices.add(message)
         self.message_sender.publish(message, include_silent=True)
@@ -171,8 +171,8 @@
     def demand(self) -> Counter[str]:
         """Return the demand of the clients of all nodes, by model."""
         total = Counter(self.local.demand)
-        # If the relay's summary includes this node's last beat but one, the
-        # remainder of the others may be negative.
+        # Negative values are dropped: they occur when the relay's summary
+        # includes an older beat of this node than the one subtracted from it.
         total.update(+self._peer_state.totals().demand)
         return total
 
--- a/src/cranecart/mesh/_peer_state.py
+++ b/src/cranecart/mesh/_peer_state.py
@@ -27,7 +27,7 @@
 
     @property
     def valid_until(self) -> float:
-        """Return until when it is used."""
+        """Return the time at which the beat expires."""
         return self.received_at + _BEAT_VALID_SECONDS
 
 
@@ -40,12 +40,12 @@
 
     @property
     def valid_until(self) -> float:
-        """Return until when it is used."""
+        """Return the time at which the summary expires."""
         return self.made_at + _SUMMARY_VALID_SECONDS
 
     @property
     def nodes_alive_until(self) -> float:
-        """Return until when the summarized nodes count as alive."""
+        """Return the time until which the summarized nodes count as alive."""
         return self.made_at + _NODES_ALIVE_SECONDS
 
     def as_replaceable(self, now: float) -> 'ReceivedSummary':
@@ -83,7 +83,7 @@
 
     ``newest_config`` is the version of the newest configuration and the address
     of a node that has it; ``placer_addresses`` are by failure domain. The
-    totals hold until the first of the messages expires.
+    totals are valid until the first of the messages expires.
     """
 
     valid_until: float = float('inf')
@@ -120,8 +120,9 @@
         self.demand.subtract(beat.demand)
 
     def _keep_newest_config(self, version: int, address: str) -> None:
-        """Keep the first node of equal versions.
+        """Record a configuration if it is newer than the recorded one.
 
+        Of several nodes with the same version the first one added is kept.
         Otherwise all nodes would request the configuration from the same one.
         """
         if version > self.newest_config[0]:
@@ -181,7 +182,7 @@
             self._summarized_nodes = frozenset(digest.summarized_nodes)
 
     def forget_node(self, node_id: str) -> None:
-        """Forget a node that stops or was removed from the store.
+        """Discard the state of a node that stops or was removed from the store.
 
         If it was a relay, the next relay's summary replaces its own at once.
         """
@@ -197,7 +198,7 @@
         return node_id in self._beats
 
     def was_seen_recently(self, node_id: str) -> bool:
-        """Return whether this node or its relay recently heard a node."""
+        """Return whether a node's beats recently arrived here or at a relay."""
         previous = self._beats.get(node_id)
         now = self._clock()
         if previous is not None and previous.valid_until > now:
--- a/src/cranecart/mesh/_rendezvous.py
+++ b/src/cranecart/mesh/_rendezvous.py
@@ -48,7 +48,7 @@
     limit: int,
 ) -> list[str]:
     """Return the first ``limit`` names of the ranking for a target."""
-    return heapq.nsmallest(limit, names, key=lambda one: _score(one, target))
+    return heapq.nsmallest(limit, names, key=lambda name: _score(name, target))
 
 
 @functools.lru_cache(_SCORE_CACHE_SIZE)
--- a/src/cranecart/mesh/_roster.py
+++ b/src/cranecart/mesh/_roster.py
@@ -56,9 +56,9 @@
     def uses_relays(self) -> bool:
         """Return whether the deployment is large enough to need relays.
 
-        Once one node decides so all nodes follow, since otherwise nodes that
-        send to relays only would not be heard. The decision lasts until all of
-        these nodes have stopped.
+        Once one node decides so, all nodes follow, since otherwise they would
+        miss the beats of nodes that send only to relays. The decision lasts
+        until all of these nodes have stopped.
         """
         if len(self.peers) >= _FULL_MESH_MAX_NODES:
             self._uses_relays = True
@@ -74,7 +74,7 @@
         self._added_at.setdefault(name, self._clock())
 
     def remove(self, name: str) -> PeerNode | None:
-        """Remove a peer; return what was known of it."""
+        """Remove a peer; return it, or None if it was not known."""
         self._added_at.pop(name, None)
         self.remove_relay(name)
         return self.peers.pop(name, None)
@@ -88,7 +88,7 @@
         )
 
     def remove_relay(self, name: str) -> None:
-        """Forget the digests of a node that is no relay any more."""
+        """Discard the coverage of a node that is no longer a relay."""
         self._relay_coverage.pop(name, None)
 
     def live_count(self) -> int:
@@ -170,15 +170,15 @@
     def remote_relay_addresses(self, *, include_silent: bool) -> list[str]:
         """Return the addresses of the relays of other failure domains.
 
-        Where the relays are not known, they are those of all live nodes of that
-        failure domain, and with ``include_silent`` of the others as well.
+        Where a failure domain's relays are not known, return the addresses of
+        its live nodes, and with ``include_silent`` also of its other nodes.
         """
         summaries = self._peer_state.summaries()
         known_relays = {
             address
-            for domain, one in summaries.items()
+            for domain, received in summaries.items()
             if domain != self._failure_domain
-            for address in one.summary.relays.values()
+            for address in received.summary.relays.values()
         }
         peers_without_relay = (
             name
@@ -227,8 +227,8 @@
     def _is_live(self, name: str) -> bool:
         if self._peer_state.was_seen_recently(name):
             return True
-        # If the node was heard before, what beats and relays report counts more
-        # than its recent addition.
+        # Once the node has sent a beat, only beats and digests show that it is
+        # alive; a recent addition does not.
         is_recently_added = (
             self._clock() - self._added_at[name] < _NEW_PEER_GRACE_SECONDS
         )
--- a/src/cranecart/mesh/_sender.py
+++ b/src/cranecart/mesh/_sender.py
@@ -56,7 +56,7 @@
     def send_beat(self, *, include_silent: bool) -> None:
         """Send a beat to all nodes, or to relays; relays send a digest.
 
-        With ``include_silent`` it is also sent to peers not heard from lately.
+        With ``include_silent`` it is also sent to peers that are not alive.
         """
         roster = self._state.roster
         beat = self.build_beat()
@@ -112,7 +112,8 @@
         if roster.is_active_relay() and not beat.stopping:
             self._send_as_relay(beat, include_silent=include_silent)
         elif beat.placer_domain:
-            # Candidates for the placer's lease watch its holder directly.
+            # Candidates for the placer's lease rely on beats that come from its
+            # holder directly.
             domain_addresses = roster.domain_addresses(
                 include_silent=include_silent
             )
--- a/src/cranecart/mesh/_stop_notices.py
+++ b/src/cranecart/mesh/_stop_notices.py
@@ -7,10 +7,11 @@
 from cranecart.clocks import since_boot
 from cranecart.mesh._messages import Stopped
 
-# Twelve beats, so that a notice lost with a relay, or on a connection that went
-# silent (detected after 1.5 s), arrives by another path.
+# Twelve beats, so that a notice lost with a relay, or on a connection that has
+# stopped delivering (detected after 1.5 s), arrives by another path.
 _REPEAT_SECONDS = 3.0
-# Well beyond the time of repetition, so that no notice circulates for ever.
+# Well beyond the time of repetition, so that a notice repeated by another node
+# is still recognized and does not circulate for ever.
 _RETENTION_SECONDS = 30.0
 
 
--- a/src/cranecart/mesh/_target_messages.py
+++ b/src/cranecart/mesh/_target_messages.py
@@ -10,7 +10,7 @@
 class _AboutIncarnation(msgspec.Struct, array_like=True):
     """Base of messages about one incarnation of an instance.
 
-    ``instance`` is its id, and ``born`` tells its incarnations apart.
+    ``instance`` is its id, and ``born`` distinguishes its incarnations.
     """
 
     sender: str
@@ -32,7 +32,7 @@
 
 
 class RequestCases(msgspec.Struct, tag='cases', array_like=True):
-    """What the sender knows of requests that ended the targets they ran on."""
+    """The sender's cases: requests that may have ended their targets."""
 
     sender: str
     cases: list[CaseUpdate]
--- a/src/cranecart/transport/_zmq_transport.py
+++ b/src/cranecart/transport/_zmq_transport.py
@@ -19,9 +19,9 @@
 _RECONNECT_INTERVAL_MS = 100
 _RECONNECT_MAX_INTERVAL_MS = 1000
 # An established connection may stop delivering while a new one would work, which
-# only heartbeats reveal. Peers that receive nothing for 0.8 s treat a node as
-# gone, so detection may take 1.5 s at most; two heartbeats may be lost in that
-# time.
+# only heartbeats reveal. Peers that receive nothing from a node for 0.8 s no
+# longer count it as alive, so detection may take 1.5 s at most; two heartbeats
+# may be lost in that time.
 _HEARTBEAT_INTERVAL_MS = 500
 _HEARTBEAT_TIMEOUT_MS = 1500
 _MAX_MESSAGE_BYTES = 16777216
@@ -110,10 +110,10 @@
             push_socket.close(0)
 
     def close_idle(self, seconds: float) -> None:
-        """Close the sockets that nothing was sent on for ``seconds``.
+        """Close the sockets on which nothing was sent for ``seconds``.
 
         Each open socket exchanges a heartbeat twice a second, and one to a node
-        that is gone keeps reconnecting for ever.
+        that no longer runs keeps trying to reconnect.
         """
         idle_since = since_boot() - seconds
         for address, sent_at in list(self._last_sent_at.items()):
@@ -157,7 +157,7 @@
 
     async def _receive_bytes(self) -> bytes:
         # The descriptor of a ZeroMQ socket is edge-triggered, so messages that
-        # are already there have to be read before each wait.
+        # have already arrived must be read before each wait.
         while not int(self._pull_socket.getsockopt(zmq.EVENTS)) & zmq.POLLIN:
             await _read_wait(self._pull_socket.FD)
         return bytes(self._pull_socket.recv(zmq.NOBLOCK))
