--- a/src/cranecart/native/_client.py
+++ b/src/cranecart/native/_client.py
@@ -49,7 +49,8 @@
 class PlatformClient:
     """Calls a platform, with a timeout of ``timeout_seconds`` per call.
 
-    ``reads`` and ``writes`` count the calls.
+    ``reads`` and ``writes`` count the calls. Reads raise
+    ``PlatformUnavailableError`` if they fail.
     """
 
     address: Address
@@ -99,7 +100,7 @@
             )
         if not response.is_success:
             raise WriteUnknownError(
-                f'the table answered a commit with status {response.status}'
+                f'unexpected status {response.status} in response to a commit'
             )
         return msgspec.json.decode(response.body, type=_Committed).version
 
@@ -133,7 +134,8 @@
             raise PlatformUnavailableError(str(error)) from error
         if not response.is_success:
             raise PlatformUnavailableError(
-                f'cannot store an object: status {response.status}'
+                f'cannot store object {name}: unexpected status '
+                f'{response.status}'
             )
         return name
 
@@ -172,5 +174,5 @@
         return msgspec.json.decode(response.body, type=message_type)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
         raise PlatformUnavailableError(
-            f'cannot decode an answer of the platform: {error}'
+            f'cannot decode a response of the platform: {error}'
         ) from error
--- a/src/cranecart/node/_demand_sharing.py
+++ b/src/cranecart/node/_demand_sharing.py
@@ -42,7 +42,7 @@
             case Topic.MEMBER if entry.body['stopping']:
                 self._shares.remove_source(entry.key.subject)
             case Topic.MEMBER if entry.key.subject != self._members.node_id:
-                # The node counts as soon as it is known, before its demand is.
+                # The node counts from its joining, before its demand is known.
                 self._shares.add_sources([entry.key.subject])
 
     def apply_summary(self, summary: DomainSummary) -> None:
--- a/src/cranecart/node/_node.py
+++ b/src/cranecart/node/_node.py
@@ -195,7 +195,7 @@
     def _is_ready(self) -> bool:
         if self._is_stopping or self._config.declarations() is None:
             return False
-        # Once it had reports, a node stays ready and serves what it can.
+        # Once a node has had reports, it stays ready, even if they are lost.
         domain = self._settings.failure_domain
         is_overdue = since_boot() - self._started_at > _MAX_UNINFORMED_SECONDS
         self._was_informed = (
--- a/src/cranecart/node/_shared_state.py
+++ b/src/cranecart/node/_shared_state.py
@@ -66,7 +66,7 @@
     _probed_instances: list[str] = attrs.field(factory=list, init=False)
 
     async def run(self, gossip_protocol: GossipProtocol) -> None:
-        """Follow which nodes are alive, and publish changes of this node."""
+        """Track which nodes are alive, and publish changes of this node."""
         ticks = 0
         while True:
             self._update_live_nodes(gossip_protocol)
@@ -78,13 +78,13 @@
             await curio.sleep(_TICK_SECONDS)
 
     def replace_instances(self, instances: Iterable[Instance]) -> None:
-        """Apply a new list, and known reports on the instances new in it."""
+        """Apply a new list, and reports received before on its instances."""
         self._reports.replace_instances(instances)
         self._choose_probed_instances()
         self._reapply_reports(self._trusted_observers)
 
     def listed_instances(self) -> list[Instance]:
-        """Return the list of instances, empty until there is one."""
+        """Return the listed instances, or none before the first list."""
         return list(self._reports.instances.values())
 
     def stop(self) -> None:
--- a/src/cranecart/serving/_endpoints.py
+++ b/src/cranecart/serving/_endpoints.py
@@ -25,7 +25,7 @@
 
 @attrs.frozen
 class ReadyEndpoint:
-    """Tells the load balancer whether to send new connections."""
+    """Answers the load balancer's health checks: 200 if ready, else 503."""
 
     _is_ready: Callable[[], bool]
 
--- a/src/cranecart/serving/_followers.py
+++ b/src/cranecart/serving/_followers.py
@@ -46,7 +46,7 @@
 _CONFIG_MIN_INTERVAL_SECONDS = 0.5
 _RECORDS_MIN_INTERVAL_SECONDS = 0.15
 # Before the first request no read is urgent. The interval has to be shorter than
-# the quiet period after which placers take the list for complete.
+# the time without changes after which placers consider the list complete.
 _IDLE_MIN_INTERVAL_SECONDS = 0.15
 # If the shared reader of the list is cut off, all nodes notice within four polls.
 # That has to happen before leaving instances stop accepting requests.
@@ -130,7 +130,7 @@
         self._records.apply_update(update)
 
     def announced_versions(self) -> dict[str, int]:
-        """Return the version of the last change by the source's name.
+        """Return the version of each source's last change, by source name.
 
         It is empty unless this node has read the list recently, which shows
         that it reaches the store.
@@ -165,8 +165,8 @@
     def restore(self, items: Mapping[str, Row]) -> None:
         """Apply the rows of a table that was restored from a backup.
 
-        Rows that are missing there remain valid; the nodes that know them
-        write them again.
+        Rows that are missing there remain valid; the nodes that still have
+        them write them again.
         """
         self.mesh.update_peers(peers_from_rows(items), False)
         self.fleet.apply_records(_decode_records(items), False)
--- a/src/cranecart/serving/_node.py
+++ b/src/cranecart/serving/_node.py
@@ -45,8 +45,8 @@
 from cranecart.settings import LiveSettings
 from cranecart.signals import StopSignal, raise_first_error, stop_signal
 
-# The load balancer takes a node out after two failed health checks, a second
-# apart.
+# The load balancer stops sending to a node after two failed health checks, a
+# second apart.
 _LISTEN_WHILE_STOPPING_SECONDS = 3.0
 # The part of the grace period that is reserved for aborting requests that cannot
 # finish in time.
@@ -260,7 +260,7 @@
         """Update the local state before it is sent in a heartbeat."""
         suspended_seconds = self._suspension_watch.slept_seconds()
         if suspended_seconds:
-            # The clock of leases, deadlines and ages goes on during suspension.
+            # The clock of leases, deadlines and ages runs during suspension.
             log_decision(
                 'node_was_suspended', seconds=round(suspended_seconds, 3)
             )
--- a/src/cranecart/serving/_node_registration.py
+++ b/src/cranecart/serving/_node_registration.py
@@ -35,7 +35,7 @@
         return is_due and not self._is_writing
 
     def restore(self, items: Mapping[str, Row]) -> None:
-        """Check the rows of a restored store for this node's row."""
+        """Require registration again if a restored store lacks the row."""
         self._is_written = self._is_written and self._key in items
 
     async def register(self) -> None:
@@ -79,7 +79,7 @@
 ) -> dict[str, PeerNode | None]:
     """Return the nodes among changed rows by node id, ``None`` if deleted.
 
-    An unreadable row is skipped, so that what is known of its node stays.
+    An unreadable row is skipped, so that its node's last known state is kept.
     """
     prefix = node_key('')
     peers = {
--- a/src/cranecart/serving/_placement.py
+++ b/src/cranecart/serving/_placement.py
@@ -9,7 +9,7 @@
 
 _MILLISECONDS = 1000
 # The holder renews every 2 s, as each renewal costs a call, and every second
-# while it hears from no other node; others read the lease only once its
+# while it receives no heartbeats; others read the lease only once the holder's
 # heartbeats have stopped. A stalled holder cannot overwrite the rows of its
 # successor, as writes are conditional on their versions, so a takeover waits no
 # longer than a renewal takes (docs/design/platform.md). A node that may itself
--- a/src/cranecart/serving/_placer_host.py
+++ b/src/cranecart/serving/_placer_host.py
@@ -52,12 +52,12 @@
 
     @property
     def held_failure_domain(self) -> str:
-        """Return the failure domain that this node places, or ''."""
+        """Return the failure domain whose placer this node is, or ''."""
         return '' if self._placer is None else self._placer.held_failure_domain
 
     @property
     def liveness_check_count(self) -> int:
-        """Return the number of liveness checks of replicas."""
+        """Return the number of liveness checks made by this node's placer."""
         if self._placer is None:
             return 0
         return self._placer.failure_detector.liveness.checks
--- a/src/cranecart/serving/_quarantine.py
+++ b/src/cranecart/serving/_quarantine.py
@@ -1,4 +1,4 @@
-"""Connects the quarantine of crashing requests to the fleet and the mesh."""
+"""Connect the quarantine of crashing requests to the fleet and the mesh."""
 
 from collections.abc import Callable, Sequence
 from typing import Self
@@ -43,7 +43,7 @@
                 return True
             if incarnation.id in fleet.instances:
                 return instance.incarnation.differs_from(incarnation)
-            # Its entry is gone although it had not announced its leaving.
+            # Its entry was removed: a termination, unless it was leaving.
             return not instance.leaving
 
         guard = RequestGuard(
