--- a/src/cranecart/client_api/_attempts.py
+++ b/src/cranecart/client_api/_attempts.py
@@ -104,7 +104,7 @@
     function: Callable[..., Awaitable[AnswerT]],
     *arguments: object,
 ) -> AnswerT:
-    """Await until the call's deadline; raise ``TargetTimeoutError`` then."""
+    """Return the result; raise ``TargetTimeoutError`` at the deadline."""
     try:
         return await curio.timeout_after(
             call.seconds_left,
--- a/src/cranecart/client_api/_request_parsing.py
+++ b/src/cranecart/client_api/_request_parsing.py
@@ -110,7 +110,7 @@
     text = headers.get('x-deadline-ms', str(_DEFAULT_DEADLINE_MS))
     if not text.isdecimal() or not 0 < int(text) <= MAX_DEADLINE_MS:
         raise InvalidRequestError(
-            f'x-deadline-ms must be from 1 to {MAX_DEADLINE_MS}',
+            f'x-deadline-ms must be from 1 to {MAX_DEADLINE_MS}, not {text!r}',
         )
     return int(text) / _MILLISECONDS
 
@@ -126,10 +126,12 @@
         requested = Priority(text)
     except ValueError:
         raise InvalidRequestError(
-            'x-priority must be high, normal or low',
+            f'x-priority must be high, normal or low, not {text!r}',
         ) from None
     # A request cannot exceed its organisation's priority.
-    return max(requested, organisation.priority, key=lambda one: one.rank)
+    return max(
+        requested, organisation.priority, key=lambda priority: priority.rank
+    )
 
 
 def _parse_completion(
@@ -189,7 +191,7 @@
         raise InvalidRequestError('max_tokens must be an integer')
     if not 0 < field <= _MAX_TOKENS_LIMIT:
         raise InvalidRequestError(
-            f'max_tokens must be from 1 to {_MAX_TOKENS_LIMIT}',
+            f'max_tokens must be from 1 to {_MAX_TOKENS_LIMIT}, not {field}',
         )
     return field
 
--- a/src/cranecart/forwarding/_attempts.py
+++ b/src/cranecart/forwarding/_attempts.py
@@ -46,7 +46,7 @@
 class RoutedAttempts:
     """The attempts at one request, each at another target.
 
-    ``tried`` lists the instances that were chosen so far, ``has_begun`` tells
+    ``tried`` lists the instances that were chosen so far, ``has_begun`` is
     whether any of them has sent an event of a stream.
     """
 
@@ -186,7 +186,7 @@
     def _report_failure(self, target: Target, error: TargetError) -> None:
         incarnation = target.instance.incarnation
         if isinstance(error, TargetWithdrawnError):
-            # It announced this before anything was sent, which is no failure.
+            # Not a failure: nothing was sent, as the target asked for a pause.
             return
         if (
             isinstance(error, TargetDisconnectedError)
@@ -198,7 +198,7 @@
         self._router.record_failure(incarnation, reached=is_reached)
 
     def _log_disconnect(self, target: Target) -> None:
-        """Log what helps to tell whether the request crashed its target."""
+        """Log data that may show whether the request crashed its target."""
         progress = self._progress
         self.call.trace.add(
             'target_disconnected',
--- a/src/cranecart/forwarding/_buffered.py
+++ b/src/cranecart/forwarding/_buffered.py
@@ -16,7 +16,8 @@
 class BufferedExchange:
     """One request whose response is forwarded only once it is complete.
 
-    ``response`` is the latest response that any target sent, also a failed one.
+    ``response`` is the latest complete response of any target, including error
+    responses.
     """
 
     _sender: Sender
@@ -24,7 +25,7 @@
     response: Response | None = attrs.field(default=None, init=False)
 
     async def attempt(self, target: Target) -> None:
-        """Fetch a response; raise ``TargetError`` if another target may do."""
+        """Fetch a response; raise ``TargetError`` to try another target."""
         call = self._attempts.call
         started = since_boot()
         limits = self._silence_limits()
@@ -40,16 +41,16 @@
             self._sender.router.gaps.record(call.service, elapsed)
         if self._should_try_another(answer):
             raise TargetFailedError(
-                f'{target.instance.id} failed with {answer.head.status}',
+                f'{target.instance.id} failed with status {answer.head.status}',
             )
 
     def _silence_limits(self) -> SilenceLimits:
         """Leave half of the objective for another target.
 
-        Some targets accept requests and never answer while they look healthy,
-        which would hold a request until its deadline. If all targets are slow,
-        the response times seen so far raise the limit, up to the longest
-        silence that is considered normal.
+        Some targets accept requests and never answer although they appear
+        healthy; a request would wait there until its deadline. If all targets
+        are slow, the response times measured so far raise the limit, up to the
+        longest silence that is considered normal.
         """
         if not self._attempts.may_try_another():
             return SilenceLimits(float('inf'), float('inf'))
--- a/src/cranecart/forwarding/_call.py
+++ b/src/cranecart/forwarding/_call.py
@@ -13,7 +13,7 @@
 from cranecart.quarantine import request_identity
 from cranecart.routing import RoutingRequest
 
-# Without a deadline of the client's, the route's timeout applies.
+# Without a deadline from the client, only the route's timeout applies.
 _NO_DEADLINE = float('inf')
 
 
--- a/src/cranecart/forwarding/_connections.py
+++ b/src/cranecart/forwarding/_connections.py
@@ -28,8 +28,8 @@
 # each later one extends this time.
 _UNRELIABLE_SECONDS = 10.0
 _MAX_IDLE = 16
-# Non-repeatable requests to an unreliable target reuse no idle connection, but
-# each would add one.
+# Non-repeatable requests to an unreliable target reuse no idle connections, but
+# each adds one.
 _MAX_IDLE_UNRELIABLE = 2
 _TIMEOUT_PARAMETER = re.compile(r'timeout=(\d+)')
 
@@ -70,10 +70,11 @@
         require_recent: bool,
         require_new: bool = False,
     ) -> HttpConnection:
-        """Return a connection; raise ``TargetUnreachableError``.
+        """Return a connection; raise ``TargetUnreachableError`` if it fails.
 
         With ``require_recent`` an idle connection is reused only if it was in
-        use a moment ago, with ``require_new`` a new one is always opened.
+        use within the last second, with ``require_new`` a new one is always
+        opened.
         """
         idle_connections = self._idle.get(instance.incarnation)
         must_open = require_new or (
@@ -117,7 +118,7 @@
         instance: ListedInstance,
         connection: HttpConnection,
     ) -> None:
-        """Return a connection; it is closed if it cannot be reused."""
+        """Return a connection to the pool, or close it if not reusable."""
         if connection.has_surplus_data:
             self.desynchronized += 1
             self.mark_unreliable(instance)
@@ -144,8 +145,8 @@
     async def close_idle(self, instance: ListedInstance) -> None:
         """Close an instance's idle connections after one of them failed.
 
-        The others may be broken as well, and each would cost the next request
-        its objective.
+        The others may be broken as well, and each of them would make a request
+        miss its objective.
         """
         for idle in self._idle.pop(instance.incarnation, ()):
             await idle.connection.close()
@@ -169,9 +170,9 @@
         now = self._clock()
         for incarnation, idle_connections in list(self._idle.items()):
             unexpired = [
-                one
-                for one in idle_connections
-                if now < one.expires_at and incarnation in listed
+                entry
+                for entry in idle_connections
+                if now < entry.expires_at and incarnation in listed
             ]
             for idle in idle_connections:
                 if idle not in unexpired:
--- a/src/cranecart/forwarding/_gateway.py
+++ b/src/cranecart/forwarding/_gateway.py
@@ -128,7 +128,7 @@
             self._write_trace(trace, outcome)
 
     def _with_retry_time(self, call: RoutedCall) -> RoutedCall:
-        """Add for how long the client has been retrying a refused request."""
+        """Add how long the client has been retrying a refused request."""
         retrying_for = self._returns.elapsed_seconds(
             call.route.name,
             call.facts.deadline_seconds,
--- a/src/cranecart/forwarding/_own_response.py
+++ b/src/cranecart/forwarding/_own_response.py
@@ -12,8 +12,9 @@
     """Reads the head of a request's own response, discarding any others.
 
     A target may send a second response to an earlier request, and that may
-    carry no request id. Only a response with this request's id is accepted;
-    anything else was once taken for the response of the next request.
+    carry no request id. Only a response with this request's id is accepted.
+    Without this check, such a response was forwarded to the next request's
+    client.
     """
 
     _form: CallTranslator
--- a/src/cranecart/forwarding/_sender.py
+++ b/src/cranecart/forwarding/_sender.py
@@ -48,7 +48,7 @@
 class TargetAnswer:
     """A target's response: its head, verified, and the connection to read on.
 
-    ``facts`` is what the head says in the platform's own headers.
+    ``facts`` are the contents of the platform's own headers in the head.
     """
 
     head: ResponseHead
@@ -187,8 +187,8 @@
             return await self.connections.acquire(
                 target.instance,
                 require_recent=not call.may_repeat,
-                # Without a request id responses cannot be matched, so only a
-                # new connection makes sure that the response is its own.
+                # Without a request id responses cannot be matched, and only a
+                # new connection cannot carry those of earlier requests.
                 require_new=not call.request_id,
             )
         except TargetUnreachableError as error:
@@ -261,10 +261,11 @@
 ) -> None:
     name = target.instance.id
     if facts.not_run:
-        raise TargetRefusedError(f'{name} refused with {head.status}')
+        raise TargetRefusedError(f'{name} refused with status {head.status}')
     if head.status in _NOT_RUN_STATUSES:
         raise TargetFailedError(
-            f'{name} answered {head.status} without saying "not run"'
+            f'{name} answered with status {head.status}, but did not confirm '
+            'that the request was not run'
         )
     if head.is_success and not facts.is_genuine:
         raise TargetFailedError(
--- a/src/cranecart/forwarding/_sse.py
+++ b/src/cranecart/forwarding/_sse.py
@@ -58,10 +58,12 @@
             return
         ids_so_far = [
             self.last_id,
-            *(one.decode('latin-1').strip() for one in ids),
+            *(event_id.decode('latin-1').strip() for event_id in ids),
         ]
-        numbers = [int(one) for one in ids_so_far if one.isdecimal()]
-        if any(later <= one for one, later in itertools.pairwise(numbers)):
+        numbers = [int(text) for text in ids_so_far if text.isdecimal()]
+        if any(
+            later <= earlier for earlier, later in itertools.pairwise(numbers)
+        ):
             raise TargetFailedError(
-                f'event ids do not ascend after {self.last_id}',
+                f'event ids do not ascend after {self.last_id}: {numbers}',
             )
--- a/src/cranecart/forwarding/_startup.py
+++ b/src/cranecart/forwarding/_startup.py
@@ -1,7 +1,7 @@
-"""Hold requests back until a node that has just started can route them.
+"""Delay requests until a node that has just started can route them.
 
 This covers a power loss of all nodes that ends within a second while clients
-retry, and a killed node to which its load balancer goes on sending for some
+retry, and a killed node to which its load balancer keeps sending for some
 seconds. Clients retry only once, so rejecting requests at once would lose all
 of that second; requests that wait are answered late.
 """
@@ -30,7 +30,7 @@
 
 @attrs.define
 class StartupGate:
-    """Lets requests through once the node has read its routing state."""
+    """Delays requests until the node has read its routing state."""
 
     _is_informed: Callable[[], bool] = attrs.field(default=lambda: True)
     _clock: Callable[[], float] = since_boot
--- a/src/cranecart/forwarding/_stream.py
+++ b/src/cranecart/forwarding/_stream.py
@@ -61,16 +61,16 @@
     timing: StreamTiming = attrs.field(factory=StreamTiming, init=False)
 
     async def attempt(self, target: Target) -> None:
-        """Relay from one target; raise ``TargetError`` if it fails."""
+        """Relay the stream of one target; raise ``TargetError`` if it fails."""
         call = self._attempts.call
         self.splitter.restart()
-        record_answer_started = self._sender.start_attempt(
+        attempt_context = self._sender.start_attempt(
             call,
             target,
             self._first_event_limits(),
             self.splitter.last_id,
         )
-        async with record_answer_started as answer:
+        async with attempt_context as answer:
             self._attempts.record_answer_started()
             if not answer.head.is_success:
                 await self._handle_failure(target, answer)
@@ -91,8 +91,8 @@
                 self._sender.translator.response_headers(answer.head),
             )
         incarnation = target.instance.incarnation
-        with self._sender.router.stalls.track_stream(incarnation) as pulse:
-            await self._relay_events(target, answer, pulse)
+        with self._sender.router.stalls.track_stream(incarnation) as activity:
+            await self._relay_events(target, answer, activity)
         if not self.splitter.is_between_events:
             raise TargetDisconnectedError(
                 f'{target.instance.id} ended its stream within an event',
@@ -102,7 +102,7 @@
         self,
         target: Target,
         answer: TargetAnswer,
-        pulse: StreamActivity,
+        activity: StreamActivity,
     ) -> None:
         limits = self._first_event_limits()
         while chunk := await self._sender.read_with_limits(
@@ -113,7 +113,7 @@
         ):
             self._attempts.record_progress(target)
             limits = self._silence_limits()
-            pulse.record_event()
+            activity.record_event()
             complete = self.splitter.feed(chunk)
             if complete:
                 await self._responder.write(complete)
@@ -135,7 +135,9 @@
             SilenceLimits(float('inf'), float('inf')),
             answer.connection.read_body,
         )
-        failure = f'{target.instance.id} failed with {answer.head.status}'
+        failure = (
+            f'{target.instance.id} failed with status {answer.head.status}'
+        )
         if self._responder.has_started or self._attempts.may_try_another():
             raise TargetFailedError(failure)
         self.response = Response(
@@ -150,8 +152,8 @@
         if self._attempts.may_try_another():
             pause = self._attempts.call.route.pause_seconds
             return SilenceLimits(suspect_after, _GIVE_UP_SECONDS, pause)
-        # There is no other target to try, so wait on: a replica that stalls
-        # aborts the request itself within seconds.
+        # There is no other target to try, so keep waiting: a replica that
+        # stalls aborts the request itself within seconds.
         return SilenceLimits(suspect_after, float('inf'), is_final_attempt=True)
 
     def _first_event_limits(self) -> SilenceLimits:
