--- a/src/cranecart/http/_client.py
+++ b/src/cranecart/http/_client.py
@@ -1,4 +1,4 @@
-"""A client connection."""
+"""The client side of an HTTP/1.1 connection."""
 
 import select
 import socket
@@ -25,16 +25,16 @@
 )
 
 _MAX_HEAD_BYTES = 32768
-# A broken network path is noticed after about two seconds, as nodes must be up
-# to date again within three seconds of its return.
+# A broken network path is detected after about two seconds, as nodes must be up
+# to date again within three seconds of its recovery.
 _KEEPALIVE_SECONDS = 1
 _KEEPALIVE_PROBES = 2
 _TCP_USER_TIMEOUT_MS = 2000
 CONNECT_TIMEOUT_SECONDS = 1.0
 _MAX_BODY_BYTES = 67108864
 # Far more surplus responses than a faulty target leaves on a connection. An
-# endless sequence of them is read without ever blocking and so starves all
-# other tasks: one held up a node for 19 s.
+# endless sequence of them is read without ever waiting and so starves all other
+# tasks: one blocked a node for 19 s.
 _MAX_DISCARDED_RESPONSES = 16
 # Up to this size a request is sent in one write without a task of its own; most
 # kernels buffer at least this much for a connection.
@@ -130,9 +130,9 @@
         )
 
     def has_no_pending_input(self) -> bool:
-        """Return whether nothing, not even an end of file, is there to read."""
-        # A node may hold thousands of file descriptors, and select supports
-        # only the first 1,024.
+        """Return whether there is nothing to read, not even an end of file."""
+        # A node may have thousands of file descriptors open, and select
+        # supports only the first 1,024.
         poller = select.poll()
         poller.register(self._sock.fileno(), select.POLLIN)
         return not poller.poll(0)
@@ -196,7 +196,8 @@
         self._discarded_count += 1
         if self._discarded_count > _MAX_DISCARDED_RESPONSES:
             raise ConnectionBrokenError(
-                f'{self.address} sent too many surplus responses'
+                f'{self.address} sent more than {_MAX_DISCARDED_RESPONSES} '
+                'surplus responses'
             )
         surplus, _closed = self._parser.trailing_data
         self._parser = _new_parser()
@@ -243,7 +244,8 @@
             self._body += chunk
             if len(self._body) > _MAX_BODY_BYTES:
                 raise BadMessageError(
-                    f'{self.address} sent a body that is too large'
+                    f'{self.address} sent a body of more than '
+                    f'{_MAX_BODY_BYTES} bytes'
                 )
         return bytes(self._body)
 
@@ -283,8 +285,8 @@
         try:
             await self._write(encoded)
         except ConnectionBrokenError:
-            # The reader notices it too, unless it gets a response that was sent
-            # earlier.
+            # Reading fails too, unless it returns a response that was sent
+            # before.
             return
 
     async def _next_event(self) -> object:
--- a/src/cranecart/http/_messages.py
+++ b/src/cranecart/http/_messages.py
@@ -70,7 +70,7 @@
 
     @property
     def is_success(self) -> bool:
-        """Tell whether the status is of the 2xx class."""
+        """Return whether the status is in the 2xx class."""
         return self.status // 100 == 2
 
 
@@ -88,7 +88,7 @@
 
     @property
     def is_success(self) -> bool:
-        """Tell whether the status is of the 2xx class."""
+        """Return whether the status is in the 2xx class."""
         return self.status // 100 == 2
 
 
--- a/src/cranecart/http/_pool.py
+++ b/src/cranecart/http/_pool.py
@@ -40,7 +40,7 @@
         )
 
     async def release(self, connection: HttpConnection) -> None:
-        """Return a connection; it is closed if it cannot be reused."""
+        """Return a connection to the pool, or close it if not reusable."""
         idle = self._idle[connection.address]
         if connection.is_reusable and len(idle) < _MAX_IDLE:
             connection.reset()
--- a/src/cranecart/http/_request_reader.py
+++ b/src/cranecart/http/_request_reader.py
@@ -32,7 +32,8 @@
         )
     except TaskTimeout as error:
         raise BadMessageError(
-            'the request was not received completely in time',
+            'the request was not received completely within '
+            f'{limits.receive_seconds} s',
             _STATUS_TIMEOUT,
         ) from error
     except h11.RemoteProtocolError as error:
@@ -95,8 +96,8 @@
     connection: h11.Connection,
 ) -> None:
     if connection.they_are_waiting_for_100_continue:
-        go_on = h11.InformationalResponse(status_code=100, headers=[])
-        await sock.sendall(connection.send(go_on))
+        interim = h11.InformationalResponse(status_code=100, headers=[])
+        await sock.sendall(connection.send(interim))
 
 
 def _check_not_pipelined(connection: h11.Connection) -> None:
--- a/src/cranecart/http/_responder.py
+++ b/src/cranecart/http/_responder.py
@@ -71,7 +71,7 @@
         try:
             await self._sock.sendall(encoded)
         except OSError as error:
-            raise ConnectionBrokenError('the client went away') from error
+            raise ConnectionBrokenError('the client disconnected') from error
 
     async def end(self) -> None:
         """Send the end of the body."""
@@ -80,7 +80,7 @@
     async def wait_for_disconnect(self) -> None:
         """Return once the client closes its side of the connection.
 
-        Data that it sends before is kept for the next request.
+        Data that it sends before that is kept for the next request.
         """
         try:
             while received := await self._sock.recv(READ_BYTES):
@@ -116,7 +116,9 @@
                 b''.join(filter(None, encoded_events)),
             )
         except (OSError, TaskTimeout) as error:
-            raise ConnectionBrokenError('the client went away') from error
+            raise ConnectionBrokenError(
+                'the client disconnected or read too slowly'
+            ) from error
 
 
 async def send_error(responder: Responder, error: BadMessageError) -> None:
--- a/src/cranecart/http/_server.py
+++ b/src/cranecart/http/_server.py
@@ -28,7 +28,7 @@
 # How long a server reports to be full after it last found no free slot.
 _FULL_STATE_SECONDS = 0.5
 _NO_DESCRIPTOR_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE))
-# Some round trips; a client that goes on sending for longer is disconnected.
+# Some round trips; a client that keeps sending for longer is disconnected.
 _LINGER_SECONDS = 1.0
 
 
@@ -122,8 +122,8 @@
     async def _wait_for_capacity(self) -> None:
         """Return once another connection can be served.
 
-        Closing a new connection would not tell its client why, so it waits,
-        while the load balancer is told that the server is full.
+        A new connection waits rather than being closed, which would give its
+        client no reason. Meanwhile ``is_full`` may make health checks fail.
         """
         while self._connection_count >= self.limits.connections:
             await self._free_capacity()
@@ -242,7 +242,7 @@
         await sock.shutdown(socket.SHUT_WR)
         await curio.timeout_after(_LINGER_SECONDS, _discard, sock)
     except TaskTimeout:
-        _LOG.debug('rejected client goes on sending; closing its connection')
+        _LOG.debug('rejected client keeps sending; closing its connection')
 
 
 async def _discard(sock: curio.io.Socket) -> None:
