--- a/src/cranecart/platform/_config_source.py
+++ b/src/cranecart/platform/_config_source.py
@@ -69,7 +69,10 @@
 
 
 def decode_config(row: WireRow) -> RouteConfig:
-    """Decode the operator's row; raise ``PlatformUnavailableError``."""
+    """Decode the operator's row.
+
+    Raise ``PlatformUnavailableError`` if it is invalid.
+    """
     wire: WireConfig = decode_row(row, WireConfig)
     return RouteConfig(
         wire.version,
--- a/src/cranecart/platform/_store.py
+++ b/src/cranecart/platform/_store.py
@@ -152,7 +152,11 @@
         return rows
 
     async def commit(self, body: Mapping[str, object]) -> int:
-        """Commit a transaction; return the version of its rows."""
+        """Commit a transaction; return the version of its rows.
+
+        Raise ``WriteConflictError`` or ``PlatformUnavailableError`` if nothing
+        was written, ``WriteUnknownError`` if that is unknown.
+        """
         self.counts['writes'] += 1
         request = Request(
             'POST',
@@ -290,7 +294,7 @@
 
 
 def decode_row(row: WireRow, message_type: Any) -> Any:
-    """Decode a row's value; raise ``PlatformUnavailableError``.
+    """Decode a row's value; raise ``PlatformUnavailableError`` if invalid.
 
     Fields that are null are treated as missing.
     """
--- a/src/cranecart/targets/_directory.py
+++ b/src/cranecart/targets/_directory.py
@@ -21,7 +21,7 @@
 
 @attrs.frozen
 class DomainSummary:
-    """What a failure domain tells the others about itself.
+    """What a failure domain publishes to the others about itself.
 
     ``replicas`` and ``services`` are a few targets for calls from other
     domains, ``versions`` the domain's configuration versions, ``demand`` the
@@ -76,7 +76,10 @@
         remote = itertools.chain.from_iterable(
             summary.services for summary in self._fresh()
         )
-        return [*self.reports.open_service_ids(), *(one.id for one in remote)]
+        return [
+            *self.reports.open_service_ids(),
+            *(instance.id for instance in remote),
+        ]
 
     def summary(
         self,
@@ -95,7 +98,9 @@
         ]
         least_loaded = sorted(
             self.reports.serving_replicas(),
-            key=lambda one: (one.running + one.queued) / one.slots,
+            key=lambda replica: (
+                (replica.running + replica.queued) / replica.slots
+            ),
         )
         return DomainSummary(
             self.failure_domain,
--- a/src/cranecart/targets/_engine.py
+++ b/src/cranecart/targets/_engine.py
@@ -143,7 +143,8 @@
         response = await send_request(instance, request, ORDER_TIMEOUT_SECONDS)
         if not response.is_success:
             raise TargetRefusedError(
-                f'{instance.id} refused order {fencing}: {response.status}',
+                f'{instance.id} refused the order with fencing token '
+                f'{fencing}: status {response.status}',
             )
         return read_report(instance, response)
 
@@ -231,15 +232,22 @@
     if head.headers.get('x-request-id') != call.request_id:
         raise TargetFailedError(f'{replica.id} answered another request')
     if head.headers.get('x-execution') == _NOT_RUN:
-        raise TargetRefusedError(f'{replica.id} refused: {head.status}')
+        raise TargetRefusedError(
+            f'{replica.id} refused with status {head.status}'
+        )
     if not head.is_success:
-        raise TargetFailedError(f'{replica.id} answered {head.status}')
+        raise TargetFailedError(
+            f'{replica.id} failed with status {head.status}'
+        )
     answered_by = (
         head.headers.get('x-replica'),
         head.headers.get('x-generation'),
     )
     if answered_by != (replica.id, str(replica.generation)):
-        raise TargetFailedError(f'{replica.id} answered as another replica')
+        raise TargetFailedError(
+            f'{replica.id}, generation {replica.generation}, answered as '
+            f'another replica or generation: {answered_by}'
+        )
 
 
 async def send_request(
@@ -257,16 +265,19 @@
 
 
 def read_report(instance: Instance, response: Response) -> MemberReport:
-    """Decode an engine's report; raise ``TargetFailedError`` if invalid.
+    """Decode an engine's report.
 
-    That another instance answers at the address is an error as well.
+    Raise ``TargetFailedError`` if it is invalid or another instance's.
     """
     try:
         report = msgspec.json.decode(response.body, type=MemberReport)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
-        raise TargetFailedError(f'{instance.id}: {error}') from error
+        raise TargetFailedError(
+            f'cannot decode the report of {instance.id}: {error}'
+        ) from error
     if report.instance != instance.id:
         raise TargetFailedError(
-            f'{instance.address} is {report.instance}, not {instance.id}',
+            f'expected a report of {instance.id} at {instance.address}, got '
+            f'one of {report.instance}',
         )
     return report
--- a/src/cranecart/targets/_instance_poller.py
+++ b/src/cranecart/targets/_instance_poller.py
@@ -1,4 +1,4 @@
-"""Poll the platform's list of instances, which lags behind reality."""
+"""Poll the platform's list of instances, which may be out of date."""
 
 import logging
 from collections.abc import Callable, Sequence
--- a/src/cranecart/targets/_loss_detector.py
+++ b/src/cranecart/targets/_loss_detector.py
@@ -44,7 +44,7 @@
         """Return the instances that count as lost."""
         return frozenset(
             instance_id
-            for instance_id, reachable_peer_address in self._reached_at.items()
-            if now - reachable_peer_address > LOST_AFTER_SECONDS
+            for instance_id, reached_at in self._reached_at.items()
+            if now - reached_at > LOST_AFTER_SECONDS
             and not is_reached(instance_id)
         )
--- a/src/cranecart/targets/_observations.py
+++ b/src/cranecart/targets/_observations.py
@@ -8,7 +8,7 @@
 # How long a report that this node fetched itself is valid.
 FRESH_SECONDS = 5.0
 # How long one node's failure to reach an instance outweighs the success of
-# others. They have probed again by then and told if they failed too.
+# others. By then they have probed it again and published any failures.
 FAILURE_SECONDS = 4.0
 
 
@@ -25,7 +25,7 @@
     """The observations of one instance by node.
 
     Those of this node expire. Those of another node stay valid until it reports
-    a change or is considered dead, as it goes on probing while it is alive.
+    a change or is considered dead, as it keeps probing while it is alive.
     """
 
     _own_node_id: str
@@ -43,17 +43,17 @@
         self._observations[node_id] = observation
 
     def remove(self, node_id: str) -> None:
-        """Forget the observation of a node that has stopped probing."""
+        """Discard the observation of a node that has stopped probing."""
         self._observations.pop(node_id, None)
 
     def keep_only(self, nodes: frozenset[str]) -> None:
-        """Forget the observations of all but these nodes and this one."""
+        """Discard the observations of all but these nodes and this one."""
         for node_id in self._observations.keys() - nodes - {self._own_node_id}:
             self._observations.pop(node_id)
 
     @property
     def valid_until(self) -> float:
-        """Return when ``agreed_report`` may change without new observations."""
+        """Return the time when ``agreed_report`` may change by expiry."""
         own = self._observations.get(self._own_node_id)
         ends = [
             observation.at + FAILURE_SECONDS
@@ -65,7 +65,7 @@
         return min(ends, default=float('inf'))
 
     def agreed_report(self, now: float) -> MemberReport | None:
-        """Return the newest report, if no observation contradicts it.
+        """Return the newest report, or None if an observation contradicts it.
 
         All nodes that reach the instance must agree on its state, and none may
         have failed to reach it recently.
--- a/src/cranecart/targets/_probe_connection.py
+++ b/src/cranecart/targets/_probe_connection.py
@@ -45,7 +45,7 @@
     _report: MemberReport | None = attrs.field(default=None, init=False)
 
     async def fetch(self, instance: Instance) -> MemberReport:
-        """Return the instance's report; raise ``TargetError``."""
+        """Return the instance's report; raise ``TargetError`` if it fails."""
         try:
             return await curio.timeout_after(
                 _ANSWER_TIMEOUT_SECONDS,
@@ -55,7 +55,8 @@
         except TaskTimeout as error:
             await self.close()
             raise TargetTimeoutError(
-                f'{instance.id} did not answer a probe in time'
+                f'{instance.id} did not answer a probe within '
+                f'{_ANSWER_TIMEOUT_SECONDS} s'
             ) from error
         except TargetError:
             await self.close()
@@ -71,7 +72,7 @@
             await self.close()
 
     async def close(self) -> None:
-        """Close the connection and forget the cached ETag."""
+        """Close the connection and discard the cached ETag."""
         connection = self._connection
         self._connection = None
         self._etag = ''
@@ -108,13 +109,17 @@
 
 def _decode(instance: Instance, response: Response) -> MemberReport:
     if not response.is_success:
-        raise TargetFailedError(f'{instance.id} answered {response.status}')
+        raise TargetFailedError(
+            f'{instance.id} answered a probe with status {response.status}'
+        )
     if instance.kind is InstanceKind.ENGINE:
         return read_report(instance, response)
     try:
         status = msgspec.json.decode(response.body, type=_ServiceStatus)
     except msgspec.MsgspecError as error:
-        raise TargetFailedError(f'{instance.id}: {error}') from error
+        raise TargetFailedError(
+            f'cannot decode the status of {instance.id}: {error}'
+        ) from error
     return MemberReport(
         instance.id,
         MemberState.READY,
--- a/src/cranecart/targets/_prober.py
+++ b/src/cranecart/targets/_prober.py
@@ -19,7 +19,7 @@
 )
 
 _LOG = logging.getLogger(__name__)
-# A process that dies is noticed at once by its closed connection; the interval
+# A process that dies is detected at once by its closed connection; the interval
 # matters for processes that hang and machines that fail.
 PROBE_INTERVAL_SECONDS = 2.0
 _TICK_SECONDS = 0.25
--- a/src/cranecart/targets/_replica_index.py
+++ b/src/cranecart/targets/_replica_index.py
@@ -52,7 +52,9 @@
         if report is not None:
             self._reports[instance_id] = report
         changed = {
-            _group_of(one) for one in (previous, report) if one is not None
+            _group_of(member_report)
+            for member_report in (previous, report)
+            if member_report is not None
         }
         for group in changed:
             if report is not None and _group_of(report) == group:
@@ -66,15 +68,16 @@
         group: _Group,
         instances: Mapping[str, Instance],
     ) -> None:
-        present = self._groups[group]
-        if not present:
+        member_ids = self._groups[group]
+        if not member_ids:
             self._groups.pop(group)
         reports = {
-            instance_id: self._reports[instance_id] for instance_id in present
+            instance_id: self._reports[instance_id]
+            for instance_id in member_ids
         }
-        found = list(complete_replicas(instances, reports))
-        if found:
-            self._complete[group] = found[0]
+        replicas = list(complete_replicas(instances, reports))
+        if replicas:
+            self._complete[group] = replicas[0]
         else:
             self._complete.pop(group, None)
 
--- a/src/cranecart/targets/_report_registry.py
+++ b/src/cranecart/targets/_report_registry.py
@@ -1,4 +1,4 @@
-"""What is known about instances, and which replicas can serve accordingly."""
+"""The reports on instances, and the replicas that can serve by them."""
 
 from collections.abc import Callable, Collection, Iterable, Mapping
 
@@ -38,7 +38,7 @@
         return self._instances
 
     def is_informed(self, failure_domain: str) -> bool:
-        """Return whether every instance of a domain was observed at all."""
+        """Return whether every instance of a domain has been observed."""
         return bool(self._instances) and all(
             self._observations[instance_id].is_known
             for instance_id, instance in self._instances.items()
@@ -46,7 +46,7 @@
         )
 
     def replace_instances(self, instances: Iterable[Instance]) -> None:
-        """Replace the list; forget instances that are no longer on it."""
+        """Replace the list; discard instances that are no longer on it."""
         previous_ids = self._instances.keys()
         self._instances = {instance.id: instance for instance in instances}
         for instance_id in previous_ids - self._instances.keys():
@@ -67,15 +67,15 @@
         self._refresh_all()
 
     def discard_remote_observations(self) -> None:
-        """Forget what other nodes observed, as after a pause."""
+        """Discard the observations of other nodes, as after a pause."""
         self.replace_live_nodes(())
 
     def tick(self) -> bool:
         """Expire observations and detect pauses of this process.
 
         This must be called several times a second. Return whether the process
-        was paused. The time of a pause says nothing about the instances, so the
-        timers for lost ones start again.
+        was paused. During a pause no instance could be reached, so the timers
+        for lost ones restart.
         """
         now = self._clock()
         was_process_paused = self._was_process_paused(now)
@@ -98,7 +98,7 @@
         self._record(instance_id, None, node_id)
 
     def remove_observation(self, instance_id: str, node_id: str = '') -> None:
-        """Forget a node's observation, as it has stopped probing."""
+        """Discard a node's observation, as it has stopped probing."""
         observations = self._observations.get(instance_id)
         if observations is not None:
             observations.remove(node_id or self.node_id)
--- a/src/cranecart/targets/_reports.py
+++ b/src/cranecart/targets/_reports.py
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class ProbeResult:
-    """A node's latest probe of an instance, as told to other nodes.
+    """A node's latest probe of an instance, as published to other nodes.
 
     ``reach`` is the outcome; ``NOT_ASKED`` means that the node has stopped
     probing the instance.
@@ -40,7 +40,7 @@
     previous: MemberReport | None,
     current: MemberReport | None,
 ) -> bool:
-    """Return whether a change should be told to other nodes."""
+    """Return whether a change should be published to other nodes."""
     if previous is None or current is None:
         return previous is not current
     return without_load(previous) != without_load(current) or (
@@ -49,7 +49,7 @@
 
 
 def _load_step(report: MemberReport) -> int:
-    """Return the load in quarters of the slots, so that few changes matter."""
+    """Return the load in quarters of the slots, so that it changes rarely."""
     return (
         _LOAD_STEP_COUNT
         * (report.running + report.queued)
--- a/src/cranecart/targets/_service.py
+++ b/src/cranecart/targets/_service.py
@@ -23,12 +23,12 @@
 class ServiceClient:
     """Sends each call on a new connection.
 
-    So what arrives on it can only be the response to this call, and a failure
-    to connect means that the call was not run.
+    Responses to earlier calls cannot arrive on it, and a failure to connect
+    means that the call was not run.
     """
 
     async def call(self, instance: Instance, call: ServiceCall) -> Response:
-        """Send one call; raise a ``TargetError`` that tells whether it ran."""
+        """Return the response; raise ``TargetError`` with its execution."""
         request = Request(
             call.method,
             call.path,
