--- a/src/cranecart/load_testing/_balancer.py
+++ b/src/cranecart/load_testing/_balancer.py
@@ -1,4 +1,4 @@
-"""Round-robin load balancer over ready nodes, as the platform's."""
+"""Round-robin load balancer over ready nodes, like the platform's."""
 
 import itertools
 from collections.abc import Iterator, Sequence
@@ -23,7 +23,7 @@
 
 @attrs.define
 class Balancer:
-    """Chooses ready nodes in turn, by polling their readiness."""
+    """Chooses ready nodes in turn; polls the readiness of all nodes."""
 
     entries: Sequence[NodeEndpoints]
     _ready: set[Address] = attrs.field(factory=set, init=False)
--- a/src/cranecart/load_testing/_calls.py
+++ b/src/cranecart/load_testing/_calls.py
@@ -23,7 +23,7 @@
 
 
 class OutcomeKind(enum.Enum):
-    """The outcome of a call as its client knows it."""
+    """The outcome of a call as its client sees it."""
 
     ANSWERED = 'answered'
     WRONG_ANSWER = 'wrong answer'
@@ -53,5 +53,5 @@
 
     @property
     def is_refusal(self) -> bool:
-        """Tell whether the client was told that its call did not run."""
+        """Return whether the response stated that the call did not run."""
         return self.kind is OutcomeKind.NOT_RUN
--- a/src/cranecart/simulation/_engine.py
+++ b/src/cranecart/simulation/_engine.py
@@ -71,11 +71,17 @@
     def requests(self) -> list[SimulatedRequest]:
         """Return the active and queued requests that are not done."""
         waiting = (request for _rank, _number, request in self._queue)
-        return [one for one in (*self.active, *waiting) if not one.is_done]
+        return [
+            request
+            for request in (*self.active, *waiting)
+            if not request.is_done
+        ]
 
     def begin_pass(self) -> float | None:
         """Admit requests; return the pass's duration, or None without requests."""
-        self.active = [one for one in self.active if not one.is_done]
+        self.active = [
+            request for request in self.active if not request.is_done
+        ]
         timing = self.profile.timing
         prefill_seconds = float(0)
         token_budget = timing.chunk_tokens * timing.steps_a_pass
--- a/src/cranecart/simulation/_policies.py
+++ b/src/cranecart/simulation/_policies.py
@@ -41,7 +41,7 @@
     def record_first_event(
         self,
         request: SimulatedRequest,
-        log_decision: Send,
+        decision: Send,
         seconds: float,
         now: float,
     ) -> None:
@@ -65,7 +65,10 @@
         """Return the least loaded replica, or refuse with a fixed retry time."""
         least = min(
             self._candidates(engines),
-            key=lambda one: (in_flight.get(one.name, 0), self._random.random()),
+            key=lambda engine: (
+                in_flight.get(engine.name, 0),
+                self._random.random(),
+            ),
         )
         if (
             in_flight.get(least.name, 0)
@@ -77,7 +80,7 @@
     def record_first_event(
         self,
         request: SimulatedRequest,
-        log_decision: Send,
+        decision: Send,
         seconds: float,
         now: float,
     ) -> None:
@@ -128,36 +131,34 @@
         )
         states = [
             ReplicaState(
-                one.name,
-                in_flight.get(one.name, 0),
-                deferred.get(one.name, 0),
-                self._errors.expected(one.name, request.model.name, now),
+                engine.name,
+                in_flight.get(engine.name, 0),
+                deferred.get(engine.name, 0),
+                self._errors.expected(engine.name, request.model.name, now),
             )
-            for one in engines
+            for engine in engines
         ]
         self._random.shuffle(states)
-        log_decision = decide(dispatch_request, states)
-        if isinstance(log_decision, Refuse):
+        decision = decide(dispatch_request, states)
+        if isinstance(decision, Refuse):
             drawn = self._random.random()
             return Refuse(
-                spread_retry_after(
-                    log_decision.excess_seconds, remaining, drawn
-                )
+                spread_retry_after(decision.excess_seconds, remaining, drawn)
             )
-        return log_decision
+        return decision
 
     def record_first_event(
         self,
         request: SimulatedRequest,
-        log_decision: Send,
+        decision: Send,
         seconds: float,
         now: float,
     ) -> None:
         """Record the error of the forecast."""
-        if log_decision.is_deferred:
+        if decision.is_deferred:
             return
-        name, model = log_decision.name, request.model.name
+        name, model = decision.name, request.model.name
         expected = self._errors.expected(name, model, now)
         self._errors.record(
-            name, model, seconds - log_decision.forecast_seconds + expected, now
+            name, model, seconds - decision.forecast_seconds + expected, now
         )
--- a/src/cranecart/simulation/_simulation.py
+++ b/src/cranecart/simulation/_simulation.py
@@ -109,30 +109,34 @@
     def _arrive(self, request: SimulatedRequest) -> None:
         node = self._nodes[request.node]
         engines = [
-            one
-            for one in self._engines
-            if one.model is request.model
-            and not one.is_dead
-            and one.ready_at <= self._now
+            candidate
+            for candidate in self._engines
+            if candidate.model is request.model
+            and not candidate.is_dead
+            and candidate.ready_at <= self._now
         ]
         if not engines:
             self._refuse(request, _NO_REPLICA_RETRY_SECONDS)
             return
-        log_decision = node.policy.choose(
+        decision = node.policy.choose(
             request,
             engines,
             self._known_in_flight(node),
             node.deferred,
             self._now,
         )
-        if isinstance(log_decision, Refuse):
-            self._refuse(request, log_decision.excess_seconds)
+        if isinstance(decision, Refuse):
+            self._refuse(request, decision.excess_seconds)
             return
-        engine = next(one for one in engines if one.name == log_decision.name)
-        self._send(request, _Assignment(node, engine, log_decision, self._now))
+        engine = next(
+            candidate
+            for candidate in engines
+            if candidate.name == decision.name
+        )
+        self._send(request, _Assignment(node, engine, decision, self._now))
 
     def _known_in_flight(self, node: _Node) -> Counter[str]:
-        """Return the in-flight counts that a node knows of."""
+        """Return the in-flight counts that a node has received or made."""
         in_flight = node.in_flight.copy()
         if self._shares_counts:
             for other in self._nodes:
--- a/src/cranecart/simulation/_workload.py
+++ b/src/cranecart/simulation/_workload.py
@@ -51,7 +51,7 @@
     ) -> Iterator[SimulatedRequest]:
         """Yield requests with Poisson arrivals, each at a random node."""
         peak_rate = self.rate * max(
-            (one.factor for one in self.bursts), default=1
+            (burst.factor for burst in self.bursts), default=1
         )
         now = rng.expovariate(peak_rate)
         while now < seconds:
@@ -69,9 +69,9 @@
 
     def _rate_at(self, now: float) -> float:
         factors = (
-            one.factor
-            for one in self.bursts
-            if one.starts_at <= now < one.starts_at + one.seconds
+            burst.factor
+            for burst in self.bursts
+            if burst.starts_at <= now < burst.starts_at + burst.seconds
         )
         return self.rate * max(factors, default=1)
 
--- a/src/cranecart/standins/_membership.py
+++ b/src/cranecart/standins/_membership.py
@@ -47,7 +47,7 @@
 
 
 class Membership:
-    """The last order of an engine, and its state in carrying it out."""
+    """The last order that an engine received, and the resulting state."""
 
     def __init__(self, options: EngineOptions, record: EventRecord) -> None:
         """Start idle."""
@@ -112,7 +112,7 @@
         request: Request,
         responder: Responder,
     ) -> None:
-        """Answer a probe: whether this instance is in the other's replica."""
+        """Answer a leader's probe: whether this instance is in its replica."""
         query = request.query
         is_member = query.get('replica') == self.order.replica and query.get(
             'generation'
--- a/src/cranecart/standins/_surplus_responses.py
+++ b/src/cranecart/standins/_surplus_responses.py
@@ -196,9 +196,9 @@
             await curio.sleep(response.pause_seconds)
             encoded = encoded[-len(body) // 2 :]
         same_write = _surplus_at(response, SurplusTiming.SAME_WRITE)
-        surplus = [self._encode(one, request_id) for one in same_write]
+        surplus = [self._encode(extra, request_id) for extra in same_write]
         await sock.sendall(encoded + b''.join(surplus))
-        if any(one.is_truncated for one in same_write):
+        if any(extra.is_truncated for extra in same_write):
             return False
         delayed = _surplus_at(response, SurplusTiming.DELAYED)
         if delayed:
@@ -212,12 +212,12 @@
         answered_id: str,
     ) -> bool:
         """Send surplus responses; return whether the connection stays open."""
-        for one in surplus:
+        for extra in surplus:
             try:
-                await sock.sendall(self._encode(one, answered_id))
+                await sock.sendall(self._encode(extra, answered_id))
             except OSError:
                 return False
-            if one.is_truncated:
+            if extra.is_truncated:
                 return False
         return True
 
@@ -235,4 +235,4 @@
 def _surplus_at(
     response: ScriptedResponse, timing: SurplusTiming
 ) -> tuple[SurplusResponse, ...]:
-    return tuple(one for one in response.surplus if one.timing is timing)
+    return tuple(extra for extra in response.surplus if extra.timing is timing)
