--- a/src/cranecart/config/_compile.py
+++ b/src/cranecart/config/_compile.py
@@ -63,7 +63,7 @@
 
 
 def compile_folder(folder: Path) -> Declarations:
-    """Read, check and instantiate all files of a folder.
+    """Return the declarations that the files of a folder compile to.
 
     Raise ``FindingsError`` with all findings, each with file and line.
     """
@@ -71,7 +71,12 @@
     files = _read_folder(folder, findings)
     if len(files.deployments) != 1:
         findings.append(
-            Finding(str(folder), 1, 'needs exactly one deployment file'),
+            Finding(
+                str(folder),
+                1,
+                'needs exactly one deployment file, '
+                f'found {len(files.deployments)}',
+            ),
         )
     if findings:
         raise FindingsError(findings)
@@ -188,8 +193,8 @@
 
     def _instantiate(self, document: Document, index: int, use: Use) -> Body:
         path = ('uses', index)
-        known = self._files.templates.get(use.template)
-        if known is None:
+        entry = self._files.templates.get(use.template)
+        if entry is None:
             hint = suggest(use.template, self._files.templates)
             self._findings.append(
                 document.finding(
@@ -198,7 +203,7 @@
                 ),
             )
             return Body()
-        template_document, template = known
+        template_document, template = entry
         problems = [
             document.finding((*path, 'parameters', name), problem)
             for name, problem in argument_problems(template, use)
--- a/src/cranecart/config/_differences.py
+++ b/src/cranecart/config/_differences.py
@@ -16,7 +16,10 @@
 
 @attrs.frozen
 class Difference:
-    """One item that is added, removed or changed."""
+    """One item that is added, removed or changed.
+
+    ``change`` is "added", "removed" or the old and new values of the fields.
+    """
 
     what: str
     name: str
@@ -27,7 +30,10 @@
     before: Declarations | None,
     after: Declarations,
 ) -> list[Difference]:
-    """List the differences between two compiled declarations."""
+    """Return the differences between two compiled declarations.
+
+    ``before`` is ``None`` if no version has been accepted yet.
+    """
     return [
         *_compare('model', before.models if before else (), after.models),
         *_compare(
--- a/src/cranecart/config/_template.py
+++ b/src/cranecart/config/_template.py
@@ -22,37 +22,40 @@
         hint = suggest(name, template.parameters)
         yield name, f'template has no parameter {name!r}{hint}'
     for name, parameter in template.parameters.items():
-        found = use.parameters.get(name, parameter.default)
-        problem = _problem(parameter, found)
+        argument = use.parameters.get(name, parameter.default)
+        problem = _problem(parameter, argument)
         if problem:
             yield name, f'parameter {name!r} {problem}'
 
 
-def _problem(parameter: Parameter, found: object) -> str:
-    if found is None:
+def _problem(parameter: Parameter, argument: object) -> str:
+    if argument is None:
         return 'has no default and must be given'
-    wanted = _TYPES[parameter.type]
+    expected_type = _TYPES[parameter.type]
     # In Python ``bool`` is a subclass of ``int``, but a file must not mix them.
-    if isinstance(found, bool) or not isinstance(found, wanted):
-        return f'must be of type {parameter.type}, found {found!r}'
-    if isinstance(found, int):
-        return _bound_problem(parameter, found)
-    if parameter.choices and found not in parameter.choices:
+    if isinstance(argument, bool) or not isinstance(argument, expected_type):
+        return f'must be of type {parameter.type}, found {argument!r}'
+    if isinstance(argument, int):
+        return _bound_problem(parameter, argument)
+    if parameter.choices and argument not in parameter.choices:
         choices = ', '.join(parameter.choices)
-        return f'must be one of {choices}, found {found!r}'
+        return f'must be one of {choices}, found {argument!r}'
     return ''
 
 
-def _bound_problem(parameter: Parameter, found: int) -> str:
-    if parameter.minimum is not None and found < parameter.minimum:
-        return f'must be at least {parameter.minimum}, found {found}'
-    if parameter.maximum is not None and found > parameter.maximum:
-        return f'must be at most {parameter.maximum}, found {found}'
+def _bound_problem(parameter: Parameter, argument: int) -> str:
+    if parameter.minimum is not None and argument < parameter.minimum:
+        return f'must be at least {parameter.minimum}, found {argument}'
+    if parameter.maximum is not None and argument > parameter.maximum:
+        return f'must be at most {parameter.maximum}, found {argument}'
     return ''
 
 
 def fill_body(template: TemplateFile, use: Use) -> object:
-    """Return the body with each ``${name}`` replaced, keeping types."""
+    """Return the body with each ``${name}`` replaced by its argument.
+
+    A text that is only a reference becomes the argument with its own type.
+    """
     arguments = {
         name: use.parameters.get(name, parameter.default)
         for name, parameter in template.parameters.items()
@@ -91,7 +94,7 @@
 
 
 def _fill_text(text: str, arguments: Mapping[str, object]) -> object:
-    whole = _REFERENCE.fullmatch(text)
-    if whole:
-        return arguments[whole.group(1)]
-    return _REFERENCE.sub(lambda found: str(arguments[found.group(1)]), text)
+    reference = _REFERENCE.fullmatch(text)
+    if reference:
+        return arguments[reference.group(1)]
+    return _REFERENCE.sub(lambda part: str(arguments[part.group(1)]), text)
--- a/src/cranecart/documents/_source.py
+++ b/src/cranecart/documents/_source.py
@@ -46,13 +46,13 @@
     lines: Mapping[KeyPath, int]
 
     def finding(self, path: KeyPath, message: str) -> Finding:
-        """Make a finding at a path, or at its closest known parent."""
-        known = next(
+        """Return a finding at a path, or at its closest parent with a line."""
+        nearest = next(
             path[:length]
             for length in range(len(path), -1, -1)
             if path[:length] in self.lines
         )
-        return Finding(self.file, self.lines[known], message)
+        return Finding(self.file, self.lines[nearest], message)
 
 
 @functools.cache
@@ -62,7 +62,10 @@
 
 
 def read_document(file: Path) -> Document:
-    """Parse one file; raise ``FindingsError`` if it is not JSON."""
+    """Parse one file of JSON with comments.
+
+    Raise ``FindingsError`` if the file cannot be read or parsed.
+    """
     try:
         source = file.read_bytes()
     except OSError as error:
@@ -97,12 +100,13 @@
 
 
 def _to_document(file: str, root: tree_sitter.Node) -> Document:
-    found = _content(root)
-    if len(found) != 1:
-        raise FindingsError([Finding(file, 1, 'must hold exactly one value')])
+    nodes = _content(root)
+    if len(nodes) != 1:
+        message = f'must contain exactly one value, found {len(nodes)}'
+        raise FindingsError([Finding(file, 1, message)])
     lines: dict[KeyPath, int] = {}
     findings: list[Finding] = []
-    value = _Reader(file, lines, findings).read(found[0], ())
+    value = _Reader(file, lines, findings).read(nodes[0], ())
     if findings:
         raise FindingsError(findings)
     return Document(file, value, lines)
@@ -137,11 +141,11 @@
         node: tree_sitter.Node,
         path: KeyPath,
     ) -> dict[str, object]:
-        found: dict[str, object] = {}
+        members: dict[str, object] = {}
         for pair in _content(node):
             key_node, value_node = _content(pair)
             key = str(_scalar(key_node))
-            if key in found:
+            if key in members:
                 self.findings.append(
                     Finding(
                         self.file,
@@ -149,8 +153,8 @@
                         f'key {key!r} is duplicated',
                     ),
                 )
-            found[key] = self.read(value_node, (*path, key))
-        return found
+            members[key] = self.read(value_node, (*path, key))
+        return members
 
 
 def _scalar(node: tree_sitter.Node) -> object:
@@ -158,6 +162,6 @@
 
 
 def suggest(name: str, known: Iterable[str]) -> str:
-    """Return a hint with the closest known name, or an empty text."""
-    near = difflib.get_close_matches(name, list(known), n=1)
-    return f'; did you mean {near[0]!r}?' if near else ''
+    """Return a hint with the closest known name, or an empty string."""
+    matches = difflib.get_close_matches(name, list(known), n=1)
+    return f'; did you mean {matches[0]!r}?' if matches else ''
--- a/src/cranecart/documents/_structure.py
+++ b/src/cranecart/documents/_structure.py
@@ -24,31 +24,31 @@
 
 def _converter(*, forbid_extra_keys: bool) -> cattrs.Converter:
     converter = cattrs.Converter(forbid_extra_keys=forbid_extra_keys)
-    for plain in (int, str, bool):
-        converter.register_structure_hook(plain, _strict)
-    converter.register_structure_hook(float, _number)
+    for scalar_type in (int, str, bool):
+        converter.register_structure_hook(scalar_type, _check_type)
+    converter.register_structure_hook(float, _check_number)
     return converter
 
 
-def _strict(found: object, wanted: type) -> object:
+def _check_type(raw: object, expected: type) -> object:
     # In Python ``bool`` is a subclass of ``int``, but a file must not mix them.
-    if isinstance(found, bool) != (wanted is bool) or not isinstance(
-        found,
-        wanted,
+    if isinstance(raw, bool) != (expected is bool) or not isinstance(
+        raw,
+        expected,
     ):
-        raise ValueError(f'expected {wanted.__name__}, found {found!r}')
-    return found
+        raise ValueError(f'expected {expected.__name__}, found {raw!r}')
+    return raw
 
 
-def _number(found: object, _wanted: type) -> float:
-    # Integers are kept, so that they are shown as they were written.
-    if isinstance(found, bool) or not isinstance(found, int | float):
-        raise ValueError(f'expected a number, found {found!r}')
-    return found
+def _check_number(raw: object, _expected: type) -> float:
+    # Integers are not converted, so that they are printed as written.
+    if isinstance(raw, bool) or not isinstance(raw, int | float):
+        raise ValueError(f'expected a number, found {raw!r}')
+    return raw
 
 
 _CONVERTER = _converter(forbid_extra_keys=True)
-# For files that a platform writes, which may have unknown fields.
+# For files written by a platform, which may contain unknown fields.
 _LENIENT_CONVERTER = _converter(forbid_extra_keys=False)
 
 
@@ -60,9 +60,12 @@
     *,
     ignores_unknown: bool = False,
 ) -> Data:
-    """Validate a document against an attrs class.
+    """Return a document's content as an instance of an attrs class.
 
-    Raise ``FindingsError`` with all errors.
+    If ``found`` is given, it is converted instead of the document's root;
+    ``base`` is the path in the document under which errors are reported.
+    Unknown keys are errors unless ``ignores_unknown`` is true. Raise
+    ``FindingsError`` with all errors.
     """
     source = document.root if found is None else found
     try:
@@ -88,12 +91,12 @@
     line: str,
     wanted: type[object],
 ) -> Finding:
-    message, _, place = line.rpartition(' @ ')
-    steps = _steps(place)
+    message, _, location = line.rpartition(' @ ')
+    steps = _steps(location)
     extra = _EXTRA_FIELDS.search(message)
     if extra is None:
-        named = f'{_name(steps)}{message}'
-        return document.finding((*base, *steps), named)
+        text = f'{_prefix(steps)}{message}'
+        return document.finding((*base, *steps), text)
     name = extra.group(1).split(', ')[0]
     hint = suggest(name, all_field_names(wanted))
     return document.finding(
@@ -102,30 +105,32 @@
     )
 
 
-def _steps(place: str) -> KeyPath:
+def _steps(location: str) -> KeyPath:
     return tuple(
         int(index) if index else (attribute or key)
-        for attribute, index, key in _PATH_STEP.findall(place)
+        for attribute, index, key in _PATH_STEP.findall(location)
     )
 
 
-def _name(steps: KeyPath) -> str:
+def _prefix(steps: KeyPath) -> str:
     if not steps:
         return ''
     return '{}: '.format('.'.join(map(str, steps)))
 
 
 def all_field_names(wanted: type[object]) -> list[str]:
-    """Return the field names of an attrs class and of nested ones."""
+    """Return the field names of an attrs class and its nested classes."""
     if not attrs.has(wanted):
         return []
     fields = attrs.fields(wanted)
-    inner = itertools.chain.from_iterable(
+    field_types = itertools.chain.from_iterable(
         (field.type, *getattr(field.type, '__args__', ())) for field in fields
     )
     return [
         *(field.name for field in fields),
         *itertools.chain.from_iterable(
-            all_field_names(one) for one in inner if isinstance(one, type)
+            all_field_names(field_type)
+            for field_type in field_types
+            if isinstance(field_type, type)
         ),
     ]
--- a/src/cranecart/log_setup/_setup.py
+++ b/src/cranecart/log_setup/_setup.py
@@ -34,7 +34,11 @@
 
 
 def set_up_logging(*, as_json: bool, level: str, node: str = '') -> None:
-    """Write logs to standard error; raise ``ValueError`` for a bad level."""
+    """Write logs of a level and above to standard error.
+
+    ``node`` is added to every JSON line. Raise ``ValueError`` if the level is
+    unknown.
+    """
     handler = logging.StreamHandler(sys.stderr)
     if as_json:
         handler.setFormatter(
--- a/src/cranecart/metrics.py
+++ b/src/cranecart/metrics.py
@@ -55,7 +55,7 @@
         )
 
     def observe_request(self, outcome: str, seconds: float | None) -> None:
-        """Count a request, with the seconds until its first byte."""
+        """Count a request and record the seconds to its first byte, if any."""
         self.requests.add(1, {'outcome': outcome})
         if seconds is not None:
             self.first_token_ms.record(seconds * _MILLISECONDS)
@@ -65,14 +65,18 @@
         outcomes: Mapping[str, int],
         first_bytes: Iterable[float],
     ) -> None:
-        """Add requests that were counted before the instruments existed."""
+        """Add requests that were counted before the instruments existed.
+
+        ``first_bytes`` contains the seconds until the first byte of each
+        answered request.
+        """
         for outcome, number in outcomes.items():
             self.requests.add(number, {'outcome': outcome})
         for seconds in first_bytes:
             self.first_token_ms.record(seconds * _MILLISECONDS)
 
     def text(self) -> bytes:
-        """Collect and write all metrics in the text exposition format."""
+        """Collect all metrics; return them in the text exposition format."""
         collected = self._reader.get_metrics_data()
         if collected is None:
             return b''
