--- a/src/cranecart/cli/_apply.py
+++ b/src/cranecart/cli/_apply.py
@@ -85,7 +85,11 @@
     version: int,
     seconds: float,
 ) -> list[str]:
-    """Wait for a version on all nodes; return the nodes still behind."""
+    """Wait until a version is in force on every node.
+
+    Return a line for each failure domain with nodes on an older version; the
+    list is empty on success.
+    """
     deadline = since_boot() + seconds
     while True:
         domains = (await client.status()).domains
@@ -105,7 +109,10 @@
     base_version: int | None,
     note: str,
 ) -> Change:
-    """Apply declarations based on a version, by default the newest."""
+    """Apply declarations based on a version, by default the newest.
+
+    Return the accepted change.
+    """
     if base_version is None:
         base_version = (await client.declared()).version
     return await client.apply(wanted, base_version, getpass.getuser(), note)
--- a/src/cranecart/cli/_common.py
+++ b/src/cranecart/cli/_common.py
@@ -37,7 +37,10 @@
 
 
 def make_client(flag_values: flags.FlagValues) -> OperatorClient:
-    """Make a client with the key from the environment."""
+    """Return a client with the key from the environment.
+
+    Raise ``OperatorError`` if no key is set.
+    """
     key = os.environ.get(KEY_VARIABLE, '').strip()
     if not key:
         raise OperatorError(f"set {KEY_VARIABLE} to the operators' key")
@@ -49,7 +52,9 @@
     wanted = list(names)
     if len(arguments) != len(wanted):
         shown = ' '.join(wanted) or 'nothing'
-        raise flags.IllegalFlagValueError(f'expected arguments: {shown}')
+        raise flags.IllegalFlagValueError(
+            f'expected arguments: {shown}; found {len(arguments)}',
+        )
 
 
 def print_result(
--- a/src/cranecart/cli/_explain.py
+++ b/src/cranecart/cli/_explain.py
@@ -2,8 +2,8 @@
 
 The id is that of a request, a replica or an instance. Every decision that
 mentions it is printed in order of time. For a request, this includes its node's
-events about the replicas and instances involved, and what any node found about
-targets that ended while running it, in any attempt.
+events about the replicas and instances involved, and the findings of any node
+about targets that ended while running it, in any attempt.
 """
 
 import itertools
@@ -45,8 +45,8 @@
     )
     if is_request:
         about = [*about, *lines_about_target_ends(lines, about)]
-    around = lines_with_context(lines, about) if is_request else []
-    shown = sorted((*about, *around), key=lambda line: line.at)
+    context = lines_with_context(lines, about) if is_request else []
+    shown = sorted((*about, *context), key=lambda line: line.at)
     text = '\n'.join(
         f'{"" if line in about else "  | "}{_format_line(line)}'
         for line in shown
--- a/src/cranecart/cli/_main.py
+++ b/src/cranecart/cli/_main.py
@@ -58,7 +58,7 @@
         return int(load_flags().run_flagged(name, command, words))
     unknown = next((word for word in words if word.startswith('-')), None)
     if unknown is not None:
-        raise UsageError(f'there is no flag {unknown}')
+        raise UsageError(f'unknown flag {unknown}')
     return int(command.run(words))
 
 
--- a/src/cranecart/cli/_plan.py
+++ b/src/cranecart/cli/_plan.py
@@ -22,20 +22,23 @@
     wanted = compile_folder(Path(arguments[0]))
     client = _common.make_client(flag_values)
     declared = curio.run(client.declared)
-    found = differences(declared.declarations, wanted)
+    changed = differences(declared.declarations, wanted)
     moves = list(replica_changes(curio.run(client.status), wanted))
     lines = [
         f'against version {declared.version}:',
-        *(f'  {one.what} {one.name}: {one.change}' for one in found),
+        *(
+            f'  {difference.what} {difference.name}: {difference.change}'
+            for difference in changed
+        ),
         *(f'  replicas: {move}' for move in moves),
     ]
-    if not found:
+    if not changed:
         lines.append('  nothing would change')
     _common.print_result(
         flag_values,
         {
             'base_version': declared.version,
-            'differences': found,
+            'differences': changed,
             'moves': moves,
         },
         '\n'.join(lines),
--- a/src/cranecart/cli/_registry.py
+++ b/src/cranecart/cli/_registry.py
@@ -30,7 +30,7 @@
         # Takes no flags, so that it starts without loading the flags library.
         'serve': CommandInfo(
             '_serve',
-            "run a node on a users' platform",
+            "run a node on a deployment's platform",
             takes_flags=False,
         ),
         'standin': CommandInfo('_standin', 'run a stand-in or a fault proxy'),
--- a/src/cranecart/cli/_serve.py
+++ b/src/cranecart/cli/_serve.py
@@ -1,6 +1,6 @@
 """Run a node on a deployment's platform. Usage: serve [SETTINGS_FILE].
 
-Without an argument, CRANECART_NODE_FILE holds the path of the file.
+Without an argument, the path is read from CRANECART_NODE_FILE.
 """
 
 import os
@@ -21,16 +21,16 @@
     """Serve until SIGTERM or SIGINT."""
     file = _settings_file(arguments)
     settings = ServingSettings.from_file(file)
-    lines = set_up_log_queue(settings.log_level, settings.node_id)
+    log_queue = set_up_log_queue(settings.log_level, settings.node_id)
     try:
-        curio.run(ServingNode(LiveSettings(settings, file), lines).run)
+        curio.run(ServingNode(LiveSettings(settings, file), log_queue).run)
     finally:
-        lines.write_queued()
+        log_queue.write_queued()
     return ExitCode.OK
 
 
 def _settings_file(arguments: list[str]) -> Path:
-    named = arguments[0] if arguments else os.environ.get(FILE_VARIABLE, '')
-    if not named:
+    path = arguments[0] if arguments else os.environ.get(FILE_VARIABLE, '')
+    if not path:
         raise ConfigError(f'pass a settings file, or set {FILE_VARIABLE}')
-    return Path(named)
+    return Path(path)
--- a/src/cranecart/cli/_standin.py
+++ b/src/cranecart/cli/_standin.py
@@ -46,7 +46,7 @@
         ('slots', 16, 'requests in one batch of an engine'),
         ('first_token_ms', 20, 'time to the first token'),
         ('token_ms', 5, 'time between tokens'),
-        ('prefill_ms', 30, 'added where the prefix is not cached'),
+        ('prefill_ms', 30, 'time added if the prefix is not cached'),
         ('report_lag_ms', 200, 'lag of the load that an engine reports'),
         ('delay_ms', 5, 'time a service call takes'),
         ('load_ms', 500, 'time one load of weights takes'),
@@ -58,7 +58,7 @@
         flags.DEFINE_bool(
             name,
             default=True,
-            help='whether an engine does so',
+            help='whether an engine makes this check',
             flag_values=flag_values,
         )
 
@@ -76,7 +76,9 @@
     }
     if arguments[0] not in makers:
         known = ', '.join(makers)
-        raise flags.IllegalFlagValueError(f'KIND must be one of {known}')
+        raise flags.IllegalFlagValueError(
+            f'KIND must be one of {known}, found {arguments[0]!r}',
+        )
     curio.run(_run_until_stopped, makers[arguments[0]](flag_values, address))
     return ExitCode.OK
 
--- a/src/cranecart/declarations/_declarations.py
+++ b/src/cranecart/declarations/_declarations.py
@@ -1,4 +1,4 @@
-"""Compiled declarations, which every node holds and applies."""
+"""Compiled declarations, which every node receives and applies."""
 
 import enum
 
@@ -55,9 +55,9 @@
         """Return the number of replicas for this failure domain."""
         if failure_domain not in self.failure_domains:
             return 0
-        share, rest = divmod(self.replicas, len(self.failure_domains))
+        share, remainder = divmod(self.replicas, len(self.failure_domains))
         position = self.failure_domains.index(failure_domain)
-        return share + (position < rest)
+        return share + (position < remainder)
 
 
 @attrs.frozen
--- a/src/cranecart/log_reading/_reading.py
+++ b/src/cranecart/log_reading/_reading.py
@@ -52,7 +52,7 @@
     fields: Mapping[str, Any]
 
     def names(self, wanted: str) -> bool:
-        """Tell whether any field of the decision contains an id."""
+        """Return whether any field of the decision contains an id."""
         return any(_contains(field, wanted) for field in self.fields.values())
 
 
@@ -61,9 +61,9 @@
 
     Text before the JSON object, such as a log collector's prefix, is ignored.
     """
-    found = (_decode(text) for text in texts)
+    decoded = (_decode(text) for text in texts)
     return sorted(
-        (line for line in found if line is not None),
+        (line for line in decoded if line is not None),
         key=lambda line: line.at,
     )
 
@@ -79,7 +79,7 @@
 ) -> list[LogLine]:
     """Return findings about targets that ended while running a request.
 
-    All attempts of its client share a digest, which every node logs.
+    All attempts at a request share a digest, which every node logs.
     """
     shared = {line.fields.get('identity') for line in about} - {None}
     return [
@@ -94,7 +94,7 @@
     lines: Iterable[LogLine],
     about: list[LogLine],
 ) -> list[LogLine]:
-    """Return events on the request's nodes that affected it meanwhile."""
+    """Return events on the request's nodes that may have affected it."""
     if not about:
         return []
     nodes = {line.node for line in about}
@@ -129,7 +129,7 @@
 
 def _contains(field: object, wanted: str) -> bool:
     if isinstance(field, list):
-        return any(_contains(one, wanted) for one in field)
+        return any(_contains(element, wanted) for element in field)
     return isinstance(field, str) and wanted in field.split(', ')
 
 
--- a/src/cranecart/logs/_lines.py
+++ b/src/cranecart/logs/_lines.py
@@ -34,7 +34,7 @@
 
     @classmethod
     def to_standard_output(cls, node: str) -> Self:
-        """Make a queue for standard output."""
+        """Return a queue that writes to standard output."""
         return cls(node, sys.stdout.fileno())
 
     def emit(self, record: logging.LogRecord) -> None:
@@ -107,17 +107,17 @@
 
 def set_up_log_queue(level: str, node: str) -> LogQueue:
     """Send all logs to a queue for standard output; return the queue."""
-    lines = LogQueue.to_standard_output(node)
+    log_queue = LogQueue.to_standard_output(node)
     root = logging.getLogger()
-    root.handlers = [lines]
+    root.handlers = [log_queue]
     set_log_level(level)
     # Curio warns if a call ends just as its timeout fires, which is handled.
     logging.getLogger('curio').setLevel(logging.ERROR)
-    return lines
+    return log_queue
 
 
 def set_log_level(level: str) -> None:
-    """Log lines of this level and above."""
+    """Set the minimum level of the lines that are logged."""
     logging.getLogger().setLevel(level.upper())
 
 
--- a/src/cranecart/logs/_unreadable.py
+++ b/src/cranecart/logs/_unreadable.py
@@ -7,7 +7,7 @@
 from cranecart.clocks import since_boot
 from cranecart.logs._decisions import log_decision
 
-# Other writers choose the row names, so the memory of them is bounded.
+# Other writers choose the row keys, so the number remembered is bounded.
 _MAX_REMEMBERED_ROWS = 256
 # A writer that produces many different errors must not fill the log queue of
 # 4,000 lines; lines over this rate are only counted.
@@ -16,7 +16,7 @@
 
 @attrs.define
 class UnreadableRowLog:
-    """Logs each unreadable row unless its last error is unchanged."""
+    """Logs each unreadable row once, and again when its error changes."""
 
     event: str
     _clock: Callable[[], float] = since_boot
@@ -26,7 +26,7 @@
     _left_out: int = attrs.field(default=0, init=False)
 
     def report(self, key: str, why: str) -> None:
-        """Log that a row is unreadable, unless this error was just logged."""
+        """Log that a row is unreadable, unless its last error was the same."""
         if self._last_errors.get(key) == why:
             return
         self._last_errors[key] = why
@@ -39,7 +39,7 @@
         self._left_out = 0
 
     def mark_readable(self, key: str) -> None:
-        """Forget the error of a row that is readable now or was deleted."""
+        """Discard the error of a row that is readable now or was deleted."""
         self._last_errors.pop(key, None)
 
     def _is_within_rate(self) -> bool:
--- a/src/cranecart/settings/_native.py
+++ b/src/cranecart/settings/_native.py
@@ -13,12 +13,12 @@
 _READY_OFF_MS = 2000
 
 
-def _is_address(
+def _check_address(
     _instance: object,
     _attribute: object,
-    found: str,
+    text: str,
 ) -> None:
-    Address.from_text(found)
+    Address.from_text(text)
 
 
 @attrs.frozen(kw_only=True)
@@ -27,11 +27,11 @@
 
     node_id: str = attrs.field(validator=attrs.validators.min_len(1))
     failure_domain: str
-    client_address: str = attrs.field(validator=_is_address)
-    operator_address: str = attrs.field(validator=_is_address)
-    peer_address: str = attrs.field(validator=_is_address)
+    client_address: str = attrs.field(validator=_check_address)
+    operator_address: str = attrs.field(validator=_check_address)
+    peer_address: str = attrs.field(validator=_check_address)
     advertised_peer_address: str = ''
-    platform_address: str = attrs.field(validator=_is_address)
+    platform_address: str = attrs.field(validator=_check_address)
     operator_key_sha256: str
     peers: tuple[str, ...] = ()
     stop_grace_ms: float = attrs.field(
@@ -61,7 +61,9 @@
         """Read settings; raise ``FindingsError`` with all errors."""
         document = read_document(file)
         if not isinstance(document.root, dict):
-            raise FindingsError([Finding(str(file), 1, 'must be an object')])
+            raise FindingsError(
+                [Finding(str(file), 1, 'must be a JSON object')]
+            )
         return structure(document, cls)
 
     @property
--- a/src/cranecart/settings/_serving.py
+++ b/src/cranecart/settings/_serving.py
@@ -8,8 +8,8 @@
 from cranecart.documents import Finding, FindingsError, read_document, structure
 from cranecart.http import Address
 
-# Defaults: the retry window and the bounds on stalls, on stopping and on leaving
-# that the deployments' platforms name today. A settings file may set others.
+# Defaults: the retry window and the limits for stalls, stopping and leaving that
+# the deployments' platforms specify today. A settings file may override them.
 _RETRY_WINDOW_SECONDS = 10.0
 _STALL_MS = 4000.0
 _STOP_GRACE_SECONDS = 8.0
@@ -17,29 +17,29 @@
 _MAX_DESCRIPTORS = 4096.0
 # At most a tenth of the requests is retried unless the platform sets a ratio.
 _RETRY_RATIO = 0.1
-# Enough successful requests to compare a failed one with.
+# Enough successful requests are logged to compare a failed one with them.
 _LOGGED_SUCCESS_SHARE = 0.05
 _NON_NEGATIVE = attrs.validators.ge(float(0))
 
 
-def _is_address(
+def _check_address(
     _instance: object,
     attribute: 'attrs.Attribute[str]',
-    found: str,
+    text: str,
 ) -> None:
     try:
-        Address.from_text(found)
+        Address.from_text(text)
     except ValueError as error:
         raise ValueError(f'{attribute.name}: {error}') from error
 
 
 def _address_field() -> str:
-    field: str = attrs.field(validator=_is_address)
+    field: str = attrs.field(validator=_check_address)
     return field
 
 
 def _non_negative_field(default: float) -> float:
-    # Platforms send integers and fractions alike, and zeros.
+    # Platforms send both integers and fractions, and zero is valid.
     field: float = attrs.field(default=default, validator=_NON_NEGATIVE)
     return field
 
@@ -94,7 +94,9 @@
         """
         document = read_document(file)
         if not isinstance(document.root, dict):
-            raise FindingsError([Finding(str(file), 1, 'must be an object')])
+            raise FindingsError(
+                [Finding(str(file), 1, 'must be a JSON object')]
+            )
         given_fields = {
             name: field
             for name, field in document.root.items()
