--- a/src/cranecart/clocks.py
+++ b/src/cranecart/clocks.py
@@ -22,7 +22,7 @@
 
 
 def awake_seconds() -> float:
-    """Return monotonic seconds without suspensions, from any origin."""
+    """Return monotonic seconds, excluding suspensions, from any origin."""
     return time.monotonic()
 
 
--- a/src/cranecart/exceptions.py
+++ b/src/cranecart/exceptions.py
@@ -62,7 +62,7 @@
 
 
 class WriteUnknownError(PlatformError):
-    """The response to a write was lost; read back to learn the outcome."""
+    """The response to a write was lost; read back to find the outcome."""
 
 
 class WriteConflictError(PlatformError):
@@ -74,7 +74,7 @@
 
 
 class PlatformTimeoutError(PlatformUnavailableError):
-    """No response came in time; other connections may be dead as well."""
+    """No response arrived in time; other connections may also be dead."""
 
 
 class ReadAbandonedError(PlatformError):
@@ -86,7 +86,7 @@
 
 
 class TargetError(CranecartError):
-    """Base class of target errors; tells whether the request ran."""
+    """Base class of target errors; ``execution`` is whether the request ran."""
 
     execution = Execution.OUTCOME_UNKNOWN
 
@@ -142,12 +142,12 @@
 
 @final
 class OrderUnknownError(OrderError):
-    """No response came; the order may have been, or may yet be, executed."""
+    """No response arrived; the order may be executed, now or later."""
 
 
 @final
 class TargetGoneError(OrderError):
-    """That incarnation of the instance has ended and serves nothing."""
+    """The addressed incarnation has terminated and serves no requests."""
 
 
 @final
--- a/src/cranecart/exit_codes.py
+++ b/src/cranecart/exit_codes.py
@@ -1,10 +1,10 @@
-"""Exit codes of the ``cranecart`` program, named in one place."""
+"""Exit codes of the ``cranecart`` program."""
 
 import enum
 
 
 class ExitCode(enum.IntEnum):
-    """What the program tells the shell."""
+    """Exit status that the program returns to the shell."""
 
     OK = 0
     FAILED = 1
--- a/src/cranecart/listening.py
+++ b/src/cranecart/listening.py
@@ -15,7 +15,7 @@
 
 
 def open_listener(host: str, port: int) -> socket.socket:
-    """Bind and listen; raise ``OSError`` if the address is taken."""
+    """Bind and listen; raise ``OSError`` if the address is already in use."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
@@ -44,7 +44,7 @@
 def take_listener(host: str, port: int) -> socket.socket:
     """Return the listener that was opened early, or a new one.
 
-    Raise ``OSError`` if the address is taken.
+    Raise ``OSError`` if the address is already in use.
     """
     while _opened:
         sock = _opened.pop()
--- a/src/cranecart/quarantine/_cases.py
+++ b/src/cranecart/quarantine/_cases.py
@@ -1,10 +1,11 @@
-"""Decide which requests are held, from the instances that crashed under them.
+"""Decide which requests to hold, by the instances that crashed under them.
 
 One request in several thousand crashes each target that begins to run it,
-while its client retries it at any node for minutes. Without a bound one such
-request ended 26 replicas in a minute, and each termination cut the other streams at
-the replica. Other requests are present at the same terminations without
-causing them: those that had just begun there, and those that waited there.
+while its client retries it at any node for minutes. Without a limit one such
+request crashed 26 replicas in a minute, and each crash cut off the other
+streams at the replica. Other requests are present at the same terminations
+without causing them: those that had just begun there, and those that waited
+there.
 
 What is counted for a request is a set of incarnations. Nodes merge their sets,
 so that no agreement or leader is needed, and updates may arrive late,
@@ -27,17 +28,17 @@
 # begun: it may have waited behind the one that caused them, so that one more
 # is needed.
 _HOLD_THRESHOLD = 4
-# From then on the request runs apart from others, so that it neither affects
-# them nor is affected by them.
+# From this many terminations on, the request is isolated from other requests,
+# so that it neither affects them nor is affected by them.
 _ISOLATION_THRESHOLD = 2
-# More of them do not change the verdict.
+# Further terminations do not change the verdict.
 _MAX_TERMINATIONS = 8
 _MAX_CLEARED = 32
 # Two thousand cases take 1 MB; each termination adds about ten cases.
 _MAX_CASES = 2048
 _MAX_HELD = 256
-# Clients retried for up to twenty seconds. A request that nobody has answered
-# for an hour is no longer sent, or was answered by a node that is gone.
+# Clients retried for up to twenty seconds. A request that has not been answered
+# for an hour is no longer sent, or was answered by a node that has stopped.
 _RETENTION_SECONDS = 3600.0
 
 
@@ -57,8 +58,8 @@
 class Termination:
     """An incarnation that terminated while a request was there.
 
-    ``begun`` tells that the request had begun there shortly before; otherwise
-    it is unknown whether it had.
+    ``begun`` is true if the request had begun there shortly before, and false
+    if it is unknown whether it had begun.
     """
 
     life: Incarnation
@@ -67,10 +68,10 @@
 
 @attrs.frozen
 class CaseUpdate:
-    """Knowledge about one request, identified by the digest its tries share.
+    """What is known about one request, identified by its digest.
 
-    ``ends`` are the terminations under it. Those of ``cleared`` incarnations
-    were caused by something else.
+    ``ends`` are the terminations while it was there. The terminations of
+    ``cleared`` incarnations had another cause.
     """
 
     identity: str
@@ -85,7 +86,7 @@
     identity: str
     changed_at: float
     held_at: float | None = None
-    # Whether this node itself saw the deciding termination.
+    # Whether this node itself detected the deciding termination.
     is_own: bool = False
     ends: dict[Incarnation, bool] = attrs.field(factory=dict)
     # In order of arrival.
@@ -93,7 +94,7 @@
 
     @property
     def begun_count(self) -> int:
-        """Return how many incarnations terminated shortly after a begin."""
+        """Return at how many of the incarnations the request had begun."""
         return sum(self.ends.values())
 
     @property
@@ -106,7 +107,7 @@
         return CaseUpdate(self.identity, ends, tuple(self.cleared))
 
     def verdict(self, explained: Container[Incarnation] = ()) -> Verdict:
-        """Return the verdict, not counting terminations that others explain."""
+        """Return the verdict, ignoring terminations that others explain."""
         unexplained = [
             had_begun
             for incarnation, had_begun in self.ends.items()
@@ -143,10 +144,10 @@
     def _add(self, termination: Termination) -> None:
         if termination.life in self.cleared:
             return
-        known = self.ends.get(termination.life)
-        if known is None and len(self.ends) >= _MAX_TERMINATIONS:
+        had_begun = self.ends.get(termination.life)
+        if had_begun is None and len(self.ends) >= _MAX_TERMINATIONS:
             return
-        self.ends[termination.life] = bool(known) or termination.begun
+        self.ends[termination.life] = bool(had_begun) or termination.begun
 
 
 @attrs.define
@@ -166,14 +167,14 @@
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether nothing is suspected, which is the normal state."""
+        """Return whether there are no cases, which is the normal state."""
         return not self._suspected and not self._hold_candidates
 
     def counts(self) -> dict[str, int]:
         """Return the numbers of suspected and of held requests, as metrics."""
         held = len(self.held())
-        known = len(self._suspected) + len(self._hold_candidates)
-        return {'requests_suspected': known - held, 'requests_held': held}
+        total = len(self._suspected) + len(self._hold_candidates)
+        return {'requests_suspected': total - held, 'requests_held': held}
 
     def verdict(self, identity: str) -> Verdict:
         """Return how a request is treated now."""
@@ -187,7 +188,10 @@
         )
 
     def is_hold_candidate(self, identity: str) -> bool:
-        """Tell whether a request has enough terminations, explained or not."""
+        """Return whether a request has enough terminations to be held.
+
+        Terminations that other requests explain count as well.
+        """
         return identity in self._hold_candidates
 
     def held(self) -> Sequence[Case]:
@@ -221,7 +225,10 @@
         return True
 
     def clearing_update(self, identity: str) -> CaseUpdate | None:
-        """Return an update that clears a request of all its terminations."""
+        """Return an update that clears all terminations of a request.
+
+        Return ``None`` if there are none.
+        """
         case = self.find(identity)
         if case is None or not case.ends:
             return None
@@ -230,9 +237,9 @@
     def _judge(self, case: Case) -> Verdict:
         """Judge a case by comparison with the others.
 
-        A request under which more targets terminated explains the terminations
-        of the requests beside it: it shares some of their incarnations and has
-        more of them. All nodes reach the same verdict from the same sets.
+        A termination is explained by another hold candidate that was there too
+        and had begun at more terminated incarnations than this request. All
+        nodes reach the same verdict from the same sets.
         """
         begun = case.begun_count
         return case.verdict(
@@ -254,7 +261,7 @@
                 self._max_begun[incarnation] = max(max_count, begun)
 
     def _prune(self, now: float) -> None:
-        """Drop cases that are too many or too old, the oldest first."""
+        """Drop the oldest cases that exceed the maximum number or age."""
         while len(self._hold_candidates) > _MAX_HELD:
             self._hold_candidates.pop(next(iter(self._hold_candidates)))
         while len(self._suspected) > _MAX_CASES or self._has_expired(now):
--- a/src/cranecart/quarantine/_guard.py
+++ b/src/cranecart/quarantine/_guard.py
@@ -41,7 +41,7 @@
 
 @attrs.define
 class AttemptProgress:
-    """One attempt: whether its target has begun it, and how far it has got."""
+    """Whether an attempt has begun, and how long its answer has arrived."""
 
     _clock: Callable[[], float]
     has_begun: bool = attrs.field(default=False, init=False)
@@ -49,7 +49,7 @@
 
     @property
     def progress_seconds(self) -> float:
-        """Return the time since the first part of the answer arrived."""
+        """Return the seconds since the first part of the answer, or 0."""
         return (
             0
             if self._progress_since is None
@@ -67,18 +67,18 @@
 
 
 def _has_never_terminated(_incarnation: Incarnation) -> bool:
-    """Find no termination after the fact."""
+    """Treat no incarnation as terminated."""
     return False
 
 
 @attrs.define
 class RequestGuard:
-    """One node's part in detecting and holding such requests.
+    """Detects and holds, on one node, requests that crash their targets.
 
-    ``_is_expected`` tells whether a target's termination was planned or is no
-    surprise, ``_has_terminated`` whether an incarnation is known to have ended
-    since, and ``_publish`` sends updates to the other nodes. Requests are
-    identified by the digest that all their tries share.
+    ``_is_expected`` returns whether a target's termination was planned or
+    otherwise expected, ``_has_terminated`` whether an incarnation is known to
+    have terminated since, and ``_publish`` sends updates to the other nodes.
+    Requests are identified by the digest that all their retries share.
     """
 
     _is_expected: Callable[[Runner], bool]
@@ -111,8 +111,8 @@
     ) -> Collection[str]:
         """Return the instances that a request should avoid.
 
-        Raise ``QuarantinedRequestError`` if the request is held. The identity is computed
-        only if there is something to compare it with.
+        Raise ``QuarantinedRequestError`` if the request is held. The identity
+        is computed only if there are any cases.
         """
         if self.cases.is_empty:
             return ()
@@ -146,7 +146,7 @@
         identity: Callable[[], str],
         runner: Runner,
     ) -> Generator[None, None, None]:
-        """Count a suspect at an instance while the context lasts."""
+        """Count a suspected request at an instance while the context lasts."""
         verdict = Verdict.FREE
         if not self.cases.is_empty:
             verdict = self.cases.verdict(identity())
@@ -188,7 +188,11 @@
         return is_new
 
     def refresh(self, listed: Collection[Incarnation]) -> None:
-        """Drop incarnations that are gone, and publish recent updates again."""
+        """Drop old probe results, and publish recent updates again.
+
+        Terminations that have been confirmed since the connection broke are
+        recorded first.
+        """
         self.probe.prune(listed)
         for update in self._pending.pop_terminated(self._has_terminated):
             self._record_termination(update, 'seen here, confirmed later')
--- a/src/cranecart/quarantine/_identity.py
+++ b/src/cranecart/quarantine/_identity.py
@@ -1,4 +1,4 @@
-"""Identify the tries of one request; no I/O."""
+"""Identify the retries of one request; no I/O."""
 
 import hashlib
 
@@ -16,9 +16,9 @@
     target: str,
     body: bytes,
 ) -> str:
-    """Return what all tries of one caller at one request have in common.
+    """Return a digest that is equal for all retries of a caller's request.
 
-    Ids, deadlines, hints and resume positions differ between tries and are
+    Ids, deadlines, hints and resume positions differ between retries and are
     left out. The identity is a digest, so that no content of a caller is
     logged or sent to other nodes.
     """
--- a/src/cranecart/quarantine/_pending.py
+++ b/src/cranecart/quarantine/_pending.py
@@ -1,9 +1,9 @@
 """Requests with broken connections whose targets may have terminated.
 
-A proxy before a target may go on accepting connections after the target has
-terminated, and a target may hang for a moment before it does, so that its port
-shows nothing. The termination shows seconds later: another incarnation appears
-under its id, or its entry goes.
+A probe of the port may miss a termination: a proxy in front of the target may
+still accept connections, or the target may hang for a moment before it
+terminates. The list shows the termination seconds later: another incarnation
+appears under the id, or the entry is removed.
 """
 
 from collections.abc import Callable
@@ -14,10 +14,11 @@
 from cranecart.ports import Incarnation
 from cranecart.quarantine._cases import CaseUpdate, Termination
 
-# A termination breaks its connections within this time; a later break found
-# the target gone already and has no part in its termination.
+# A termination breaks all connections to the target within this time. A request
+# whose connection breaks later met a target that had already terminated, and
+# did not cause the termination.
 _SIMULTANEOUS_SECONDS = 0.1
-# An entry goes after three missed heartbeats, 1.2 s each on the specified
+# An entry is removed after three missed heartbeats, 1.2 s each on the specified
 # deployments, and is read within another second or two, also by nodes that
 # read the whole list again.
 _RETENTION_SECONDS = 8.0
@@ -37,7 +38,7 @@
     """The connections that broke at one incarnation.
 
     It was certainly alive at ``alive_at``, when an answer that had begun was
-    cut.
+    cut off.
     """
 
     first_at: float
@@ -78,7 +79,7 @@
             broken.alive_at = now
 
     def record_alive(self, incarnation: Incarnation) -> None:
-        """Record that an answer was cut that had been arriving for a while."""
+        """Record that an answer was cut off after arriving for a while."""
         now = self._clock()
         self._breaks.setdefault(incarnation, _Breaks(now)).alive_at = now
 
@@ -86,13 +87,16 @@
         self,
         has_terminated: Callable[[Incarnation], bool],
     ) -> list[CaseUpdate]:
-        """Return updates for the requests whose targets have terminated."""
+        """Return updates for requests whose targets have terminated.
+
+        These targets and expired entries are dropped.
+        """
         oldest = self._clock() - _RETENTION_SECONDS
-        found: list[CaseUpdate] = []
+        updates: list[CaseUpdate] = []
         for incarnation, broken in list(self._breaks.items()):
             if has_terminated(incarnation):
                 self._breaks.pop(incarnation)
-                found.extend(
+                updates.extend(
                     CaseUpdate(
                         entry.identity, (Termination(incarnation, entry.begun),)
                     )
@@ -100,4 +104,4 @@
                 )
             elif broken.first_at < oldest:
                 self._breaks.pop(incarnation)
-        return found
+        return updates
--- a/src/cranecart/quarantine/_probe.py
+++ b/src/cranecart/quarantine/_probe.py
@@ -11,18 +11,18 @@
 from cranecart.ports import Incarnation
 from cranecart.quarantine._runner import Runner
 
-# A live host answers within a few milliseconds on the deployments' links. No
-# answer is no evidence, and other requests wait for the result.
+# A live host answers within a few milliseconds on the deployments' links. A
+# missing answer proves nothing, and other requests wait for the result.
 _CONNECT_TIMEOUT_SECONDS = 0.08
-# How long an accepted connection counts: a reset of all connections breaks
-# dozens at the same moment.
+# How long the result is reused if the target has not terminated: a reset of all
+# connections breaks dozens at the same moment.
 _ALIVE_CACHE_SECONDS = 0.25
 # A termination is final; its result is not needed for longer than this.
 _TERMINATED_CACHE_SECONDS = 60.0
 
 
 async def connect_once(address: Address) -> None:
-    """Open a connection and close it; raise ``ConnectFailedError``."""
+    """Open and close a connection; raise ``ConnectFailedError`` on failure."""
     connection = await HttpConnection.open(address, _CONNECT_TIMEOUT_SECONDS)
     await connection.close()
 
@@ -32,8 +32,8 @@
     """Probes the port of an incarnation once for all broken connections.
 
     A refused connection proves that nothing listens there any more. An
-    accepted connection or a missing answer proves nothing, as connections are
-    reset and paths are cut while the target goes on.
+    accepted connection or a missing answer proves nothing, as connections may
+    be reset and network paths may fail while the target keeps running.
     """
 
     _connect: Callable[[Address], Awaitable[None]] = connect_once
@@ -47,7 +47,7 @@
     )
 
     async def has_terminated(self, runner: Runner) -> bool:
-        """Tell whether an incarnation has certainly terminated."""
+        """Return whether an incarnation has certainly terminated."""
         incarnation = runner.incarnation
         async with self._locks.setdefault(incarnation, curio.Lock()):
             has_terminated = self._cached(incarnation)
--- a/src/cranecart/quarantine/_rows.py
+++ b/src/cranecart/quarantine/_rows.py
@@ -1,4 +1,4 @@
-"""Stored rows by which held requests survive the restart of all nodes."""
+"""Table rows that preserve held requests over a restart of all nodes."""
 
 import time
 from collections.abc import Callable, Mapping, Sequence
@@ -15,10 +15,10 @@
 
 _PREFIX = f'{RECORDS_TABLE}/{RECORDS_PART}/held/'
 _UNREADABLE = UnreadableRowLog('held_row_unreadable')
-# The node that saw the deciding termination writes at once. If it fails, any
-# other node writes once the row would long have been read.
+# The node that detected the deciding termination writes the row at once. In
+# case it fails, other nodes write the row if they have not read it by then.
 _TAKEOVER_SECONDS = 2.0
-# A row that is missing later than this was deleted by an operator.
+# A row that is still missing after this time was deleted by an operator.
 _WRITE_WINDOW_SECONDS = 60.0
 # Far below the limit of 100 entries in a transaction; the rest waits for the
 # next round.
@@ -44,16 +44,16 @@
 ) -> dict[str, CaseUpdate | None]:
     """Return the held requests among changed rows, by identity.
 
-    A deleted row yields None; an unreadable row is left out.
+    A deleted row yields ``None``; an unreadable row is left out.
     """
-    found = {
+    updates = {
         key.removeprefix(_PREFIX): row if row is None else _read(row)
         for key, row in items.items()
         if key.startswith(_PREFIX)
     }
     return {
         identity: update
-        for identity, update in found.items()
+        for identity, update in updates.items()
         if update is not None or items[held_key(identity)] is None
     }
 
@@ -76,7 +76,8 @@
 class HeldRows:
     """Writes the rows of held requests, and follows their changes.
 
-    A request is held before its row is written, so that nothing waits for it.
+    A request is held before its row is written, so that nothing waits for the
+    table.
     """
 
     _node_id: str
@@ -93,7 +94,7 @@
 
     @property
     def has_pending_writes(self) -> bool:
-        """Tell whether there is something to write and no write in progress."""
+        """Return whether rows need writing and no write is in progress."""
         return not self._is_writing and any(self._pending())
 
     def apply(self, items: Mapping[str, Row | None], is_complete: bool) -> None:
@@ -117,8 +118,8 @@
     def restore(self, items: Mapping[str, Row]) -> None:
         """Apply the rows of a table that was restored from a copy.
 
-        Rows that the copy lacks were not deleted by anybody, and are written
-        again.
+        Rows that are missing from the copy were not deleted by an operator,
+        and are written again.
         """
         known = self._read | self._written
         missing = {
--- a/src/cranecart/quarantine/_runner.py
+++ b/src/cranecart/quarantine/_runner.py
@@ -13,20 +13,20 @@
 
     @property
     def id(self) -> str:
-        """Return the id by which routing knows the target."""
+        """Return the id by which routing identifies the target."""
 
     @property
     def incarnation(self) -> Incarnation:
-        """Return what distinguishes this incarnation from others."""
+        """Return the current incarnation of the target."""
 
     @property
     def address(self) -> Address:
-        """Return where the target listens."""
+        """Return the address on which the target listens."""
 
 
 @attrs.frozen
 class NamedRunner:
-    """A target whose incarnation is known by name and number."""
+    """A target given by its id, incarnation and address."""
 
     id: str
     incarnation: Incarnation
--- a/src/cranecart/signals.py
+++ b/src/cranecart/signals.py
@@ -1,4 +1,4 @@
-"""Handle the signals to stop and to reload the settings."""
+"""Handle the signals that stop a process or reload its settings."""
 
 import contextlib
 import signal
@@ -45,22 +45,22 @@
     """Handle the stop signals while the context lasts.
 
     With ``on_hang_up``, SIGHUP calls it instead of ending the process. The
-    interpreter's handler writes each signal to a socket, so the event loop
-    only reads from it.
+    interpreter's handler writes the number of each signal to a socket, so the
+    event loop only reads from it.
     """
     reader, writer = socket.socketpair()
     reader.setblocking(False)
     writer.setblocking(False)
-    taken = _STOP_SIGNALS if on_hang_up is None else _ALL_SIGNALS
-    earlier = signal.set_wakeup_fd(writer.fileno())
+    handled = _STOP_SIGNALS if on_hang_up is None else _ALL_SIGNALS
+    previous_fd = signal.set_wakeup_fd(writer.fileno())
     handlers = {
         number: signal.signal(number, lambda _number, _frame: None)
-        for number in taken
+        for number in handled
     }
     try:
         yield StopSignal(curio.io.Socket(reader), on_hang_up)
     finally:
-        _restore(handlers, earlier)
+        _restore(handlers, previous_fd)
         _close(reader, writer)
 
 
@@ -71,10 +71,10 @@
         raise error
 
 
-def _restore(handlers: Mapping[signal.Signals, Any], earlier: int) -> None:
+def _restore(handlers: Mapping[signal.Signals, Any], previous_fd: int) -> None:
     for number, handler in handlers.items():
         signal.signal(number, handler)
-    signal.set_wakeup_fd(earlier)
+    signal.set_wakeup_fd(previous_fd)
 
 
 def _close(*sockets: socket.socket) -> None:
