--- a/src/cranecart/claims/_claims.py
+++ b/src/cranecart/claims/_claims.py
@@ -65,8 +65,8 @@
     async def acquire(self, call: Call) -> AcquiredClaim | RecordedResponse:
         """Claim a call's key, or return the response to an earlier copy.
 
-        Raise ``ClaimStoreUnavailableError`` if no copy was claimed, so none can have
-        run; ``OutcomeUnknownError`` if an earlier copy may have run;
+        Raise ``ClaimStoreUnavailableError`` if no copy was claimed, so none can
+        have run; ``OutcomeUnknownError`` if an earlier copy may have run;
         ``ClaimUnreadableError`` if the claim cannot be read;
         ``IdempotencyKeyReusedError`` if the key belongs to another call.
         """
@@ -84,7 +84,10 @@
     async def complete(
         self, acquired: AcquiredClaim, response: Response
     ) -> None:
-        """Record the response, so that repeats of the call get it."""
+        """Record the response, so that repeats of the call get it.
+
+        A body over the maximum size is recorded as empty.
+        """
         claim = claim_from_row(acquired.row)
         body = response.body
         if len(body) > _MAX_RECORDED_BYTES:
@@ -175,35 +178,36 @@
 def _resolve_existing(
     existing: Row | None, new_claim: Claim
 ) -> AcquiredClaim | RecordedResponse | None:
-    """Return the outcome for a call whose insert failed, by the found row.
+    """Return the outcome for a call whose insert failed, by the stored row.
 
     ``None`` means that the claim may be attempted again.
     """
     if existing is None:
         return None
-    found = claim_from_row(existing)
-    if found.nonce == new_claim.nonce:
+    stored = claim_from_row(existing)
+    if stored.nonce == new_claim.nonce:
         return AcquiredClaim(existing)
-    if found.fingerprint != new_claim.fingerprint:
+    if stored.fingerprint != new_claim.fingerprint:
         raise IdempotencyKeyReusedError(
             'the idempotency key was already used for another call'
         )
-    match found.state:
+    match stored.state:
         case ClaimState.NOT_RUN:
             return None
         case ClaimState.DONE:
             return RecordedResponse(
                 Response(
-                    found.status,
+                    stored.status,
                     {
-                        'content-type': found.content_type,
+                        'content-type': stored.content_type,
                         'x-replayed': 'yes',
                     },
-                    found.body.encode(),
+                    stored.body.encode(),
                 ),
             )
         case ClaimState.CLAIMED:
             raise OutcomeUnknownError(
-                f'{found.node} accepted an earlier copy of this call',
+                f'{stored.node} accepted an earlier copy of this call; '
+                'its outcome is unknown',
                 retry_after=1,
             )
--- a/src/cranecart/claims/_sweeper.py
+++ b/src/cranecart/claims/_sweeper.py
@@ -24,8 +24,8 @@
 _INTERVAL_SECONDS = 5.0
 _BATCH_SIZE = 50
 _CURSOR_KEY = 'claim-swept'
-# Without a cursor nothing was swept yet, so the buckets of the last day before
-# the retention limit are swept.
+# Without a cursor nothing has been swept yet; sweeping then starts with the
+# buckets of the day before the retention limit.
 _MAX_LOOKBACK_BUCKETS = 1440
 
 
--- a/src/cranecart/limits/_admission.py
+++ b/src/cranecart/limits/_admission.py
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class Capacity:
-    """How many calls a node holds, and the usable part of it by priority."""
+    """How many calls a node admits at once, and what part by priority."""
 
     calls: int = 512
     fill: Mapping[Priority, float] = attrs.field(
@@ -31,7 +31,7 @@
 
 @attrs.define
 class Admission:
-    """Counts the calls in progress in one node; enforces limits and capacity.
+    """Counts the calls in progress on one node; enforces limits and capacity.
 
     Shares are rounded up, so that over all nodes an organisation has at most
     its limit of calls in progress plus one for each node.
@@ -72,7 +72,7 @@
             self._shares.call_ended(name)
 
     def allowance(self, organisation: OrganisationSpec) -> int:
-        """Return how many calls of an organisation this node admits."""
+        """Return how many calls of an organisation this node admits at once."""
         limit = organisation.limits.concurrent_requests
         return math.ceil(limit * self._shares.share(organisation.name, limit))
 
--- a/src/cranecart/limits/_rates.py
+++ b/src/cranecart/limits/_rates.py
@@ -1,4 +1,4 @@
-"""Limits on the tokens a second of each organisation, by node share."""
+"""Limit the tokens per second of each organisation, by this node's share."""
 
 from collections.abc import Callable
 
@@ -26,7 +26,7 @@
     _buckets: dict[str, _Bucket] = attrs.field(factory=dict, init=False)
 
     def take(self, organisation: OrganisationSpec, tokens: int) -> None:
-        """Take tokens; raise ``OverLimitError`` with the time to retry after.
+        """Take tokens; raise ``OverLimitError`` with the delay before a retry.
 
         A call for more than a burst is admitted once the bucket is full, and
         its excess leaves the bucket in debt.
--- a/src/cranecart/limits/_shares.py
+++ b/src/cranecart/limits/_shares.py
@@ -1,13 +1,13 @@
 """Divide organisations' limits between nodes by recent demand.
 
-A node's share of a limit is its part of the demand that all nodes publish, and
-an even part of what is not in demand. By demand alone a node that had just
-started got a sixteenth of a limit, and refused calls while four fifths of it
-were free. A share is lowered at once, but raised only after all other nodes
-have had time to lower theirs, or by the part that a node leaves when it shuts
-down in order, so that the shares of nodes that see each other add up to one at
-most. The demand of a failed node is kept for a while, so that a node that is
-cut off from the others keeps about its share.
+A node's share of a limit is its part of the demand that all nodes publish, plus
+an equal part of what is not in demand. When shares followed demand alone, a
+node that had just started got a sixteenth of a limit, and refused calls while
+four fifths of the limit were free. A share is lowered at once. It is raised
+only after all other nodes have had time to lower theirs, or by the part that a
+node frees when it shuts down cleanly, so that the shares of nodes that see each
+other add up to at most one. The demand of a failed node is kept for a while, so
+that a node that is cut off from the others keeps about its share.
 """
 
 from collections import Counter, deque
@@ -20,9 +20,9 @@
 RAISE_DELAY_SECONDS = 3.0
 DEMAND_RETENTION_SECONDS = 60.0
 _PEAK_SECONDS = 3.0
-# A node's own demand counts for its share only once the other nodes know it as
-# well, so that all compute with the same figures; otherwise the shares added
-# up to 1.9 while demand changed.
+# A node's own demand counts for its share only once the other nodes have
+# received it, so that all compute with the same figures; otherwise the shares
+# added up to 1.9 while demand changed.
 _PROPAGATION_SECONDS = 1.0
 # Minimum time between the kept samples of the node's own demand.
 _SAMPLE_INTERVAL_SECONDS = 0.05
@@ -118,7 +118,7 @@
                 self.record_demand(source, {})
 
     def remove_source(self, source: str) -> None:
-        """Drop the demand of a node that has shut down in order.
+        """Drop the demand of a node that has shut down cleanly.
 
         It admits no more calls and its clients move to other nodes, so that
         the others take over its share at once; no node has to lower its own
@@ -165,7 +165,7 @@
         return self._shares[organisation]
 
     def _published_demand(self) -> Demand:
-        """Return this node's demand as other nodes know it by now."""
+        """Return this node's demand as far as other nodes have received it."""
         now = self._clock()
         self.demand()
         first = self._samples[0]
--- a/src/cranecart/retries/_budget.py
+++ b/src/cranecart/retries/_budget.py
@@ -10,8 +10,8 @@
 class RetryBudget:
     """Each call deposits a tenth of a retry; each retry withdraws one.
 
-    The balance is bounded, so that a long quiet time does not pay for a retry
-    storm, and calls that are sent stay below 1.2 times the calls offered.
+    The balance is bounded, so that a long idle period does not permit a retry
+    storm, and the calls sent stay below 1.2 times the calls received.
     """
 
     _balance: float = _MAX_BALANCE
--- a/src/cranecart/retries/_window.py
+++ b/src/cranecart/retries/_window.py
@@ -1,4 +1,4 @@
-"""A retry budget that holds over all nodes together."""
+"""A retry budget that applies to all nodes together."""
 
 from collections import deque
 from collections.abc import Callable
@@ -22,8 +22,8 @@
     window_seconds: float
 
 
-# Leaves room for nodes that were restarted and have forgotten their retries,
-# and for nodes that learn of each other late.
+# Leaves room for nodes that have restarted and lost their counts, and for nodes
+# that detect each other late.
 _SAFETY_FACTOR = 0.6
 
 
@@ -48,12 +48,12 @@
     def withdraw(self, service: str) -> bool:
         """Withdraw one retry; return whether the budget allows it."""
         requests = self._recent(self._requests, service)
-        repeats = self._recent(self._retries, service)
+        retries = self._recent(self._retries, service)
         slack = self.limits.slack / max(self._count_nodes(), 1)
         allowed = _SAFETY_FACTOR * (slack + self.limits.ratio * len(requests))
-        if len(repeats) + 1 > allowed:
+        if len(retries) + 1 > allowed:
             return False
-        repeats.append(self._clock())
+        retries.append(self._clock())
         return True
 
     def _recent(
--- a/src/cranecart/throttling/_backoffs.py
+++ b/src/cranecart/throttling/_backoffs.py
@@ -22,7 +22,7 @@
     _until: dict[Incarnation, float] = attrs.field(factory=dict, init=False)
 
     def __len__(self) -> int:
-        """Return how many targets are backed off from."""
+        """Return the number of targets with a recorded back-off."""
         return len(self._until)
 
     def record(self, incarnation: Incarnation, seconds: float) -> None:
@@ -39,7 +39,7 @@
         )
 
     def remaining_seconds(self, incarnation: Incarnation) -> float:
-        """Return how much of a target's back-off remains, 0 if none."""
+        """Return the remaining seconds of a target's back-off, 0 if none."""
         until = self._until.get(incarnation)
         return 0 if until is None else max(0, until - self._clock())
 
--- a/src/cranecart/throttling/_bucket.py
+++ b/src/cranecart/throttling/_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket that is told the time by its caller."""
+"""A token bucket whose callers pass the current time."""
 
 import attrs
 
@@ -24,7 +24,7 @@
         self._tokens = min(self._tokens, burst)
 
     def has_tokens(self, count: int, now: float) -> bool:
-        """Tell whether the bucket holds a number of tokens."""
+        """Return whether the bucket contains at least ``count`` tokens."""
         self._refill(now)
         return self._tokens >= count
 
@@ -34,7 +34,7 @@
         self._tokens -= 1
 
     def seconds_to_token(self, now: float) -> float:
-        """Return the time until a token is available."""
+        """Return the seconds until a token is available."""
         self._refill(now)
         missing = max(0, 1 - self._tokens)
         return max(0, self.filled_at - now) + missing / self.per_second
--- a/src/cranecart/throttling/_limits.py
+++ b/src/cranecart/throttling/_limits.py
@@ -21,15 +21,16 @@
 # How long the limit of an unlisted incarnation is kept: its entry may be
 # missing from the store for some seconds only.
 _UNLISTED_SECONDS = 30.0
-# A limit that nobody repeats has ended without this node being told.
+# A limit that no response or other node repeats for this long has ended without
+# an announcement to this node.
 _LIMIT_EXPIRY_SECONDS = 10.0
 
 
 class LimitUpdate(msgspec.Struct, array_like=True, frozen=True):
-    """One node's knowledge of an incarnation's limit, in requests a second.
+    """One node's knowledge of an incarnation's limit, in requests per second.
 
-    No limit means that the incarnation announced one before and has dropped
-    it.
+    ``per_second`` is ``None`` if the incarnation announced a limit before and
+    has dropped it.
     """
 
     instance: str
@@ -43,7 +44,7 @@
         return Incarnation(self.instance, self.born)
 
     def supersedes(self, other: 'LimitUpdate') -> bool:
-        """Tell whether this update replaces the other.
+        """Return whether this update replaces the other.
 
         Of two updates with the same version the stricter one wins.
         """
@@ -56,8 +57,9 @@
 class KnownLimit:
     """The latest update of an incarnation; times on the registry's clock.
 
-    It ``is_own`` if a response to this node announced it, last at
-    ``confirmed_at``; other nodes reported it last at ``reported_at``.
+    ``is_own`` is true if a response to this node announced the limit.
+    ``confirmed_at`` is when a response last announced it, ``reported_at`` when
+    another node last reported it.
     """
 
     update: LimitUpdate
@@ -68,7 +70,7 @@
 
     @property
     def is_in_force(self) -> bool:
-        """Tell whether a limit is announced."""
+        """Return whether a limit is in force."""
         return self.update.per_second is not None
 
     @property
@@ -88,7 +90,7 @@
     _unreadable: set[Incarnation] = attrs.field(factory=set, init=False)
 
     def limit(self, incarnation: Incarnation) -> float | None:
-        """Return the limit of an incarnation, if it announces one."""
+        """Return the limit of an incarnation in requests per second, if any."""
         known = self._known.get(incarnation)
         return None if known is None else known.update.per_second
 
@@ -106,7 +108,7 @@
     ) -> LimitUpdate | None:
         """Apply a response's limit; return the update to publish, if any.
 
-        ``sent_at`` is when the request was sent that the response belongs to.
+        ``sent_at`` is when the request of this response was sent.
         """
         if facts.unreadable:
             self._log_unreadable(incarnation, facts.unreadable)
@@ -144,9 +146,10 @@
     ) -> list[LimitUpdate]:
         """Return the updates that this node has to publish again.
 
-        These are the limits of incarnations in ``sending_to`` and, of the
-        limits announced to this node itself, those that ended within
-        ``seconds`` or that no other node reported within them.
+        These are the limits in force of incarnations in ``sending_to``, and two
+        kinds of limits that were announced to this node itself: those in force
+        that no other node reported within ``seconds``, and those that ended
+        within ``seconds``.
         """
         oldest = self._clock() - seconds
         return [
--- a/src/cranecart/throttling/_shares.py
+++ b/src/cranecart/throttling/_shares.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-# The bound to keep: no window of this length contains more requests than the
+# The guaranteed bound: no window of this length contains more requests than the
 # limit allows in it plus the tolerance, whatever the number of nodes.
 _WINDOW_SECONDS = 4.0
 _WINDOW_TOLERANCE = 2
@@ -23,8 +23,8 @@
 _MIN_BURST = 2.0
 # The minimum share of each node that sends.
 _MIN_SHARE_PER_SECOND = 4.0
-# A target with a limit of zero still gets a request now and then, or no node
-# would learn when the limit ends.
+# A target with a limit of zero still receives an occasional request, as no node
+# would detect the end of the limit otherwise.
 _MIN_LIMIT_PER_SECOND = 0.1
 # Keeps rounding from exceeding a bound that is met exactly.
 _EPSILON = 1e-6
@@ -45,7 +45,7 @@
         """Return how many nodes may send at most."""
 
     def share(self, limit: float, nodes: int) -> Share:
-        """Return what each of a number of nodes may send."""
+        """Return the share of each node if this many nodes send."""
 
 
 class FewestNodes:
@@ -56,7 +56,7 @@
         return max(1, int(limit / _MIN_SHARE_PER_SECOND))
 
     def share(self, limit: float, nodes: int) -> Share:
-        """Return what each of a number of nodes may send.
+        """Return the share of each node if this many nodes send.
 
         In any window a bucket passes at most its burst plus the tokens that
         accrue in the window. Only whole requests count, so that a fraction of
--- a/src/cranecart/throttling/_throttle.py
+++ b/src/cranecart/throttling/_throttle.py
@@ -1,4 +1,4 @@
-"""Send targets no more requests than they announce to take.
+"""Send targets no more requests than they announce that they accept.
 
 Overloaded targets announce limits of a few requests a second for all nodes
 together, while each node may be asked for many times that. Others refuse
@@ -87,12 +87,12 @@
 
 @attrs.define
 class TargetThrottle:
-    """What may be sent to targets now, given what they have announced.
+    """Decides what this node may send to targets, by what they announced.
 
     ``_find_instance`` finds a listed instance by id, ``_publish`` sends limits
     to all other nodes. ``_mark_leaving`` is called with incarnations that
-    announce their leaving, and ``_is_leaving`` tells which did; the fleet
-    leaves those out of its lists itself.
+    announce their leaving, and ``_is_leaving`` returns whether one did; the
+    fleet omits those from its lists itself.
     """
 
     _count_sharing_nodes: CountSharingNodes = attrs.field(default=_count_one)
@@ -120,7 +120,7 @@
 
     @property
     def is_unrestricted(self) -> bool:
-        """Tell whether no target has announced a limit or a back-off."""
+        """Return whether no limit or back-off of any target is known."""
         return not self._allotments and not self._backoffs
 
     def record_response(
@@ -131,7 +131,7 @@
     ) -> None:
         """Apply what a target announces, and publish what is new.
 
-        ``sent_at`` is when the request was sent that the response belongs to.
+        ``sent_at`` is when the request of this response was sent.
         """
         if facts.backoff_seconds:
             self._backoffs.record(incarnation, facts.backoff_seconds)
@@ -151,10 +151,10 @@
                 self._apply(update)
 
     def accepts(self, incarnation: Incarnation, rank: int = 0) -> bool:
-        """Tell whether a target takes a request of this node now.
+        """Return whether a target accepts a request from this node now.
 
         Smaller ranks are more urgent. Leaving targets are not checked here, as
-        the fleet leaves them out.
+        the fleet omits them from its lists.
         """
         if self._backoffs and self._backoffs.remaining_seconds(incarnation):
             return False
@@ -169,7 +169,7 @@
         )
 
     def may_send(self, incarnation: Incarnation) -> bool:
-        """Tell whether a request may still be sent to its chosen target."""
+        """Return whether a request may still be sent to its chosen target."""
         return not (
             self._backoffs.remaining_seconds(incarnation)
             or self._is_leaving(incarnation)
@@ -182,7 +182,7 @@
             allotment.bucket.take(self._clock())
 
     def seconds_until_accepted(self, incarnation: Incarnation) -> float:
-        """Return after how long a target should take a request again."""
+        """Return the seconds until a target should accept a request again."""
         backoff = self._backoffs.remaining_seconds(incarnation)
         allotment = self._allotments.get(incarnation)
         if allotment is None:
@@ -203,7 +203,7 @@
     def record_rejection(
         self, incarnations: Iterable[Incarnation], rank: int
     ) -> None:
-        """Record that none of some targets accepted a request of a rank."""
+        """Record that none of these targets accepted a request of a rank."""
         self._rejections += 1
         now = self._clock()
         for incarnation in incarnations:
@@ -212,7 +212,7 @@
                 allotment.record_rejection(rank, now)
 
     def refresh(self, listed: Collection[Incarnation]) -> None:
-        """Check which targets this node may send to; publish limits again."""
+        """Drop expired limits, update shares, and publish limits again."""
         now = self._clock()
         self._backoffs.prune()
         for incarnation, allotment in self._allotments.items():
@@ -281,7 +281,7 @@
     def _check_sharing(
         self, incarnation: Incarnation, allotment: _Allotment, now: float
     ) -> None:
-        """Check whether this node still sends to a target."""
+        """Update the share of a target's limit if the last check is too old."""
         if now - allotment.checked_at < _SHARING_CHECK_SECONDS:
             return
         allotment.checked_at = now
