--- a/src/cranecart/demand/_demand.py
+++ b/src/cranecart/demand/_demand.py
@@ -64,8 +64,8 @@
 
     def mean_seconds(self, model: str) -> float:
         """Return the mean replica seconds per request of a model."""
-        known = self._models.get(model)
-        return _PRIOR_WORK_SECONDS if known is None else known.mean_work()
+        demand = self._models.get(model)
+        return _PRIOR_WORK_SECONDS if demand is None else demand.mean_work()
 
     def by_model(self) -> Mapping[str, float]:
         """Return the incoming replica seconds per second of each model.
--- a/src/cranecart/models/_routes.py
+++ b/src/cranecart/models/_routes.py
@@ -43,7 +43,7 @@
 
     @property
     def is_idempotent(self) -> bool:
-        """Tell whether a request may run more than once."""
+        """Return whether a request may run more than once."""
         return self.resumable if self.streaming else self.repeatable
 
 
@@ -81,8 +81,10 @@
     timing: EngineTiming = attrs.field(factory=EngineTiming)
 
     def model(self, name: str) -> EngineModel | None:
-        """Return a model by name."""
-        return next((one for one in self.models if one.name == name), None)
+        """Return a model by name, or ``None`` if it is not declared."""
+        return next(
+            (model for model in self.models if model.name == name), None
+        )
 
 
 @attrs.frozen
@@ -131,13 +133,13 @@
     limits: ClientLimits = attrs.field(factory=ClientLimits)
 
     def route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest matching path prefix."""
+        """Return the route with the longest matching path prefix, if any."""
         name = host.partition(':')[0].lower()
         end = path.rfind('/')
         while end >= 0:
-            found = self._routes_by_host_and_prefix.get((name, path[: end + 1]))
-            if found is not None:
-                return found
+            route = self._routes_by_host_and_prefix.get((name, path[: end + 1]))
+            if route is not None:
+                return route
             end = path.rfind('/', 0, end)
         return None
 
@@ -147,7 +149,7 @@
         return None if profile is None else profile.engine
 
     def holder(self, key: str) -> KeyHolder | None:
-        """Return the organisation to which a key belongs."""
+        """Return the organisation to which a key belongs, if any."""
         return self._holders_by_digest.get(hash_key(key))
 
     @functools.cached_property
--- a/src/cranecart/models/_timing.py
+++ b/src/cranecart/models/_timing.py
@@ -28,7 +28,7 @@
     def pass_seconds(
         self, decoding_requests: float, context_tokens: float = 0
     ) -> float:
-        """Return the duration of a pass that decodes this many requests."""
+        """Return the seconds of a pass that decodes this many requests."""
         step = (
             self.step_seconds
             + self.request_seconds * decoding_requests
@@ -37,7 +37,7 @@
         return self.steps_a_pass * step
 
     def prompt_seconds(self, prompt_tokens: float) -> float:
-        """Return the prefill time, in which the engine decodes nothing."""
+        """Return the prefill seconds, in which the engine decodes nothing."""
         pairs = prompt_tokens * prompt_tokens / 2
         return prompt_tokens / self.prompt_rate + self.pair_seconds * pairs
 
@@ -47,7 +47,7 @@
         prompt_tokens: float,
         slots: int,
     ) -> float:
-        """Return the engine time that one request takes under full load.
+        """Return the engine seconds that one request takes under full load.
 
         With all slots decoding, each takes an equal part of a pass, but all
         slots wait for one request's prefill.
--- a/src/cranecart/operators/_admin.py
+++ b/src/cranecart/operators/_admin.py
@@ -51,7 +51,7 @@
 
 @attrs.frozen
 class ApplyMessage:
-    """A request to accept a change."""
+    """A request to apply a change."""
 
     base_version: int
     change_id: str
@@ -117,9 +117,9 @@
                 return await self._declarations(request)
         if method == 'GET' and path.startswith(f'{_CHANGES}/'):
             change_id = path.removeprefix(f'{_CHANGES}/')
-            found = await self._history.find(change_id)
-            if found is not None:
-                return json_response(_OK, found)
+            change = await self._history.find(change_id)
+            if change is not None:
+                return json_response(_OK, change)
             return _error_response(
                 _NOT_FOUND, f'no change {change_id} was accepted'
             )
--- a/src/cranecart/ports/_calls.py
+++ b/src/cranecart/ports/_calls.py
@@ -42,10 +42,10 @@
 
     ``not_run`` is true only if the target itself reports it;
     ``failed_instance`` names the instance without which it could not work.
-    ``limit`` is how many requests a second it accepts from all nodes together,
-    ``backoff_seconds`` how long this node should send none, and ``is_leaving``
-    tells that it is shutting down. ``unreadable`` holds the values among these
-    that could not be parsed.
+    ``limit`` is how many requests per second it accepts from all nodes
+    together, ``backoff_seconds`` how long this node should send none, and
+    ``is_leaving`` whether it is shutting down. ``unreadable`` contains those of
+    these values that could not be parsed.
     """
 
     request_id: str
@@ -62,7 +62,7 @@
     """Translates calls between clients, nodes and targets."""
 
     def read_request(self, request: Request) -> RequestInfo:
-        """Parse a client's request; raise ``InvalidRequestError``."""
+        """Parse a request; raise ``InvalidRequestError`` if it is malformed."""
 
     def request_for(self, request: Request, dispatch: Dispatch) -> Request:
         """Return the request in the form that targets expect."""
--- a/src/cranecart/ports/_listed.py
+++ b/src/cranecart/ports/_listed.py
@@ -31,7 +31,7 @@
     phase: MemberPhase
 
     def belongs_to(self, replica: str, epoch: int) -> bool:
-        """Tell whether this is a membership in this epoch of a replica."""
+        """Return whether this is a membership in this epoch of a replica."""
         return self.replica == replica and self.epoch == epoch
 
 
@@ -48,7 +48,7 @@
     born: int = 0
 
     def differs_from(self, incarnation: 'Incarnation') -> bool:
-        """Tell whether two incarnations are known to be different."""
+        """Return whether two incarnations are known to be different."""
         return (
             bool(self.born and incarnation.born)
             and self.born != incarnation.born
@@ -59,9 +59,9 @@
 class ListedInstance:
     """What the platform lists about one incarnation of an instance.
 
-    ``loaded`` names the models in accelerator memory, where that of the last
-    membership stays. ``staged`` names those cached in host memory, which load
-    faster.
+    ``loaded`` names the models in accelerator memory; that of the last
+    membership stays loaded. ``staged`` names those cached in host memory, which
+    load faster.
     """
 
     id: str
@@ -82,11 +82,11 @@
         return Incarnation(self.id, self.born)
 
     def phase_in(self, replica: str, epoch: int) -> MemberPhase | None:
-        """Return its phase as a member of a replica, or ``None``."""
-        found = self.membership
-        if found is None or not found.belongs_to(replica, epoch):
+        """Return its phase in a replica, or ``None`` if it is not a member."""
+        membership = self.membership
+        if membership is None or not membership.belongs_to(replica, epoch):
             return None
-        return found.phase
+        return membership.phase
 
 
 @attrs.frozen
--- a/src/cranecart/ports/_table.py
+++ b/src/cranecart/ports/_table.py
@@ -10,8 +10,8 @@
 class Row:
     """One row; ``version`` changes with every write, 0 means no row.
 
-    The table has other writers: a value may hold any text, and is empty if the
-    stored value is not text.
+    The table has other writers: a value may contain any text, and is empty if
+    the stored value is not text.
     """
 
     key: str
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class Transaction:
-    """Writes that are applied atomically if every check holds."""
+    """Writes that are applied atomically if every check succeeds."""
 
     checks: tuple[Check, ...] = ()
     puts: tuple[Put, ...] = ()
@@ -66,7 +66,6 @@
     async def commit(self, transaction: Transaction) -> int:
         """Write a transaction; return the version of the written rows.
 
-        Raise ``WriteConflictError`` if a check does not hold, or is of an
-        earlier era, and ``WriteUnknownError`` if the outcome is
-        unknown.
+        Raise ``WriteConflictError`` if a check fails or is of an earlier era,
+        and ``WriteUnknownError`` if the outcome is unknown.
         """
