--- a/src/cranecart/limits/_admission.py
+++ b/src/cranecart/limits/_admission.py
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class Capacity:
-    """How many calls a node admits at once, and what part by priority."""
+    """How many calls a node admits at once, and the fraction per priority."""
 
     calls: int = 512
     fill: Mapping[Priority, float] = attrs.field(
--- a/src/cranecart/quarantine/_guard.py
+++ b/src/cranecart/quarantine/_guard.py
@@ -41,7 +41,7 @@
 
 @attrs.define
 class AttemptProgress:
-    """Whether an attempt has begun, and how long its answer has arrived."""
+    """Whether an attempt has begun, and when its answer began to arrive."""
 
     _clock: Callable[[], float]
     has_begun: bool = attrs.field(default=False, init=False)
