--- a/tests/lib/__init__.py
+++ b/tests/lib/__init__.py
@@ -1,1 +1,1 @@
-"""What several tests share."""
+"""Simulations, fakes and helpers that several tests share."""
--- a/tests/lib/crash_simulation.py
+++ b/tests/lib/crash_simulation.py
@@ -1,10 +1,10 @@
 """A simulation of terminating targets, with or without a culprit request.
 
 It counts the requests that are held although they are not the culprit. Requests
-wait at a target, begin, run, and move when it terminates. All nodes know all
-evidence at once, which is the worst case for requests that are at a terminating
-target by chance. A simulated day lasts a minute. To simulate many days, run:
-python -m tests.lib.crash_simulation DAYS
+wait at a target, begin, run, and move when it terminates. All evidence reaches
+all nodes at once, which is the worst case for requests that are at a
+terminating target by chance. A simulated day lasts a minute. To simulate many
+days, run: python -m tests.lib.crash_simulation DAYS
 """
 
 import heapq
@@ -28,7 +28,7 @@
 _REQUESTS_PER_SECOND = 2.0
 _RESTART_SECONDS = 3.0
 _STARTUP_SECONDS = 0.25
-# From the begin of the culprit at a target to its crash.
+# Time from the start of the culprit at a target to the crash of the target.
 _CRASH_DELAY_SECONDS = 0.08
 _CULPRIT_INTERVAL_SECONDS = 0.3
 
@@ -39,7 +39,7 @@
 
 @attrs.define(eq=False)
 class Request:
-    """One request on its way; times in seconds of the day."""
+    """A simulated request; times are in seconds from the start of the day."""
 
     name: str
     is_culprit: bool = False
@@ -243,12 +243,14 @@
             ).run()
             for seed in range(days)
         ]
-        terminations = [one.culprit_terminations for one in simulations]
+        terminations = [
+            simulation.culprit_terminations for simulation in simulations
+        ]
         sys.stdout.write(
             f'{replicas} replicas, culprit {has_culprit}, terminations '
             f'reported late {reported_late}: wrongly held '
-            f'{sum(one.wrongly_held for one in simulations)} of '
-            f'{sum(one.requests for one in simulations)} requests '
+            f'{sum(simulation.wrongly_held for simulation in simulations)} of '
+            f'{sum(simulation.requests for simulation in simulations)} requests '
             f'in {days} days; '
             f'terminations by the culprit: median '
             f'{statistics.median(terminations)}, most {max(terminations)}\n',
--- a/tests/lib/crashing_targets.py
+++ b/tests/lib/crashing_targets.py
@@ -1,4 +1,4 @@
-"""Targets that crash when they begin a marked request, before several nodes."""
+"""Targets of several nodes that crash when they begin a marked request."""
 
 import functools
 import itertools
@@ -35,8 +35,9 @@
 class CrashingTarget(FakeTarget):
     """A target that crashes when it begins a marked request, and restarts.
 
-    One that is ``mute`` terminates before a byte of an answer; before one that
-    ``keeps_port`` a proxy goes on accepting connections, and closes them.
+    A ``mute`` one terminates before it has sent a byte of its answer. In front
+    of one that ``keeps_port``, a proxy goes on accepting connections and closes
+    them.
     """
 
     def __init__(
@@ -61,7 +62,7 @@
 
     @property
     def address(self) -> Address:
-        """Return where it listens, also while it is down."""
+        """Return the address it listens on, also while it is down."""
         if self.is_down:
             return Address('127.0.0.1', self._port)
         return super().address
@@ -161,10 +162,11 @@
 
 
 class Deployment:
-    """Several nodes before the same targets, in one event loop.
+    """Several nodes with the same targets, in one event loop.
 
-    Crashed targets restart under another id if they are ``renamed``, else with
-    a later birth. ``kind`` holds further arguments of ``CrashingTarget``.
+    Crashed targets restart under another id if they are ``renamed``, else under
+    the same id with a later birth. ``kind`` holds further arguments of
+    ``CrashingTarget``.
     """
 
     def __init__(
@@ -193,7 +195,7 @@
         self.nodes = [self.new_node(number) for number in range(nodes)]
 
     def new_node(self, seed: int = 1) -> GatewayTestbed:
-        """Create a node that knows the current targets."""
+        """Create a node whose instance list has the current targets."""
         node = GatewayTestbed(
             service=self._service,
             other_targets={target.name: target for target in self.targets},
@@ -237,7 +239,11 @@
             self._list(node, target)
 
     def marked_after(self, terminations: int, seconds: float) -> int:
-        """Count marked requests a time after a number of terminations."""
+        """Count marked requests that arrived well after a termination.
+
+        Returns the number of those that arrived more than ``seconds`` after the
+        termination with the number ``terminations``, or 0 if there were fewer.
+        """
         if len(self.terminations) < terminations:
             return 0
         since = self.terminations[terminations - 1] + seconds
@@ -247,7 +253,11 @@
         )
 
     def in_flight(self, terminations: int) -> int:
-        """Count marked requests at targets at the last of some terminations."""
+        """Count marked requests that were in flight at a termination.
+
+        Returns their number at the termination with the number
+        ``terminations``, or 0 if there were fewer.
+        """
         if len(self.terminations) < terminations:
             return 0
         terminated_at = self.terminations[terminations - 1]
@@ -278,12 +288,12 @@
             born=target.incarnations,
         )
         earlier = [
-            known
-            for known in node.fleet.instances
-            if known.partition('-')[0] == target.name
+            listed_id
+            for listed_id in node.fleet.instances
+            if listed_id.partition('-')[0] == target.name
         ]
-        gone = dict.fromkeys(earlier)
-        node.fleet.apply_instances({**gone, name: restarted}, False)
+        removed = dict.fromkeys(earlier)
+        node.fleet.apply_instances({**removed, name: restarted}, False)
         record = ReplicaRecord(
             replica,
             1,
@@ -326,7 +336,7 @@
     body: bytes,
     request_id: str,
 ) -> ClientAnswer | None:
-    """Send a request, and return None if the connection is closed."""
+    """Send a request; return None if the connection is closed."""
     try:
         return await node.ask(path, body=body, request_id=request_id)
     except HttpError:
--- a/tests/lib/fake_engines.py
+++ b/tests/lib/fake_engines.py
@@ -87,7 +87,9 @@
         """Make an instance a member, ready at once."""
         self._receive(instance, 'join')
         if epoch < self._last_epochs.get(instance.id, 0):
-            raise OrderFencedError('lower epoch than before')
+            raise OrderFencedError(
+                f'epoch {epoch} is lower than that of an earlier order'
+            )
         self._check_not_serving_elsewhere(instance.id, replica)
         self._last_epochs[instance.id] = epoch
         self._members[replica, epoch] = tuple(members)
@@ -210,7 +212,7 @@
             if name in members and replica_epoch[0] != replica
         ]
         self.violations.extend(
-            f'{name} joined {replica}, had {replica_epoch[0]}'
+            f'{name} joined {replica} while {replica_epoch[0]} may serve'
             for replica_epoch in memberships
             if self._may_serve(replica_epoch)
         )
--- a/tests/lib/fake_targets.py
+++ b/tests/lib/fake_targets.py
@@ -155,7 +155,7 @@
             return False
         head = events[0]
         assert isinstance(head, h11.Request)
-        chunks = [one.data for one in events if isinstance(one, h11.Data)]
+        chunks = [event.data for event in events if isinstance(event, h11.Data)]
         exchange = Exchange(
             sock,
             head.method.decode(),
@@ -204,7 +204,7 @@
 class ClientAnswer:
     """The response that a client received.
 
-    ``is_complete`` tells whether it was received to its end.
+    ``is_complete`` is whether it was received to its end.
     """
 
     status: int
@@ -305,7 +305,9 @@
             )
             for name in instances
         )
-        self.fleet.apply_records({one.key: one for one in records}, True)
+        self.fleet.apply_records(
+            {record.key: record for record in records}, True
+        )
         source = random.Random(seed)
         # Instances that were reported as broken to all nodes.
         self.reported_broken: list[str] = []
@@ -324,7 +326,7 @@
             report_broken=lambda incarnation: self.reported_broken.append(
                 incarnation.id
             ),
-            throttle=self._gate(),
+            throttle=self._make_throttle(),
         )
         self.connections = TargetConnectionPool()
         # Called with updates on requests that crash targets.
@@ -332,7 +334,7 @@
             _publish_to_nobody
         )
         self.guard = RequestGuard(
-            lambda one: one.id not in self.fleet.instances,
+            lambda runner: runner.id not in self.fleet.instances,
             lambda cases: self.publish_cases(cases),
             has_terminated=self._has_ended,
         )
@@ -364,7 +366,8 @@
         """Run the targets and the gateway while a scenario runs."""
         self.server.open()
         tasks = [
-            await curio.spawn(one.run) for one in self._all_targets.values()
+            await curio.spawn(target.run)
+            for target in self._all_targets.values()
         ]
         tasks.append(await curio.spawn(self.server.run))
         try:
@@ -393,13 +396,15 @@
     def make_unreachable(self, name: str) -> None:
         """Change a target's listed address to one where nothing listens."""
         listed = self.fleet.instances[name]
-        gone = attrs.evolve(listed, address=Address(listed.address.host, 1))
-        self.fleet.apply_instances({name: gone}, False)
+        unreachable = attrs.evolve(
+            listed, address=Address(listed.address.host, 1)
+        )
+        self.fleet.apply_instances({name: unreachable}, False)
 
-    def _gate(self) -> TargetThrottle:
+    def _make_throttle(self) -> TargetThrottle:
         return TargetThrottle(
-            lambda domain, name, most: self.sharing_node_count(
-                domain, name, most
+            lambda domain, name, max_nodes: self.sharing_node_count(
+                domain, name, max_nodes
             ),
             self.fleet.find_instance,
             lambda limits: self.publish_limits(limits),
@@ -468,10 +473,10 @@
     )
 
 
-def _publish_to_nobody(_news: object) -> None:
+def _publish_to_nobody(_update: object) -> None:
     """Do nothing, as there are no other nodes."""
 
 
-def _share_with_nobody(_domain: str, _name: str, _most: int) -> int:
+def _share_with_nobody(_domain: str, _name: str, _max_nodes: int) -> int:
     """Return one node, as there are no others."""
     return 1
--- a/tests/lib/limit_simulation.py
+++ b/tests/lib/limit_simulation.py
@@ -1,8 +1,8 @@
-"""Many nodes before one target with a limit, in simulated time.
+"""Many nodes that share one target with a limit, in simulated time.
 
-The throttles are the real ones. Membership is seen late, updates may be lost,
-and requests arrive later than they were sent. For a table of the ways to
-divide a limit, run: python -m tests.lib.limit_simulation
+The throttles are the real ones. Nodes learn of membership changes late, updates
+may be lost, and requests arrive some time after they were sent. For a table of
+the rules that divide a limit, run: python -m tests.lib.limit_simulation
 """
 
 import functools
@@ -85,7 +85,7 @@
     lag: float
     is_alive: bool = True
     is_isolated: bool = False
-    # When it got the first response with a limit.
+    # Time of its first response with a limit, in simulated seconds.
     informed_at: float | None = None
 
 
@@ -205,7 +205,7 @@
         visible = {name}
         if not node.is_isolated:
             visible |= self._members_at(self.now - node.lag) - self.invisible
-        local = {one for one in visible if not self.nodes[one].domain}
+        local = {peer for peer in visible if not self.nodes[peer].domain}
         chosen = top_ranked_names(local or {name}, _INCARNATION.id, max_nodes)
         return len(chosen) if name in chosen else 0
 
@@ -246,16 +246,16 @@
 
     def _receive(self, node: Node, sent_at: float) -> None:
         self.arrivals.append((self.now, node.name))
-        facts = ResponseInfo('r', True, False, limit=self.limit)
+        info = ResponseInfo('r', True, False, limit=self.limit)
         self._schedule(
             self._random.expovariate(1 / _ANSWER_SECONDS),
-            functools.partial(self._respond, node, facts, sent_at),
+            functools.partial(self._respond, node, info, sent_at),
         )
 
-    def _respond(self, node: Node, facts: ResponseInfo, sent_at: float) -> None:
-        if facts.limit is not None and node.informed_at is None:
+    def _respond(self, node: Node, info: ResponseInfo, sent_at: float) -> None:
+        if info.limit is not None and node.informed_at is None:
             node.informed_at = self.now
-        node.throttle.record_response(_INCARNATION, facts, sent_at)
+        node.throttle.record_response(_INCARNATION, info, sent_at)
 
     def _interval(self) -> float:
         return self._random.expovariate(self.per_second)
@@ -266,7 +266,7 @@
 
 
 def _main() -> None:
-    """Print what each way lets through, and the required bound."""
+    """Print the requests that each rule allows, and the required bound."""
     share_rules: tuple[ShareRule, ...] = (
         DividedByAllNodes(),
         SingleNode(),
--- a/tests/lib/placement_simulation.py
+++ b/tests/lib/placement_simulation.py
@@ -178,7 +178,7 @@
         self._free[instance.id] = instance
 
     def _stage_second_models(self) -> None:
-        """Stage the other model on all members, as loads are quick then."""
+        """Stage the other model on all members, which makes its loads quick."""
         names = [model.name for model in self._layout.models]
         for replica in self.replicas.values():
             other = next(name for name in names if name != replica.model)
@@ -290,8 +290,8 @@
                 if member.fabric_domain in own_fabrics:
                     yield ServingMember(member, name, replica.model)
 
-    def _apply(self, found: Plan) -> None:
-        for name in found.preempted:
+    def _apply(self, new_plan: Plan) -> None:
+        for name in new_plan.preempted:
             closed = self.replicas.pop(name)
             record = ReplicaRecord(
                 name,
@@ -308,9 +308,9 @@
                     closed.members, self.now + DRAIN_SECONDS, record
                 ),
             )
-        for new in found.replicas:
+        for new in new_plan.replicas:
             self._form(new)
-        self._start_stagings(found.stagings)
+        self._start_stagings(new_plan.stagings)
 
     def _form(self, new: NewReplica) -> None:
         if new.cold_members and self.now:
--- a/tests/lib/simulated_cluster.py
+++ b/tests/lib/simulated_cluster.py
@@ -27,7 +27,8 @@
 
 BEAT_SECONDS = 0.25
 _DOMAIN_COUNT = 3
-# Messages that cause each other for ever fail a test instead of hanging it.
+# A test fails after this many deliveries, as messages that trigger each other
+# endlessly would make it hang.
 _MAX_DELIVERIES = 20000
 
 
@@ -81,7 +82,7 @@
 
     @classmethod
     def of(cls, count: int) -> 'SimulatedCluster':
-        """Start ``count`` nodes, each knowing all others from the store."""
+        """Start ``count`` nodes, each with all others as listed peers."""
         cluster = cls()
         for number in range(count):
             cluster.start(f'node-{number:03}')
@@ -99,8 +100,8 @@
         self.dead.discard(name)
         self.nodes[name] = SimulatedNode.in_cluster(self, name)
         peers = {
-            one: PeerNode(node.state.local.address, node.domain)
-            for one, node in self.nodes.items()
+            peer_name: PeerNode(node.state.local.address, node.domain)
+            for peer_name, node in self.nodes.items()
         }
         for node in self.alive:
             node.mesh.update_peers(peers, True)
@@ -132,7 +133,9 @@
             sender, address, encoded = self._in_transit.pop(0)
             if address not in self.dead and self._can_reach(sender, address):
                 self.nodes[address].receive(encoded)
-        raise AssertionError('nodes keep sending messages to each other')
+        raise AssertionError(
+            f'messages are still in transit after {_MAX_DELIVERIES} deliveries'
+        )
 
     def stop_replica(self, sender: str, name: str) -> None:
         """Make a node announce that a replica has stopped."""
@@ -183,7 +186,7 @@
             lambda message: stopped.add(message.replica),
             _ignore_suspect,
             lambda message: any(
-                [cases.merge(one, is_own=False) for one in message.cases],
+                [cases.merge(update, is_own=False) for update in message.cases],
             ),
             lambda update: versions.append(update.version),
             _ignore,
--- a/tests/lib/store_testbed.py
+++ b/tests/lib/store_testbed.py
@@ -252,21 +252,21 @@
         node = TestbedNode.create(self, name)
         self.nodes[name] = node
         peers = {
-            one.name: PeerNode(
-                one.mesh.local.address,
-                one.mesh.local.failure_domain,
+            running_node.name: PeerNode(
+                running_node.mesh.local.address,
+                running_node.mesh.local.failure_domain,
             )
-            for one in self.nodes.values()
+            for running_node in self.nodes.values()
         }
-        for name_of, peer in peers.items():
+        for peer_name, peer in peers.items():
             self.store.put(
                 RECORDS_TABLE,
                 RECORDS_PART,
-                f'node/{name_of}',
+                f'node/{peer_name}',
                 msgspec.to_builtins(peer),
             )
-        for one in self.nodes.values():
-            one.mesh.update_peers(peers, False)
+        for running_node in self.nodes.values():
+            running_node.mesh.update_peers(peers, False)
         self._tasks[name] = await curio.spawn(node.run)
         return node
 
@@ -288,7 +288,7 @@
         )
 
     def reader(self) -> str:
-        """Return the node that reads the instance list for all nodes."""
+        """Return the name of the node that reads the instance list for all."""
         return min(
             name
             for name, node in self.nodes.items()
@@ -296,7 +296,7 @@
         )
 
     def all_know_peer(self, name: str) -> bool:
-        """Return whether all nodes know a peer from its row."""
+        """Return whether all nodes have read the row of a peer."""
         return all(
             name in node.mesh.state.roster.peers for node in self.nodes.values()
         )
@@ -306,7 +306,7 @@
         return all(node.version == version for node in self.nodes.values())
 
     def all_have_attempts(self, attempts: int) -> bool:
-        """Return whether all routes at all nodes allow so many attempts."""
+        """Return whether all routes at all nodes allow this many attempts."""
         configs = [node.config.current() for node in self.nodes.values()]
         return all(
             config is not None
@@ -317,15 +317,15 @@
     def none_uses(self, name: str) -> bool:
         """Return whether no node would send requests to an instance."""
         return not any(
-            one.id == name
+            instance.id == name
             for node in self.nodes.values()
-            for one in node.fleet.available(SERVICE)
+            for instance in node.fleet.available(SERVICE)
         )
 
     def all_use(self, name: str) -> bool:
         """Return whether every node would send requests to an instance."""
         return all(
-            name in {one.id for one in node.fleet.available(SERVICE)}
+            name in {instance.id for instance in node.fleet.available(SERVICE)}
             for node in self.nodes.values()
         )
 
--- a/tests/lib/throttling_targets.py
+++ b/tests/lib/throttling_targets.py
@@ -1,4 +1,4 @@
-"""Targets that announce limits and back-offs, before several nodes."""
+"""Targets of several nodes that announce limits and back-offs."""
 
 import functools
 import itertools
@@ -27,7 +27,7 @@
 _EVENT_SECONDS = 0.01
 _OK = 200
 _CHECK_SECONDS = 0.01
-# Half of what routes allow: shorter pauses never ended a request.
+# Half of the silence that routes allow: no shorter pause ended a request.
 _PAUSE_SECONDS = 1.0
 _TIMEOUT_MARKERS = (
     b'"timeout_passed"',
@@ -62,7 +62,7 @@
 
 
 class ThrottlingDeployment:
-    """Nodes before the same targets, in one event loop."""
+    """Nodes with the same targets, in one event loop."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
     ) -> None:
         """Create everything; nothing runs until ``run``."""
         self.arrivals: list[Arrival] = []
-        # The longest time that this process stood still, in seconds.
+        # The longest time for which this process did not run, in seconds.
         self.longest_pause = float(0)
         self.service = service
         self._announce = announce
@@ -124,21 +124,21 @@
             await curio.sleep(max(0, due - time.monotonic()))
             tasks.append(await curio.spawn(self._ask, node, number))
         answers = [await task.join() for task in tasks]
-        return [one for one in answers if one is not None]
+        return [answer for answer in answers if answer is not None]
 
     def not_served(self, answers: Sequence[ClientAnswer]) -> list[ClientAnswer]:
         """Return the failed answers, except those that a pause explains.
 
-        On an overloaded machine this whole process may stand still for
-        seconds, so that the requests in flight time out.
+        On an overloaded machine this whole process may not run for seconds, so
+        that the requests in flight time out.
         """
-        failed = [one for one in answers if one.status != _OK]
+        failed = [answer for answer in answers if answer.status != _OK]
         if self.longest_pause < _PAUSE_SECONDS:
             return failed
         return [
-            one
-            for one in failed
-            if not any(code in one.body for code in _TIMEOUT_MARKERS)
+            answer
+            for answer in failed
+            if not any(code in answer.body for code in _TIMEOUT_MARKERS)
         ]
 
     def max_within(
@@ -147,13 +147,13 @@
         targets: Sequence[str],
         since: float,
     ) -> int:
-        """Return the most arrivals at one target in any window of a length."""
+        """Return the most arrivals at one target within any ``seconds``."""
         return max(
             max_in_window(
                 [
-                    one.at
-                    for one in self.arrivals
-                    if one.target == target and one.at >= since
+                    arrival.at
+                    for arrival in self.arrivals
+                    if arrival.target == target and arrival.at >= since
                 ],
                 seconds,
             )
@@ -185,19 +185,20 @@
         Requests count from a number of seconds after the first such response.
         """
         first: dict[tuple[str, int], float] = {}
-        for one in self.arrivals:
-            if one.announcement.lines:
-                first.setdefault((one.target, one.node), one.at)
+        for arrival in self.arrivals:
+            if arrival.announcement.lines:
+                first.setdefault((arrival.target, arrival.node), arrival.at)
         return sum(
-            one.at > first.get((one.target, one.node), one.at) + seconds
-            for one in self.arrivals
+            arrival.at
+            > first.get((arrival.target, arrival.node), arrival.at) + seconds
+            for arrival in self.arrivals
         )
 
     def count(self, target: str, since: float, until: float) -> int:
         """Return the arrivals at a target in a period."""
         return sum(
-            one.target == target and since <= one.at < until
-            for one in self.arrivals
+            arrival.target == target and since <= arrival.at < until
+            for arrival in self.arrivals
         )
 
     def _new_node(self, number: int) -> GatewayTestbed:
@@ -219,7 +220,11 @@
         name: str,
         max_nodes: int,
     ) -> int:
-        """Rank nodes by the numbers of node and target, as the mesh would."""
+        """Return how many nodes share a target, or 0 if this one does not.
+
+        Instead of the hash of the mesh, the number of the node and the name of
+        the target determine the rank of the node.
+        """
         count = len(self.nodes)
         position = (number - zlib.crc32(name.encode())) % count
         return min(max_nodes, count) if position < max_nodes else 0
--- a/tests/lib/time_windows.py
+++ b/tests/lib/time_windows.py
@@ -4,7 +4,7 @@
 
 
 def max_in_window(times: Sequence[float], seconds: float) -> int:
-    """Return the maximum number of the sorted times in any window."""
+    """Return the maximum number of the sorted times within any ``seconds``."""
     start = 0
     max_count = 0
     for end, event_time in enumerate(times):
--- a/tests/lib/waiting.py
+++ b/tests/lib/waiting.py
@@ -12,6 +12,6 @@
     while not condition():
         if time.monotonic() > deadline:
             raise AssertionError(
-                'the condition did not hold before the timeout'
+                f'the condition did not hold within {seconds} s'
             )
         await curio.sleep(0.01)
