--- a/tests/functional/test_at_most_once.py
+++ b/tests/functional/test_at_most_once.py
@@ -38,7 +38,10 @@
         )
 
     def test_concurrent_duplicates_at_two_nodes(self) -> None:
-        """20 calls, each sent twice to both nodes, while the store is slow."""
+        """Each of 20 calls, sent twice to both nodes, runs once.
+
+        The store is slow meanwhile.
+        """
         self.cluster.control.set_platform_faults(delay_ms=30)
         calls = [self._call() for _ in range(20)]
         outcomes = self._send([*calls, *calls], _NODES)
@@ -60,7 +63,7 @@
         self._assert_run_count([call], 1)
 
     def test_lost_responses_of_the_store(self) -> None:
-        """The claim was written, though the response to the write was lost."""
+        """A call runs once if the response to writing its claim is lost."""
         self.cluster.control.set_platform_faults(
             lose_answers=4,
             lose_prefix='claim/',
--- a/tests/functional/test_configuration.py
+++ b/tests/functional/test_configuration.py
@@ -45,7 +45,7 @@
         self.declared = compile_folder(Path(EXAMPLES / 'katyuszerviz'))
 
     def test_concurrent_changes_with_lost_responses(self) -> None:
-        """The history is linear and agrees with what each operator was told."""
+        """The history is linear and matches the responses to operators."""
         accepted: list[Change] = []
         conflicts: list[str] = []
         for number in range(_ROUNDS):
@@ -61,7 +61,7 @@
         self.assertEqual(versions, list(range(1, len(history) + 1)))
         notes = [change.note for change in history]
         self.assertEqual(len(set(notes)), len(notes))
-        self.assertLessEqual({one.note for one in accepted}, set(notes))
+        self.assertLessEqual({change.note for change in accepted}, set(notes))
         self.assertFalse(set(conflicts) & set(notes))
         self.assertGreaterEqual(len(accepted), 1)
 
--- a/tests/functional/test_end_to_end.py
+++ b/tests/functional/test_end_to_end.py
@@ -101,7 +101,7 @@
                 self.assertEqual(response.status, 400)
 
     def test_same_key_runs_once(self) -> None:
-        """Concurrent duplicates of a non-repeatable call at two nodes."""
+        """Of concurrent duplicates of a call at two nodes only one runs."""
         call = LoadCall(
             key='same-key',
             api_key=_KEY,
@@ -118,8 +118,8 @@
             {OutcomeKind.ANSWERED, OutcomeKind.UNKNOWN},
         )
         events = read_record(self.cluster.record)
-        runs = [one for one in events if one.get('key') == 'same-key']
-        self.assertEqual(sum(one['event'] == 'start' for one in runs), 1)
+        runs = [event for event in events if event.get('key') == 'same-key']
+        self.assertEqual(sum(event['event'] == 'start' for event in runs), 1)
 
     def test_conflicting_changes(self) -> None:
         """The second of two operators gets a conflict."""
--- a/tests/functional/test_limits.py
+++ b/tests/functional/test_limits.py
@@ -42,9 +42,11 @@
             for outcome in outcomes
             if outcome.kind is OutcomeKind.NOT_RUN
         ]
-        self.assertEqual({one.code for one in refused}, {'over_limit'})
-        self.assertTrue(all(one.retry_after for one in refused))
-        self.assertLess(max(one.ended - one.started for one in refused), 1.4)
+        self.assertEqual({outcome.code for outcome in refused}, {'over_limit'})
+        self.assertTrue(all(outcome.retry_after for outcome in refused))
+        self.assertLess(
+            max(outcome.ended - outcome.started for outcome in refused), 1.4
+        )
 
     async def _send_all(self) -> list[Outcome]:
         entries = itertools.cycle(self.cluster.endpoints.values())
--- a/tests/functional/test_membership.py
+++ b/tests/functional/test_membership.py
@@ -15,7 +15,7 @@
     cluster: LocalCluster
 
     def setUp(self) -> None:
-        """Start four nodes and wait until each knows all others."""
+        """Start four nodes and wait until each lists all others."""
         self.cluster = start_cluster(
             self,
             nodes=4,
@@ -65,7 +65,7 @@
             lambda: all(
                 self._nodes_known_by(name) == names for name in observers
             ),
-            f'all know {sorted(names)}',
+            f'the nodes {observers} list exactly {sorted(names)}',
         )
 
     def _nodes_known_by(self, name: str) -> set[str]:
--- a/tests/functional/test_node_start.py
+++ b/tests/functional/test_node_start.py
@@ -140,7 +140,9 @@
             return await HttpConnection.open(address)
         except HttpError:
             await curio.sleep(0.005)
-    raise AssertionError('no listener at the client address before the timeout')
+    raise AssertionError(
+        f'nothing listened at {address} within {_TIMEOUT_SECONDS} s'
+    )
 
 
 def _request() -> Request:
@@ -209,7 +211,7 @@
         target = FakeTarget(_TARGET, _answer)
         serving = await curio.spawn(target.run)
         task, platform = await start(_add_config_and_target(store, target))
-        nodes = [self._start(platform, f'n{one}') for one in range(count)]
+        nodes = [self._start(platform, f'n{number}') for number in range(count)]
         clients = [
             await curio.spawn(_connect_and_request, node) for node in nodes
         ]
--- a/tests/functional/test_partitions.py
+++ b/tests/functional/test_partitions.py
@@ -93,14 +93,20 @@
         # While its domain's replica is down the node has no target: its state
         # of other domains is outdated. It must refuse with a retry time.
         refused = [
-            one for one in outcomes if one.kind is not OutcomeKind.ANSWERED
+            outcome
+            for outcome in outcomes
+            if outcome.kind is not OutcomeKind.ANSWERED
         ]
         isolated_node = str(self.cluster.endpoints['node0'].clients)
-        self.assertLessEqual({one.node for one in refused}, {isolated_node})
-        self.assertLessEqual({one.code for one in refused}, {'no_replica'})
-        self.assertTrue(all(one.retry_after for one in refused))
+        self.assertLessEqual(
+            {outcome.node for outcome in refused}, {isolated_node}
+        )
+        self.assertLessEqual(
+            {outcome.code for outcome in refused}, {'no_replica'}
+        )
+        self.assertTrue(all(outcome.retry_after for outcome in refused))
         self._assert_invariants(
-            [one for one in outcomes if one not in refused],
+            [outcome for outcome in outcomes if outcome not in refused],
         )
         wait_until(
             self._nodes_know_each_other, 'the nodes know each other again'
@@ -136,7 +142,7 @@
         self.assertEqual(set(kinds), {OutcomeKind.ANSWERED}, kinds)
         self.assertEqual(Summary.from_outcomes(outcomes, events).violations, 0)
         self.assertEqual(shared_instances(events), set())
-        durations = [one.seconds_missing for one in partial_starts(events)]
+        durations = [start.seconds_missing for start in partial_starts(events)]
         self.assertLess(max(durations, default=0), _DETECTION_SECONDS)
 
     def _nodes_know_each_other(self) -> bool:
--- a/tests/functional/test_planned_shutdown.py
+++ b/tests/functional/test_planned_shutdown.py
@@ -149,7 +149,8 @@
         self.assertEqual(summary.violations, 0)
         self.assertEqual(aborted_starts(events), [])
         delays = [
-            one.seconds_since_leaving for one in starts_while_leaving(events)
+            start.seconds_since_leaving
+            for start in starts_while_leaving(events)
         ]
         self.assertLess(max(delays, default=0), _NOTICE_SECONDS)
 
--- a/tests/functional/test_replicas.py
+++ b/tests/functional/test_replicas.py
@@ -162,9 +162,9 @@
         self.assertEqual(summary.violations, 0, summary)
         self.assertEqual(shared_instances(events), set())
         late_starts = [
-            one.seconds_missing
-            for one in partial_starts(events)
-            if one.seconds_missing > _DETECTION_SECONDS
+            start.seconds_missing
+            for start in partial_starts(events)
+            if start.seconds_missing > _DETECTION_SECONDS
         ]
         self.assertEqual(late_starts, [])
 
--- a/tests/functional/test_retry_storm.py
+++ b/tests/functional/test_retry_storm.py
@@ -62,12 +62,14 @@
         sent = sum(event['event'] in {'start', 'dropped'} for event in events)
         self.assertLess(sent, 1.2 * len(outcomes))
         self.assertEqual(Summary.from_outcomes(outcomes, events).violations, 0)
-        answered = sum(one.kind is OutcomeKind.ANSWERED for one in outcomes)
+        answered = sum(
+            outcome.kind is OutcomeKind.ANSWERED for outcome in outcomes
+        )
         self.assertGreater(answered, 0.8 * len(outcomes))
         later_kinds = [
-            one.kind
-            for one in outcomes
-            if one.started > recovered_at + _RECOVERED_SECONDS
+            outcome.kind
+            for outcome in outcomes
+            if outcome.started > recovered_at + _RECOVERED_SECONDS
         ]
         self.assertGreater(len(later_kinds), 0)
         self.assertEqual(set(later_kinds), {OutcomeKind.ANSWERED})
--- a/tests/functional/test_swapped_responses.py
+++ b/tests/functional/test_swapped_responses.py
@@ -50,7 +50,9 @@
         )
         self.assertEqual(summary.wrong, 0)
         failure_kinds = {
-            one.kind for one in outcomes if one.kind is not OutcomeKind.ANSWERED
+            outcome.kind
+            for outcome in outcomes
+            if outcome.kind is not OutcomeKind.ANSWERED
         }
         # If the retry budget is exhausted, the outcome is reported as unknown.
         self.assertLessEqual(failure_kinds, {OutcomeKind.UNKNOWN})
--- a/tests/platform/_standin.py
+++ b/tests/platform/_standin.py
@@ -45,12 +45,12 @@
 class StandinStore:
     """A store with rows, transactions and a feed, and a queue of faults.
 
-    While ``feeds_are_stalled``, feeds wait and see no changes. A request that
-    arrives while ``is_unresponsive`` is never answered, so that its connection
-    stays dead even afterwards. A fault applies to one
-    call: a status to answer with, ``'lost'`` for a commit that is executed but
-    not answered, or ``'silent'`` for a call that is not answered. ``orders``
-    holds the orders to the engine that it also stands in for.
+    While ``feeds_are_stalled``, feeds wait and return no changes. A request
+    that arrives while ``is_unresponsive`` is never answered, so that its
+    connection stays dead even afterwards. A fault applies to one call: a status
+    to answer with, ``'lost'`` for a commit that is executed but not answered,
+    or ``'silent'`` for a call that is not answered. ``orders`` holds the orders
+    to the engine that it also stands in for.
     """
 
     rows: dict[RowKey, tuple[int, str]] = attrs.field(factory=dict)
--- a/tests/platform/test_call_headers.py
+++ b/tests/platform/test_call_headers.py
@@ -47,19 +47,19 @@
 
     def test_fields_of_a_request(self) -> None:
         """All fields are read and converted to internal units."""
-        facts = _CALL_TRANSLATOR.read_request(_request())
-        self.assertEqual(facts.request_id, 'r1')
-        self.assertEqual(facts.key, 'key')
-        self.assertEqual(facts.deadline_seconds, 8)
-        self.assertEqual((facts.prompt_tokens, facts.max_tokens), (1460, 80))
-        self.assertEqual(facts.resume_after, '3')
+        info = _CALL_TRANSLATOR.read_request(_request())
+        self.assertEqual(info.request_id, 'r1')
+        self.assertEqual(info.key, 'key')
+        self.assertEqual(info.deadline_seconds, 8)
+        self.assertEqual((info.prompt_tokens, info.max_tokens), (1460, 80))
+        self.assertEqual(info.resume_after, '3')
 
     def test_huge_token_counts_are_ignored(self) -> None:
         """Token counts too long to parse are read as 0."""
         for usage in (f'{"9" * 5000},7', f'{"9" * 400},7'):
             request = Request('POST', '/x', {'token-usage': usage})
-            facts = PlatformCallTranslator().read_request(request)
-            self.assertEqual((facts.prompt_tokens, facts.max_tokens), (0, 7))
+            info = PlatformCallTranslator().read_request(request)
+            self.assertEqual((info.prompt_tokens, info.max_tokens), (0, 7))
 
     def test_malformed_deadline_is_rejected(self) -> None:
         """An unreadable deadline is the client's error."""
@@ -126,9 +126,9 @@
     def test_not_run(self) -> None:
         """Only not-executed or a 421 mean that the request was not run."""
         refused = ResponseHead(503, {'not-executed': '1', 'at-server': 'i-2'})
-        facts = _CALL_TRANSLATOR.read_response(refused)
-        self.assertTrue(facts.not_run)
-        self.assertEqual(facts.failed_instance, 'i-2')
+        info = _CALL_TRANSLATOR.read_response(refused)
+        self.assertTrue(info.not_run)
+        self.assertEqual(info.failed_instance, 'i-2')
         self.assertTrue(
             _CALL_TRANSLATOR.read_response(ResponseHead(421)).not_run
         )
@@ -145,10 +145,10 @@
             ('0', 0),
             ('999999999', 1e6),
         ):
-            facts = _CALL_TRANSLATOR.read_response(
+            info = _CALL_TRANSLATOR.read_response(
                 ResponseHead(200, {_LIMIT: text})
             )
-            self.assertEqual((facts.limit, facts.unreadable), (limit, ()))
+            self.assertEqual((info.limit, info.unreadable), (limit, ()))
         self.assertIsNone(
             _CALL_TRANSLATOR.read_response(ResponseHead(200)).limit
         )
@@ -167,57 +167,57 @@
             '9' * 5000,
             'Wed, 21 Oct 2026 07:28:00 GMT',
         ):
-            facts = _CALL_TRANSLATOR.read_response(
+            info = _CALL_TRANSLATOR.read_response(
                 ResponseHead(200, {_LIMIT: text})
             )
-            self.assertIsNone(facts.limit, text)
-            self.assertEqual(len(facts.unreadable), 1)
-            self.assertLess(len(facts.unreadable[0]), 100)
+            self.assertIsNone(info.limit, text)
+            self.assertEqual(len(info.unreadable), 1)
+            self.assertLess(len(info.unreadable[0]), 100)
 
     def test_repeated_limits(self) -> None:
         """Two limits in one answer are ambiguous and ignored."""
         lines = ((_LIMIT, '2'), (_LIMIT, '3'))
-        facts = _CALL_TRANSLATOR.read_response(
+        info = _CALL_TRANSLATOR.read_response(
             ResponseHead(200, dict(lines), lines)
         )
-        self.assertIsNone(facts.limit)
-        self.assertEqual(facts.unreadable, (f'{_LIMIT}: 2, 3',))
+        self.assertIsNone(info.limit)
+        self.assertEqual(info.unreadable, (f'{_LIMIT}: 2, 3',))
 
     def test_backoff(self) -> None:
         """A back-off only counts with a 503; a huge one is capped."""
         for text, seconds in (('3', 3), ('0.5', 0.5), ('99999999', 3600)):
-            facts = _CALL_TRANSLATOR.read_response(
+            info = _CALL_TRANSLATOR.read_response(
                 ResponseHead(503, {_RETRY_AFTER: text})
             )
-            self.assertEqual(facts.backoff_seconds, seconds)
+            self.assertEqual(info.backoff_seconds, seconds)
         for status in (200, 429):
-            facts = _CALL_TRANSLATOR.read_response(
+            info = _CALL_TRANSLATOR.read_response(
                 ResponseHead(status, {_RETRY_AFTER: '3'})
             )
-            self.assertIsNone(facts.backoff_seconds)
+            self.assertIsNone(info.backoff_seconds)
         for text in ('-1', 'nan', 'Wed, 21 Oct 2026 07:28:00 GMT', '9' * 5000):
-            facts = _CALL_TRANSLATOR.read_response(
+            info = _CALL_TRANSLATOR.read_response(
                 ResponseHead(503, {_RETRY_AFTER: text})
             )
-            self.assertIsNone(facts.backoff_seconds)
-            self.assertEqual(len(facts.unreadable), 1)
+            self.assertIsNone(info.backoff_seconds)
+            self.assertEqual(len(info.unreadable), 1)
 
     def test_leaving(self) -> None:
         """Only the value 1 announces leaving, with any status."""
         for status in (200, 500, 503):
-            facts = _CALL_TRANSLATOR.read_response(
+            info = _CALL_TRANSLATOR.read_response(
                 ResponseHead(status, {_LEAVING: '1'})
             )
-            self.assertTrue(facts.is_leaving)
+            self.assertTrue(info.is_leaving)
         for text in ('0', '', 'true'):
-            facts = _CALL_TRANSLATOR.read_response(
+            info = _CALL_TRANSLATOR.read_response(
                 ResponseHead(200, {_LEAVING: text})
             )
-            self.assertFalse(facts.is_leaving)
-            self.assertEqual(len(facts.unreadable), 1)
+            self.assertFalse(info.is_leaving)
+            self.assertEqual(len(info.unreadable), 1)
 
     def test_refusal(self) -> None:
-        """An error answer says when to retry."""
+        """An error answer contains the retry time and the request id."""
         error_response = _CALL_TRANSLATOR.error_response(
             'r1', 503, 'no_replica', 'none', 0.25
         )
--- a/tests/platform/test_malformed_rows.py
+++ b/tests/platform/test_malformed_rows.py
@@ -179,7 +179,7 @@
         self.assertIsNotNone(decoded['placement/all/replica/east/r-1'])
 
     def test_record_under_another_key(self) -> None:
-        """It would stand for a replica that could never be removed."""
+        """It is rejected, as its replica could never be removed."""
         valid = ReplicaRecord('r-1', 1, 's', 'm', 'east', 'e-0', ('i1',))
         row = Row('placement/all/replica/east/r-2', 3, valid.encoded())
         self.assertIsNone(record_from_row(row))
@@ -202,7 +202,7 @@
 
     @given(_ROW_VALUES)
     def test_lease_row(self, value: bytes) -> None:
-        """A malformed lease is waited for like that of another holder."""
+        """A malformed lease is treated like a lease of another holder."""
         client = FixedRowsClient({'east': value})
         lease = Lease('all/east', 'n', PlatformTable(client))
         with self.assertRaises(PlatformError):
@@ -210,13 +210,13 @@
         self.assertEqual(lease.holder, '?')
 
     def test_fencing_rises_after_an_overwritten_lease(self) -> None:
-        """The number still rises after a malformed value was written."""
+        """The fencing token still rises after a malformed value was written."""
         fencing_numbers = curio.run(_take_over_overwritten_lease)
         self.assertGreater(fencing_numbers[1], fencing_numbers[0])
 
 
 async def _wait_for_lease(lease: Lease, client: FixedRowsClient) -> None:
-    """Try to take a lease; raise ``AssertionError`` if it is not waited for."""
+    """Try to take a lease; raise ``AssertionError`` if it is taken at once."""
     await lease.acquire_or_renew()
     if lease.is_held:
         raise AssertionError(
@@ -248,7 +248,7 @@
 
     @given(_ROW_VALUES)
     def test_arbitrary_bytes(self, value: bytes) -> None:
-        """They raise ``PlatformUnavailableError`` or are a configuration."""
+        """They are a configuration or raise ``PlatformUnavailableError``."""
         source = PlatformConfigSource(FixedRowsClient({'config': value}))
         try:
             curio.run(source.snapshot)
--- a/tests/platform/test_numeric_fields.py
+++ b/tests/platform/test_numeric_fields.py
@@ -196,7 +196,7 @@
 
     @given(path=st.sampled_from(list(_field_paths(dict(_CONFIG)))))
     def test_null_equals_missing(self, path: Path) -> None:
-        """What is null is read like what is not there."""
+        """A field that is null is read like a missing one."""
         missing = _read_config(_with_value(_CONFIG, path, _MISSING))
         null = _read_config(_with_value(_CONFIG, path, None))
         self.assertEqual(missing, null)
@@ -289,7 +289,7 @@
         self.assertFalse(route.is_idempotent)
 
     def _check(self, config: RouteConfig) -> None:
-        self.assertEqual([one.name for one in config.routes], ['r1', 'r2'])
+        self.assertEqual([route.name for route in config.routes], ['r1', 'r2'])
         self.assertEqual(set(config.services), {'s1', 's2'})
         engine = config.engine('s1')
         assert engine is not None
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -71,7 +71,7 @@
         self.assertIsInstance(self._join(), OrderUnknownError)
 
     def test_refused_connection(self) -> None:
-        """A refused connection is told apart from a missing answer.
+        """A refused connection is distinguished from a missing answer.
 
         The instance may have crashed, or may be finishing its requests.
         """
@@ -79,7 +79,7 @@
         self.assertIsInstance(error, TargetNotListeningError)
 
     def test_late_answer_confirms_no_leave(self) -> None:
-        """A late answer to another order is not taken for that to a leave.
+        """A late answer to another order does not confirm a leave.
 
         Otherwise the instance would join another replica too early.
         """
--- a/tests/platform/test_reads_after_restore.py
+++ b/tests/platform/test_reads_after_restore.py
@@ -25,10 +25,14 @@
 
 
 class ReadsAfterRestoreTest(unittest.TestCase):
-    """One node reads and shares what it has read."""
+    """One node reads the rows and shares them with other nodes."""
 
     def test_nine_nodes_read_a_forgotten_history(self) -> None:
-        """Each of nine nodes read all tables completely, 2 s after a change."""
+        """One node per failure domain reads, and changes arrive in time.
+
+        Without sharing, each of nine nodes read all tables completely, 2 s
+        after a change.
+        """
         run_scenario(9, _INSTANCES, _SETTLE_SECONDS, self._lose_history)
 
     def test_nine_nodes_read_a_restored_store(self) -> None:
@@ -70,7 +74,7 @@
         await curio.sleep(4)
         self._check_reads(testbed, _READS_AFTER_RESTORE)
 
-    def _check_reads(self, testbed: StoreTestbed, most: int) -> None:
+    def _check_reads(self, testbed: StoreTestbed, max_reads: int) -> None:
         reads = {
             table: testbed.store.calls['/rows-get', table] for table in _TABLES
         }
@@ -78,4 +82,4 @@
         configs = testbed.store.calls['/rows-get', 'op']
         self.assertLessEqual(configs, len(testbed.nodes))
         for count in reads.values():
-            self.assertLessEqual(count, most * _DOMAINS, reads)
+            self.assertLessEqual(count, max_reads * _DOMAINS, reads)
--- a/tests/platform/test_restored_store.py
+++ b/tests/platform/test_restored_store.py
@@ -1,6 +1,6 @@
 """A store that is restored from a backup issues versions again.
 
-Nodes that compare only the store's own versions take new rows for old ones.
+Nodes that compare only the store's own versions mistake new rows for old ones.
 """
 
 import time
--- a/tests/platform/test_row_versions.py
+++ b/tests/platform/test_row_versions.py
@@ -63,11 +63,11 @@
         self._run(self._feed)
 
     def test_check_of_an_earlier_era_fails(self) -> None:
-        """Another row may have the same number since."""
+        """The commit conflicts, as the number may have been issued again."""
         self._run(self._commit_with_old_check)
 
     def test_commit_during_a_restore_is_unknown(self) -> None:
-        """Its checks were compared with other rows than those read."""
+        """Its checks were compared with restored rows, not with those read."""
         self._run(self._commit_during_restore)
 
     def test_pages_of_two_eras_are_rejected(self) -> None:
@@ -75,7 +75,7 @@
         self._run(self._read_during_restore)
 
     def test_late_answer_is_rejected(self) -> None:
-        """An answer from an earlier era arrives after one of a later era."""
+        """An answer of an earlier era is an error after one of a later era."""
         self._run(self._read_late_answer)
 
     def _run(
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -129,9 +129,11 @@
         """An entry is read as an instance, even beside a malformed one."""
         self.store.put('servers', '', 'i1', dict(_ENTRY))
         self.store.put('servers', '', 'i2', {'service': 3})
-        found = self._run(lambda client: PlatformTargetList(client).snapshot())
-        self.assertEqual(list(found.items), ['i1'])
-        instance = found.items['i1']
+        snapshot = self._run(
+            lambda client: PlatformTargetList(client).snapshot()
+        )
+        self.assertEqual(list(snapshot.items), ['i1'])
+        instance = snapshot.items['i1']
         self.assertTrue(instance.leaving)
         self.assertEqual(instance.fabric_domain, 'east-d0')
         self.assertIs(instance.phase_in('g', 7), MemberPhase.OPEN)
@@ -142,27 +144,27 @@
         self.store.put('servers', '', 'i1', dict(_ENTRY))
         since = self.store.version
         self.store.drop('servers', '', 'i1')
-        found = self._run(
+        changes = self._run(
             lambda client: PlatformTargetList(client).changes(since, 1)
         )
-        self.assertEqual(found.items, {'i1': None})
+        self.assertEqual(changes.items, {'i1': None})
 
     def test_own_rows(self) -> None:
         """Committed rows are read again under the same keys."""
         put = Transaction((), (Put('t/p/k', 'v'),))
         self._commit(put)
-        found = self._run(
+        snapshot = self._run(
             lambda client: PlatformRowSource(client, 't', ('p',)).snapshot(),
         )
-        self.assertEqual(found.items['t/p/k'].value, 'v')
+        self.assertEqual(snapshot.items['t/p/k'].value, 'v')
 
     def test_configuration(self) -> None:
         """Routes, keys and limits are decoded and converted."""
         self.store.put('op', '', 'config', dict(_CONFIG))
-        found = self._run(
+        snapshot = self._run(
             lambda client: PlatformConfigSource(client).snapshot()
         )
-        config = found.items['config']
+        config = snapshot.items['config']
         route = config.route('A.example:80', '/x/z')
         assert route is not None
         self.assertEqual(route.name, 'r1')
@@ -239,7 +241,7 @@
     """An answer of the store that belongs to an earlier request."""
 
     def test_commit_answer_taken_for_empty_part(self) -> None:
-        """An empty part would delete everything that is known of it."""
+        """It raises an error, as an empty part would delete all its rows."""
         with self.assertRaises(PlatformUnavailableError):
             curio.run(_read_after_late_answer, b'{"schemaVersion":9,"nowMs":1}')
 
@@ -253,7 +255,7 @@
 
 
 async def _read_after_late_answer(late_answer: bytes) -> None:
-    """Read a part on a connection where the answer is another one."""
+    """Read a part on a connection that returns the answer to another call."""
     listener = curio.io.Socket(socket.create_server(('127.0.0.1', 0)))
     store = StoreClient(Address(*listener.getsockname()[:2]))
     serving = await curio.spawn(_send_late_answer, listener, late_answer)
--- a/tests/platform/test_unresponsive_connections.py
+++ b/tests/platform/test_unresponsive_connections.py
@@ -42,10 +42,10 @@
 
 
 class UnresponsiveStore(StandinStore):
-    """Stops answering on its existing connections when told to."""
+    """A store that a test can make stop answering on existing connections."""
 
     def __init__(self) -> None:
-        """Answer all requests until told otherwise."""
+        """Answer all requests until ``stop_answering`` is called."""
         super().__init__()
         self.connections: WeakSet[h11.Connection] = WeakSet()
         self.dead_connections: WeakSet[h11.Connection] = WeakSet()
