--- a/tests/unit/__init__.py
+++ b/tests/unit/__init__.py
@@ -1,1 +1,1 @@
-"""Tests that start no process and open no socket."""
+"""Tests in a single process; their sockets are on the loopback interface."""
--- a/tests/unit/test_allocation.py
+++ b/tests/unit/test_allocation.py
@@ -54,7 +54,7 @@
     """The value of numbers of replicas."""
 
     def test_marginal_value_decreases(self) -> None:
-        """Independently of the replicas of the other model."""
+        """Each further replica of a model adds less than the one before."""
         objective = _objective()
         scores = [
             objective.value({'large': count, 'small': 4}) for count in range(9)
@@ -63,7 +63,11 @@
         self.assertEqual(gains, sorted(gains, reverse=True))
 
     def test_shares_replace_unknown_demand(self) -> None:
-        """Two thirds of the instances for size four, a third for size two."""
+        """Without measured demand, the declared shares are used.
+
+        Two thirds of the instances for size four and a third for size two give
+        about as many replicas of both.
+        """
         objective = build_objective(_MODELS, {}, 48)
         self.assertAlmostEqual(
             objective.demand['large'] / objective.demand['small'],
@@ -81,12 +85,12 @@
         for _case in range(150):
             pool = _random_pool(source)
             replica_counts = {'large': source.randint(1, 6), 'small': 4.0}
-            found = best_allocation(pool, _objective(), replica_counts)
+            allocation = best_allocation(pool, _objective(), replica_counts)
             best = max(
                 best_allocation(narrowed, _objective(), replica_counts).value
                 for narrowed in _restrictions(pool)
             )
-            self.assertAlmostEqual(found.value, best)
+            self.assertAlmostEqual(allocation.value, best)
 
     def test_survivors_wait_for_a_small_replica_to_close(self) -> None:
         """Three of four survivors get a member from a plentiful small model."""
@@ -102,9 +106,13 @@
             (PreemptibleReplica('r', 'small', small),),
             drain_seconds=0.5,
         )
-        found = best_allocation(pool, _objective(), {'large': 4, 'small': 10})
-        self.assertEqual(found.preempted, ('r',))
-        self.assertEqual([replica.model for replica in found.formed], ['large'])
+        allocation = best_allocation(
+            pool, _objective(), {'large': 4, 'small': 10}
+        )
+        self.assertEqual(allocation.preempted, ('r',))
+        self.assertEqual(
+            [replica.model for replica in allocation.formed], ['large']
+        )
 
     def test_no_step_is_reverted(self) -> None:
         """A replica that was just formed is not preempted again."""
@@ -138,7 +146,7 @@
     """Unused instances of three failure domains, before the first request."""
 
     def test_placers_agree_on_one_allocation(self) -> None:
-        """Each placer plans the whole; its part fits those of the others."""
+        """Each placer plans for all instances; their parts fit together."""
         free = tuple(
             listed_instance(f'{fabric}-{number}', _ADDRESS, f'f{fabric}')
             for fabric, number in itertools.product(range(6), range(8))
@@ -160,7 +168,7 @@
     """A member fails for good every two seconds."""
 
     def test_the_large_model_keeps_its_replicas(self) -> None:
-        """Greedy allocation left it 2 to 4 of 6 replicas."""
+        """With greedy allocation it kept only 2 to 4 of 6 replicas."""
         for seed in range(12):
             deployment = _Deployment(random.Random(seed))
             for _death in range(16):
@@ -203,17 +211,17 @@
         self.free.extend(members)
 
     def place(self) -> None:
-        """Apply plans until they ask for nothing more.
+        """Apply six plans, one after the other.
 
         Preempted replicas end one after the other, with a plan in between.
         """
         for _turn in range(6):
             if self.closing:
                 self.free.extend(self.closing.pop(0))
-            found = plan(self._plan_input(), PreemptionScope.ANYWHERE)
-            for name in found.preempted:
+            new_plan = plan(self._plan_input(), PreemptionScope.ANYWHERE)
+            for name in new_plan.preempted:
                 self.closing.append(self.replicas.pop(name)[1])
-            for new in found.replicas:
+            for new in new_plan.replicas:
                 self._form(new)
 
     def _form(self, new: NewReplica) -> None:
--- a/tests/unit/test_announced_limits.py
+++ b/tests/unit/test_announced_limits.py
@@ -42,7 +42,7 @@
 
 
 class AnnouncedLimitTest(unittest.TestCase):
-    """Four nodes before ten targets, 120 requests a second."""
+    """Four nodes with ten targets at 120 requests per second."""
 
     answers: Sequence[ClientAnswer]
 
@@ -53,7 +53,7 @@
         self.assertEqual(deployment.not_served(self.answers), [])
 
     def test_some_plain_instances_are_limited(self) -> None:
-        """Plain services behave alike."""
+        """The same holds for instances of a plain service."""
         deployment = ThrottlingDeployment(4, 10, _limit_some, service=PLAIN)
         self._run(deployment, ('i0', 'i1', 'i2'))
         self.assertEqual(deployment.not_served(self.answers), [])
@@ -61,7 +61,7 @@
     def test_all_targets_are_limited(self) -> None:
         """Requests above the limits are refused and sent to no target."""
         deployment = ThrottlingDeployment(4, 10, _limit_all)
-        limited = [one.name for one in deployment.targets]
+        limited = [target.name for target in deployment.targets]
         self._run(deployment, limited)
         for target in limited:
             count = deployment.count(target, _MEASURED_FROM, _RUN_SECONDS)
@@ -70,8 +70,10 @@
                 count, _MIN_UTILISATION * _LIMIT * seconds - 1
             )
         refused = deployment.not_served(self.answers)
-        self.assertEqual({one.status for one in refused}, {503})
-        self.assertTrue(all('retry-after' in one.headers for one in refused))
+        self.assertEqual({answer.status for answer in refused}, {503})
+        self.assertTrue(
+            all('retry-after' in answer.headers for answer in refused)
+        )
 
     def _run(
         self,
--- a/tests/unit/test_broken_plain_instances.py
+++ b/tests/unit/test_broken_plain_instances.py
@@ -34,7 +34,7 @@
     """What a node does when a plain instance breaks a connection."""
 
     def test_a_broken_connection_ejects_at_once(self) -> None:
-        """At most one call fails, and the other nodes are told once."""
+        """At most one call fails, and the other nodes are informed once."""
         testbed = GatewayTestbed(_succeed, _break, service=PLAIN)
         curio.run(testbed.run, self._write)
         self.assertLessEqual(self.statuses.count(502), 1)
@@ -48,7 +48,7 @@
         self.assertEqual(set(self.statuses), {200})
 
     def test_an_ejected_instance_is_used_when_others_are_full(self) -> None:
-        """It is tried rather than refusing the call."""
+        """The call is sent to it instead of being refused."""
         testbed = GatewayTestbed(_succeed, _succeed, service=PLAIN)
         first, second = testbed.fleet.available(PLAIN)
         testbed.router.eject_reported(second.incarnation)
@@ -81,7 +81,7 @@
         self.assertFalse(ejection.is_ejected(Incarnation('a')))
 
     def test_reports_halve_failures_under_random_faults(self) -> None:
-        """With reports to all nodes, less than half of the calls fail."""
+        """With reports to all nodes, less than half as many calls fail."""
         unshared, at_once, shared = _plain.measure().values()
         self.assertLess(shared, unshared / 2)
         self.assertLess(shared, at_once / 2)
--- a/tests/unit/test_claims.py
+++ b/tests/unit/test_claims.py
@@ -36,7 +36,7 @@
         copies: list[bool],
         faults: list[str],
     ) -> None:
-        """Copies of a call at two nodes, with rejected and lost writes."""
+        """At most one copy is sent, despite refused and lost writes."""
         platform = FakePlatform(faults=iter(faults))
         nodes = [ClaimStore('one', platform), ClaimStore('two', platform)]  # type: ignore[arg-type]
         acquired_count = 0
--- a/tests/unit/test_cli.py
+++ b/tests/unit/test_cli.py
@@ -20,7 +20,7 @@
 
 
 def _run(*words: str) -> tuple[int, str, str]:
-    """Run a command; return its exit code and what it printed."""
+    """Run a command; return its exit code, output and error output."""
     out = io.StringIO()
     err = io.StringIO()
     with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
--- a/tests/unit/test_connection_limit.py
+++ b/tests/unit/test_connection_limit.py
@@ -1,8 +1,9 @@
 """A node that reports ready accepts new connections.
 
 At its connection limit a server closed each new connection without a response
-while the load balancer was told that it is ready, and out of file descriptors
-it left new ones waiting. Their requests were lost even under little load.
+while it reported to the load balancer that it was ready, and out of file
+descriptors it left new ones waiting. Their requests were lost even under little
+load.
 """
 
 import contextlib
@@ -57,11 +58,11 @@
 
     async def connect(self, count: int) -> list[HttpConnection]:
         """Open connections without sending a request."""
-        found = []
+        connections = []
         for _number in range(count):
-            found.append(await HttpConnection.open(self.server.address))
+            connections.append(await HttpConnection.open(self.server.address))
             await curio.sleep(0.01)
-        return found
+        return connections
 
     async def _handle(self, request: Request, responder: Responder) -> None:
         self.in_progress += 1
@@ -80,7 +81,7 @@
         curio.run(ServerHarness().run, self._idle)
 
     def test_all_connections_are_busy(self) -> None:
-        """The server reports that it is full, and serves what waits in turn."""
+        """The server reports itself full, and serves the connection later."""
         curio.run(ServerHarness().run, self._busy)
 
     def test_many_connections_at_once(self) -> None:
--- a/tests/unit/test_connection_reuse.py
+++ b/tests/unit/test_connection_reuse.py
@@ -149,8 +149,8 @@
         descriptors = [
             os.open('/dev/null', os.O_RDONLY) for _number in range(1100)
         ]
-        for one in descriptors:
-            self.addCleanup(os.close, one)
+        for descriptor in descriptors:
+            self.addCleanup(os.close, descriptor)
         self.assertEqual(_connections_opened((), _make_two_calls), 1)
 
 
@@ -181,7 +181,7 @@
             _answer_other_requests, _succeed, service=PLAIN
         )
         curio.run(testbed.run, _RepeatableClient(answers).run)
-        self.assertEqual({one.status for one in answers}, {200})
+        self.assertEqual({answer.status for answer in answers}, {200})
 
     def test_endless_responses(self) -> None:
         """Neither the call nor the node is blocked by them."""
@@ -189,7 +189,7 @@
         testbed = GatewayTestbed(_send_endless_responses, service=PLAIN)
         answers: list[ClientAnswer] = []
         curio.run(testbed.run, _NonRepeatableClient(answers).run)
-        self.assertEqual({one.status for one in answers}, {502})
+        self.assertEqual({answer.status for answer in answers}, {502})
         self.assertLess(time.monotonic() - started, 1.5)
 
 
@@ -308,10 +308,12 @@
 
 
 async def _send_endless_responses(exchange: Exchange) -> None:
-    one = b'HTTP/1.1 200 X\r\nrequest-id: o\r\ncontent-length: 4\r\n\r\nbody'
+    response = (
+        b'HTTP/1.1 200 X\r\nrequest-id: o\r\ncontent-length: 4\r\n\r\nbody'
+    )
     end_at = time.monotonic() + 3
     while time.monotonic() < end_at:
-        await exchange.sock.sendall(one * 200)
+        await exchange.sock.sendall(response * 200)
 
 
 @attrs.frozen
--- a/tests/unit/test_crash_simulation.py
+++ b/tests/unit/test_crash_simulation.py
@@ -1,4 +1,4 @@
-"""Many targets terminate: no request is held that was there by chance."""
+"""No request is held for being at terminating targets by chance."""
 
 import statistics
 import unittest
@@ -13,7 +13,7 @@
     """For more days, run ``python -m tests.lib.crash_simulation 1000``."""
 
     def test_without_a_culprit(self) -> None:
-        """A target fails each second of a hundred, or each 2.5 s of eight."""
+        """One of 100 targets fails each second, or one of 8 each 2.5 s."""
         for replicas, rate in ((100, 1.0), (8, 0.4)):
             for seed in range(_DAYS // 2):
                 with self.subTest(replicas=replicas, seed=seed):
@@ -23,7 +23,7 @@
                     self.assertEqual(day.wrongly_held, 0)
 
     def test_terminations_reported_late(self) -> None:
-        """No request is wrongly held, beside a culprit or not."""
+        """No request is wrongly held, with or without a culprit."""
         for seed in range(_DAYS):
             with self.subTest(seed=seed):
                 day = CrashSimulation(
--- a/tests/unit/test_crashes_behind_open_ports.py
+++ b/tests/unit/test_crashes_behind_open_ports.py
@@ -45,13 +45,14 @@
         later = deployment.marked_after(3, _DETECTION_SECONDS)
         self.assertLessEqual(later, _MAX_LATER_SENDS)
         served_count = sum(
-            one.is_complete and one.status == _OK for one in self.other_answers
+            answer.is_complete and answer.status == _OK
+            for answer in self.other_answers
         )
         self.assertGreater(
             served_count, _MIN_SERVED_FRACTION * len(self.other_answers)
         )
         self.assertFalse(
-            any(b'"held"' in one.body for one in self.other_answers)
+            any(b'"held"' in answer.body for answer in self.other_answers)
         )
 
     async def _run(self, deployment: Deployment) -> None:
--- a/tests/unit/test_crashing_requests.py
+++ b/tests/unit/test_crashing_requests.py
@@ -22,8 +22,8 @@
 from tests.lib.fake_platform import FakePlatform
 from tests.lib.fake_targets import PLAIN, ClientAnswer, GatewayTestbed
 
-# Time after the third termination within which all nodes know; the acceptance
-# rule allows three seconds.
+# Time after the third termination within which all nodes hold the request; the
+# acceptance rule allows three seconds.
 _PROPAGATION_SECONDS = 0.5
 # Sends after that which the acceptance rule allows, from all nodes together.
 _MAX_LATE_SENDS = 3
@@ -47,28 +47,28 @@
     def test_streams(self) -> None:
         """It is held at all nodes, and other requests are served."""
         deployment = Deployment(4, 8)
-        curio.run(deployment.run, self._play)
+        curio.run(deployment.run, self._send_load)
         self._check(deployment)
 
     def test_plain_calls(self) -> None:
         """The same for plain calls, whose targets restart under their ids."""
         deployment = Deployment(4, 8, service=PLAIN, renamed=False)
-        curio.run(deployment.run, self._play)
+        curio.run(deployment.run, self._send_load)
         self._check(deployment, begin_unknown=True)
 
     def test_crashes_before_any_answer(self) -> None:
         """It is held although it is unknown whether it had begun.
 
-        A request that waited at the target looks the same.
+        A request that waited at the target cannot be distinguished from it.
         """
         deployment = Deployment(4, 8, mute=True)
-        curio.run(deployment.run, self._play)
+        curio.run(deployment.run, self._send_load)
         self._check(deployment, begin_unknown=True)
 
     def test_at_most_six_targets_terminate(self) -> None:
         """Including copies in flight, and where the begin is unknown."""
         deployment = Deployment(4, 8, mute=True)
-        curio.run(deployment.run, self._play)
+        curio.run(deployment.run, self._send_load)
         self.assertLessEqual(len(deployment.terminations), _MAX_TERMINATIONS)
 
     def test_concurrent_copies(self) -> None:
@@ -95,15 +95,15 @@
     def test_a_node_started_later(self) -> None:
         """It reads the rows before it serves."""
         deployment = Deployment(3, 8)
-        curio.run(deployment.run, self._play_with_late_node)
+        curio.run(deployment.run, self._send_load_to_late_node)
         self.assertEqual(deployment.marked_after(3, _PROPAGATION_SECONDS), 0)
 
     def test_an_isolated_node(self) -> None:
-        """It learns from the rows, and its own observations count as well."""
+        """It reads the rows, and its own observations count as well."""
         deployment = Deployment(3, 8)
         deployment.nodes[2].publish_cases = _publish_to_nobody
         deployment.isolated.append(deployment.nodes[2])
-        curio.run(deployment.run, self._play_with_rows)
+        curio.run(deployment.run, self._send_load_with_rows)
         self.assertLessEqual(
             deployment.marked_after(3, _PROPAGATION_SECONDS),
             _MAX_LATE_SENDS,
@@ -131,8 +131,8 @@
             self.elapsed_seconds = time.monotonic() - started
             await curio.sleep(0.05)
 
-    async def _play_with_late_node(self, deployment: Deployment) -> None:
-        await self._play(deployment, seconds=1)
+    async def _send_load_to_late_node(self, deployment: Deployment) -> None:
+        await self._send_load(deployment, seconds=1)
         table = FakePlatform()
         # The node that saw the deciding termination writes.
         for node in deployment.nodes:
@@ -141,14 +141,14 @@
         _rows(late, table).apply(table.rows, True)
         serving = await deployment.start(late)
         deployment.nodes = [late]
-        await self._play(deployment, seconds=1)
+        await self._send_load(deployment, seconds=1)
         await serving.cancel()
 
-    async def _play_with_rows(self, deployment: Deployment) -> None:
+    async def _send_load_with_rows(self, deployment: Deployment) -> None:
         table = FakePlatform()
         rows = [_rows(node, table) for node in deployment.nodes]
         syncing = await curio.spawn(_sync_rows, rows, table, daemon=True)
-        await self._play(deployment, seconds=3)
+        await self._send_load(deployment, seconds=3)
         await syncing.cancel()
 
     def _check(
@@ -173,13 +173,13 @@
         )
         self.assertGreater(served, _MIN_SERVED_FRACTION * len(self.responses))
 
-    async def _play(
+    async def _send_load(
         self,
         deployment: Deployment,
         *,
         seconds: float = 4,
     ) -> None:
-        """Send seven marked requests a second, beside ordinary ones."""
+        """Send seven marked requests and sixty ordinary ones a second."""
         path = '/safe/x' if deployment.is_plain else '/stream/x'
         ordinary = await curio.spawn(
             self._send_ordinary_requests, deployment, path, seconds
--- a/tests/unit/test_demand.py
+++ b/tests/unit/test_demand.py
@@ -46,8 +46,8 @@
             self._request('steady', 1)
             self.meter.record_work('steady', 0.3)
             if tenth > 30:
-                found = self.meter.by_model()['steady']
-                self.assertAlmostEqual(found, 3, delta=0.3)
+                replicas = self.meter.by_model()['steady']
+                self.assertAlmostEqual(replicas, 3, delta=0.3)
 
     def test_no_estimate_right_after_the_start(self) -> None:
         """A rate cannot be estimated from the first second of requests."""
--- a/tests/unit/test_deploy_template.py
+++ b/tests/unit/test_deploy_template.py
@@ -93,37 +93,44 @@
     )
     def test_numbers(self, bounds: Mapping[str, object]) -> None:
         """Each value is taken unchanged, or its default if it is not given."""
-        found = attrs.asdict(self._read(_fields(bounds)))
-        usual = {one.name: one.default for one in attrs.fields(ServingSettings)}
+        settings = attrs.asdict(self._read(_fields(bounds)))
+        defaults = {
+            attribute.name: attribute.default
+            for attribute in attrs.fields(ServingSettings)
+        }
         for field, name in _FIGURES.items():
-            named = bounds[name]
-            if named is None or named is _MISSING:
-                named = usual[field]
-            self.assertEqual(found[field], named, field)
+            expected = bounds[name]
+            if expected is None or expected is _MISSING:
+                expected = defaults[field]
+            self.assertEqual(settings[field], expected, field)
 
     @given(zones=st.one_of(_ZONES, st.none(), st.just(_MISSING)))
     def test_failure_domains(self, zones: object) -> None:
-        """All are known, and the node's own in any case."""
-        found = self._read(_fields({}, zones=zones)).all_failure_domains
-        named = set(zones) if isinstance(zones, Mapping) else set()
-        self.assertEqual(set(found), named | {'here'})
-        self.assertEqual(len(set(found)), len(found))
+        """All given ones are included, and the node's own in any case."""
+        domains = self._read(_fields({}, zones=zones)).all_failure_domains
+        expected = set(zones) if isinstance(zones, Mapping) else set()
+        self.assertEqual(set(domains), expected | {'here'})
+        self.assertEqual(len(set(domains)), len(domains))
 
     @given(named=_DRAWN)
     def test_descriptors(self, named: object) -> None:
         """The machine's limit is used, or the default if it is not given."""
-        found = self._read(_fields({}, limits=_named({'maxFds': named})))
+        settings = self._read(_fields({}, limits=_named({'maxFds': named})))
         if named is None or named is _MISSING:
             named = attrs.fields(ServingSettings).max_descriptors.default
-        self.assertEqual(found.max_descriptors, named)
+        self.assertEqual(settings.max_descriptors, named)
 
     def test_first_start(self) -> None:
-        """It is true only if the platform says so."""
-        for named, wanted in ((True, True), (False, False), (None, False)):
-            found = self._read(_fields({}, bootstrap=named))
-            self.assertIs(found.first_start, wanted)
-        found = self._read(_fields({}, bootstrap=_MISSING))
-        self.assertIs(found.first_start, False)
+        """It is true only if the platform gives true."""
+        for bootstrap, expected in (
+            (True, True),
+            (False, False),
+            (None, False),
+        ):
+            settings = self._read(_fields({}, bootstrap=bootstrap))
+            self.assertIs(settings.first_start, expected)
+        settings = self._read(_fields({}, bootstrap=_MISSING))
+        self.assertIs(settings.first_start, False)
 
     def test_invalid_value_is_named(self) -> None:
         """The message names the field and the value."""
@@ -168,7 +175,7 @@
     def test_values_and_sections(self) -> None:
         """Sections are rendered for zero, but not for null or missing values."""
         fields = {'b': {'zero': 0, 'no': False, 'part': 2.5}, 'null': None}
-        for template, wanted in (
+        for template, expected in (
             ('[{{b.none|json}}]', '[null]'),
             ('[{{b.none}}]', '[]'),
             ('[{{null|json}}]', '[null]'),
@@ -178,6 +185,6 @@
             ('{{b.part|json}}000', '2.5000'),
             ('[{{#b}}"{{@}}"{{,}}{{/b}}]', '["zero","no","part"]'),
         ):
-            self.assertEqual(render(template, fields), wanted)
+            self.assertEqual(render(template, fields), expected)
         whole = msgspec.json.decode(render('{{b|json}}', fields))
         self.assertEqual(whole, fields['b'])
--- a/tests/unit/test_dispatch.py
+++ b/tests/unit/test_dispatch.py
@@ -36,11 +36,11 @@
 
     def test_a_free_replica_is_preferred_to_a_full_one(self) -> None:
         """It meets the objective, so that its request is not deferred."""
-        log_decision = decide(
+        decision = decide(
             _REQUEST, [ReplicaState('full', 20), ReplicaState('free', 2)]
         )
-        self.assertEqual(_name(log_decision), 'free')
-        self.assertFalse(log_decision.is_deferred)  # type: ignore[union-attr]
+        self.assertEqual(_name(decision), 'free')
+        self.assertFalse(decision.is_deferred)  # type: ignore[union-attr]
 
     def test_a_slow_replica_is_passed_over(self) -> None:
         """Its learned forecast error outweighs its lower number of requests."""
@@ -63,17 +63,15 @@
         )
 
     def test_a_late_request_is_deferred(self) -> None:
-        """It is sent all the same while its client waits long enough."""
-        log_decision = decide(_REQUEST, [ReplicaState('full', 22)])
-        self.assertTrue(
-            isinstance(log_decision, Send) and log_decision.is_deferred
-        )
+        """It is still sent if its client waits long enough."""
+        decision = decide(_REQUEST, [ReplicaState('full', 22)])
+        self.assertTrue(isinstance(decision, Send) and decision.is_deferred)
 
     def test_a_request_that_would_time_out_is_refused(self) -> None:
-        """The refusal says by how much the wait would be too long."""
-        log_decision = decide(_REQUEST, [ReplicaState('full', 18, deferred=60)])
+        """The refusal has the seconds by which the wait would be too long."""
+        decision = decide(_REQUEST, [ReplicaState('full', 18, deferred=60)])
         self.assertTrue(
-            isinstance(log_decision, Refuse) and log_decision.excess_seconds > 0
+            isinstance(decision, Refuse) and decision.excess_seconds > 0
         )
 
     def test_a_retry_is_accepted_longer_than_a_new_request(self) -> None:
@@ -86,10 +84,8 @@
     def test_a_resumed_stream_is_never_refused(self) -> None:
         """Its client already has a part of the answer."""
         resumed = attrs.evolve(_REQUEST, is_resumed=True, elapsed_seconds=3)
-        log_decision = decide(resumed, [ReplicaState('full', 40)])
-        self.assertTrue(
-            isinstance(log_decision, Send) and not log_decision.is_deferred
-        )
+        decision = decide(resumed, [ReplicaState('full', 40)])
+        self.assertTrue(isinstance(decision, Send) and not decision.is_deferred)
 
     def test_a_decision_is_fast(self) -> None:
         """Alone on a machine it takes 50 us at 50 replicas, 200 us at 760."""
@@ -143,7 +139,10 @@
     """Dispatch by forecast against dispatch by counts, in simulation."""
 
     def test_load_surge(self) -> None:
-        """Requests that can still be in time pass late ones: 0.66 to 0.73."""
+        """Requests that can still be in time pass late ones.
+
+        The mean utility rises from 0.66 to 0.73.
+        """
         surge = Burst(5, 6, 2.4)
         before = mean_utility(
             make_fewest_in_flight, lambda: engines(4, 6), surge
@@ -152,7 +151,7 @@
         self.assertGreater(after, before + 0.03)
 
     def test_too_few_replicas(self) -> None:
-        """A model that is short of replicas all day: 0.29 to 0.44."""
+        """With too few replicas all day, utility rises from 0.29 to 0.44."""
         before = mean_utility(make_fewest_in_flight, lambda: engines(2, 3))
         after = mean_utility(make_forecast, lambda: engines(2, 3))
         self.assertGreater(after, before + 0.1)
@@ -185,5 +184,5 @@
     return replicas
 
 
-def _name(log_decision: Send | Refuse) -> str:
-    return log_decision.name if isinstance(log_decision, Send) else ''
+def _name(decision: Send | Refuse) -> str:
+    return decision.name if isinstance(decision, Send) else ''
--- a/tests/unit/test_forwarding.py
+++ b/tests/unit/test_forwarding.py
@@ -1,4 +1,4 @@
-"""What clients receive if targets work, fail, stop or mix up responses."""
+"""Responses to clients if targets work, fail, stop or swap responses."""
 
 import time
 import unittest
@@ -20,7 +20,9 @@
 )
 from tests.lib.waiting import until
 
-_EVENTS = ''.join(f'id: {one}\ndata: {one}\n\n' for one in range(1, 6)).encode()
+_EVENTS = ''.join(
+    f'id: {number}\ndata: {number}\n\n' for number in range(1, 6)
+).encode()
 _NOT_RUN = 'not-executed: 1\r\n'
 
 
@@ -113,12 +115,14 @@
             _complete_stream,
         )
         testbed = GatewayTestbed(*scripts[:2])
-        answer = _ask_world(testbed, '/stream/x')
+        answer = _ask_testbed(testbed, '/stream/x')
         self.assertFalse(answer.is_complete)
-        self.assertEqual(sum(len(one.received) for one in testbed.targets), 2)
+        self.assertEqual(
+            sum(len(target.received) for target in testbed.targets), 2
+        )
 
     def test_last_attempt_is_not_given_up_for_silence(self) -> None:
-        """There is no other target to try, so silence is waited out."""
+        """There is no other target to try, so the node keeps waiting."""
         answer = _ask(
             '/stream/x',
             _stalls_after_two_events,
@@ -133,9 +137,11 @@
         testbed = GatewayTestbed(
             _disconnects_within_an_event, _disconnects_within_an_event
         )
-        answer = _ask_world(testbed, '/once/x')
+        answer = _ask_testbed(testbed, '/once/x')
         self.assertFalse(answer.is_complete)
-        self.assertEqual(sum(len(one.received) for one in testbed.targets), 1)
+        self.assertEqual(
+            sum(len(target.received) for target in testbed.targets), 1
+        )
 
     def test_stream_moves_once_its_replica_has_stopped(self) -> None:
         """The stream moves long before the silence limit."""
@@ -162,16 +168,19 @@
         await connection.send(client_request('/stream/x'))
         await connection.close()
         await curio.sleep(0.4)
-        seen, closed = testbed.targets[0].received, testbed.targets[0].closed
-        self.assertEqual(bool(seen), bool(closed))
+        received, closed = (
+            testbed.targets[0].received,
+            testbed.targets[0].closed,
+        )
+        self.assertEqual(bool(received), bool(closed))
 
     async def _report_stopped_during_stream(
         self, testbed: GatewayTestbed
     ) -> None:
         client = await curio.spawn(testbed.ask, '/stream/x')
-        await until(lambda: any(one.received for one in testbed.targets))
+        await until(lambda: any(target.received for target in testbed.targets))
         used = _target_with_request(testbed)
-        other = next(one for one in testbed.targets if one is not used)
+        other = next(target for target in testbed.targets if target is not used)
         other.script = _complete_stream
         await curio.sleep(0.1)
         started = time.monotonic()
@@ -215,7 +224,7 @@
                 _succeeds, _succeeds, service=PLAIN, retries=0
             )
             testbed.make_unreachable(f'i{seed % 2}')
-            self.assertEqual(_ask_world(testbed, '/unsafe/x').status, 200)
+            self.assertEqual(_ask_testbed(testbed, '/unsafe/x').status, 200)
 
     def test_silent_target_leaves_time_for_another(self) -> None:
         """Half of the objective is left for another target."""
@@ -251,10 +260,10 @@
         """It is not reported as 'not run' either."""
         for script in (_disconnects, _answers_unavailable):
             testbed = GatewayTestbed(script, script, service=PLAIN)
-            answer = _ask_world(testbed, '/unsafe/x')
+            answer = _ask_testbed(testbed, '/unsafe/x')
             self.assertEqual(answer.status, 502)
             self.assertEqual(
-                sum(len(one.received) for one in testbed.targets), 1
+                sum(len(target.received) for target in testbed.targets), 1
             )
 
     def test_refused_request_is_retried_elsewhere(self) -> None:
@@ -269,7 +278,7 @@
         self.assertEqual(answer.body, b'fine')
 
     def test_request_refused_by_all_targets(self) -> None:
-        """The client learns that it was not run, and when to retry."""
+        """The client gets a 503 with a retry time, as it was not run."""
         answer = _ask(
             '/unsafe/x', _refuses_as_not_run, _refuses_as_not_run, service=PLAIN
         )
@@ -293,13 +302,13 @@
     def test_unknown_keys_and_routes(self) -> None:
         """They reach no target, and a valid key is not forwarded."""
         testbed = GatewayTestbed(_succeeds, service=PLAIN)
-        self.assertEqual(_ask_world(testbed, '/safe/x', key='no').status, 401)
+        self.assertEqual(_ask_testbed(testbed, '/safe/x', key='no').status, 401)
         testbed = GatewayTestbed(_succeeds, service=PLAIN)
-        self.assertEqual(_ask_world(testbed, '/none/x').status, 404)
+        self.assertEqual(_ask_testbed(testbed, '/none/x').status, 404)
         testbed = GatewayTestbed(_succeeds, service=PLAIN)
-        self.assertEqual(_ask_world(testbed, '/open/x', key='no').status, 200)
+        self.assertEqual(_ask_testbed(testbed, '/open/x', key='no').status, 200)
         testbed = GatewayTestbed(_succeeds, service=PLAIN)
-        _ask_world(testbed, '/safe/x')
+        _ask_testbed(testbed, '/safe/x')
         sent = testbed.targets[0].received[0].headers
         self.assertEqual(sent['tenant'], 'org')
         self.assertNotIn('authorization', sent)
@@ -318,7 +327,7 @@
 
 
 def _target_with_request(testbed: GatewayTestbed) -> FakeTarget:
-    return next(one for one in testbed.targets if one.received)
+    return next(target for target in testbed.targets if target.received)
 
 
 def _ask(
@@ -334,10 +343,10 @@
         # With one more request in flight the other target is chosen.
         is_later = first is not None and target.script is not first
         testbed.router.in_flight_counts()[target.name] += is_later
-    return _ask_world(testbed, path, **options)
+    return _ask_testbed(testbed, path, **options)
 
 
-def _ask_world(
+def _ask_testbed(
     testbed: GatewayTestbed,
     path: str,
     **options: Any,
--- a/tests/unit/test_fuzz.py
+++ b/tests/unit/test_fuzz.py
@@ -64,7 +64,7 @@
 
     @given(st.binary(max_size=200))
     def test_malformed_peer_messages(self, received: bytes) -> None:
-        """Decoding raises no other error than the transport handles."""
+        """Decoding raises only errors that the transport handles."""
         with contextlib.suppress(msgspec.MsgspecError):
             decode_mesh_message(received)
 
@@ -100,11 +100,15 @@
     def test_events_split_anywhere(
         self, event_ids: list[int], split_points: list[int]
     ) -> None:
-        """Complete events come out unchanged, and the last id is known."""
-        events = [b'id: %d\ndata: x\n\n' % one for one in event_ids]
+        """Complete events are returned unchanged, and the last id is stored."""
+        events = [b'id: %d\ndata: x\n\n' % event_id for event_id in event_ids]
         stream = b''.join(events)
         positions = sorted(
-            {0, len(stream), *(min(one, len(stream)) for one in split_points)}
+            {
+                0,
+                len(stream),
+                *(min(point, len(stream)) for point in split_points),
+            }
         )
         splitter = EventSplitter()
         output = b''.join(
--- a/tests/unit/test_gossip.py
+++ b/tests/unit/test_gossip.py
@@ -104,7 +104,7 @@
     """Suspicion, its time-out, and refutation by a new incarnation."""
 
     def setUp(self) -> None:
-        """Create a node that knows another one."""
+        """Create a node with one other node in its store."""
         self.clock = _Clock()
         self.store = EntryStore()
         self.members = Members(
--- a/tests/unit/test_grouping.py
+++ b/tests/unit/test_grouping.py
@@ -27,7 +27,7 @@
 
 _CONFIG = RouteConfig(1, (), {SERVICE: PROFILE})
 _STALL_SECONDS = 0.4
-# Only one placer runs at a time here, so that a dead one is soon replaced.
+# The takeover timeout is short, as only one placer runs at a time here.
 _TIMES = LeaseTimeouts(valid_seconds=2.5, takeover_seconds=0.3)
 
 
@@ -379,7 +379,7 @@
         curio.run(self._fail_preemption_write)
 
     def test_the_lease_is_not_claimed_without_store(self) -> None:
-        """Other nodes can look at the lease long before it expires."""
+        """Other nodes can check the lease long before it expires."""
         curio.run(self._lose_store)
 
     async def _fail_preemption_write(self) -> None:
--- a/tests/unit/test_grouping_faults.py
+++ b/tests/unit/test_grouping_faults.py
@@ -148,7 +148,7 @@
         }
 
     async def _restart_with_empty_fleet(self) -> None:
-        """Kill the placer; the next one knows only the list and the rows."""
+        """Kill the placer; the next one has only the list and the rows."""
         testbed = self.testbed
         current_instances = dict(testbed.fleet.instances)
         testbed.fleet = Fleet()
--- a/tests/unit/test_http.py
+++ b/tests/unit/test_http.py
@@ -61,7 +61,7 @@
         self.assertEqual(b''.join(curio.run(_read_chunks, writes)), b'abcd')
 
     def test_truncated_body_is_an_error(self) -> None:
-        """A connection that breaks off does not look like the end."""
+        """A broken connection is not mistaken for the end of the body."""
         with self.assertRaises(ConnectionBrokenError):
             curio.run(_read_chunks, [_HEAD, b'1\r\na\r\n'])
 
@@ -76,7 +76,7 @@
     def test_slow_request_times_out(self) -> None:
         """An incomplete request is answered with 408."""
         single_bytes = [
-            bytes((one,)) for one in b'GET / HTTP/1.1\r\nhost: x\r\n'
+            bytes((byte,)) for byte in b'GET / HTTP/1.1\r\nhost: x\r\n'
         ]
         answer = curio.run(self._send_raw, single_bytes)
         self.assertIn(b' 408 ', answer.partition(b'\r\n')[0])
@@ -110,7 +110,7 @@
         sent = [b'GET /x HTTP/1.1\r\nho', b'st: x\r\n', b'\r\n']
         answer = curio.run(self._send_raw, sent)
         self.assertIn(b' 200 ', answer.partition(b'\r\n')[0])
-        self.assertEqual([one.path for one in self.handled], ['/x'])
+        self.assertEqual([request.path for request in self.handled], ['/x'])
 
     async def _handle(self, request: Request, responder: Responder) -> None:
         self.handled.append(request)
--- a/tests/unit/test_initial_allocation.py
+++ b/tests/unit/test_initial_allocation.py
@@ -109,7 +109,7 @@
         self,
         fleet: Fleet,
         domain: str,
-        wanted: list[NewReplica],
+        expected: list[NewReplica],
     ) -> None:
-        found = Counter(new.model for new in _own_part(fleet, domain))
-        self.assertEqual(found, Counter(new.model for new in wanted))
+        counts = Counter(new.model for new in _own_part(fleet, domain))
+        self.assertEqual(counts, Counter(new.model for new in expected))
--- a/tests/unit/test_kinds.py
+++ b/tests/unit/test_kinds.py
@@ -34,9 +34,9 @@
 
     def test_variants_and_services(self) -> None:
         """Every variant is combined with every service."""
-        found = _scenarios(hows=['extra', ''], aims='service', x=0.3)
+        combined = _scenarios(hows=['extra', ''], aims='service', x=0.3)
         self.assertEqual(
-            [(item.variant, item.target) for item in found],
+            [(item.variant, item.target) for item in combined],
             [
                 ('extra', 'writer'),
                 ('extra', 'shop'),
@@ -64,8 +64,8 @@
 
     def test_names_are_unique(self) -> None:
         """Scenarios would otherwise overwrite the log files of each other."""
-        found = _scenarios(hows=['extra', 'early'], aims='service')
-        self.assertEqual(len({item.name for item in found}), len(found))
+        combined = _scenarios(hows=['extra', 'early'], aims='service')
+        self.assertEqual(len({item.name for item in combined}), len(combined))
 
 
 class TomlTest(unittest.TestCase):
--- a/tests/unit/test_large_replicas.py
+++ b/tests/unit/test_large_replicas.py
@@ -10,7 +10,7 @@
 
 There were three causes. At most two replicas were preempted for another one,
 which frees eight members but never sixteen. While a placer waited because
-others had just preempted replicas, smaller replicas took the survivors. A
+others had just preempted replicas, the survivors joined smaller replicas. A
 replica of sixteen was assumed to last as long as one of four.
 """
 
@@ -92,11 +92,11 @@
     def test_four_small_replicas_are_preempted(self) -> None:
         """With 3 large replicas for a demand of 3, and 36 small ones."""
         plan_input = _plan_input((), _serving(_SMALL, 9), 3, 36)
-        found = plan(plan_input, PreemptionScope.ANYWHERE)
+        new_plan = plan(plan_input, PreemptionScope.ANYWHERE)
         self.assertEqual(
-            [replica.model for replica in found.replicas], ['large']
+            [replica.model for replica in new_plan.replicas], ['large']
         )
-        self.assertEqual(len(found.preempted), 4)
+        self.assertEqual(len(new_plan.preempted), 4)
 
     def test_no_large_replica_is_preempted_for_four(self) -> None:
         """A large one lasts a quarter as long: 7 are not too many for 2.5."""
@@ -117,15 +117,15 @@
         other = ReplicaRecord('r', 1, SERVICE, 'small', 'east', 'g', ('a',))
         record = attrs.evolve(other, reason=PREEMPTION_REASON)
         plan_input = _plan_input(_survivors(14), _serving(_SMALL, 5), 3, 30)
-        found = plan(plan_input, cooldown.scope([record]))
-        self.assertEqual(found.preempted, ())
-        self.assertEqual(found.replicas, ())
-        self.assertEqual(found.warmings, ())
+        new_plan = plan(plan_input, cooldown.scope([record]))
+        self.assertEqual(new_plan.preempted, ())
+        self.assertEqual(new_plan.replicas, ())
+        self.assertEqual(new_plan.warmings, ())
         now += 1
-        found = plan(plan_input, cooldown.scope([record]))
-        self.assertEqual(len(found.preempted), 1)
+        new_plan = plan(plan_input, cooldown.scope([record]))
+        self.assertEqual(len(new_plan.preempted), 1)
         self.assertEqual(
-            [replica.model for replica in found.replicas], ['large']
+            [replica.model for replica in new_plan.replicas], ['large']
         )
 
     def test_cooldown_does_not_grow_with_drain_time(self) -> None:
@@ -145,7 +145,7 @@
     """How the availability of replicas depends on their size."""
 
     def test_more_members_are_worth_less(self) -> None:
-        """Of two replicas with equal work, as each member may fail."""
+        """Per instance, as each member of a replica may fail."""
         objective = build_objective(
             (attrs.evolve(_LARGE, name='a'), attrs.evolve(_SMALL, name='b')),
             {'a': 3.0, 'b': 3.0},
--- a/tests/unit/test_lease.py
+++ b/tests/unit/test_lease.py
@@ -61,7 +61,7 @@
             clock.now += wait
             if _try_acquire(leases[name]):
                 fencings.append((leases[name].fencing, name))
-            held = [one for one in leases.values() if one.is_held]
+            held = [lease for lease in leases.values() if lease.is_held]
             self.assertLessEqual(len(held), 1)
         self.assertEqual(fencings, sorted(fencings, key=lambda pair: pair[0]))
         self.assertEqual(
@@ -89,7 +89,7 @@
         clock = _Clock()
         leases = _leases(platform, clock)
         backups = [platform.snapshot_rows()]
-        # A node that has never seen the row acquires a missing one at once.
+        # A node that has never read the row acquires a missing one at once.
         for lease in leases.values():
             _try_acquire(lease)
         platform.faults = iter(faults)
@@ -103,7 +103,7 @@
                 case name, wait:
                     clock.now += wait
                     self._acquire_with_rising_token(leases[name], taken)
-            held = [one for one in leases.values() if one.is_held]
+            held = [lease for lease in leases.values() if lease.is_held]
             self.assertLessEqual(len(held), 1)
 
     def test_holder_renews_after_a_restore(self) -> None:
@@ -130,7 +130,7 @@
         self.assertFalse(_try_acquire(leases['a']))
 
     def test_paused_holder_detects_the_loss(self) -> None:
-        """The check that makes transactions depend on the lease raises."""
+        """It gets an error instead of a check for its transactions."""
         clock = _Clock()
         lease = _leases(FakePlatform(), clock)['a']
         self.assertTrue(_try_acquire(lease))
@@ -140,7 +140,7 @@
             lease.check()
 
     def test_resumed_holder_cannot_write(self) -> None:
-        """Its check fails even if it does not look at its clock."""
+        """Its check fails even if it does not read its clock."""
         clock = _Clock()
         platform = FakePlatform()
         leases = _leases(platform, clock)
--- a/tests/unit/test_leaving_targets.py
+++ b/tests/unit/test_leaving_targets.py
@@ -21,7 +21,7 @@
 
 
 async def _unused(_exchange: object) -> None:
-    raise AssertionError('no request is sent here')
+    raise AssertionError('expected no request at a target, got one')
 
 
 @attrs.define
@@ -50,7 +50,7 @@
         self._record_call()
         await curio.sleep(0.01)
         if self.history_lost:
-            raise HistoryLostError('gone')
+            raise HistoryLostError('the requested history was discarded')
         is_news = since < _LEAVING_VERSION or self.repeats
         return Changes(self.version, self.changed if is_news else {})
 
@@ -62,11 +62,11 @@
     def _record_call(self) -> None:
         self.calls += 1
         if self.is_down:
-            raise PlatformUnavailableError('down')
+            raise PlatformUnavailableError('the list source is down')
 
 
 class ListFollowingNode:
-    """One node that knows two targets, of which the second is leaving."""
+    """One node with two targets, of which the second is leaving."""
 
     def __init__(self, service: str) -> None:
         """Create the node; nothing is read until ``start``."""
@@ -105,14 +105,15 @@
     def chosen(self) -> set[str]:
         """Return the instances that requests are sent to now."""
         route = next(
-            one
-            for one in CONFIG.routes
-            if one.shares[0].service == self.service
+            candidate
+            for candidate in CONFIG.routes
+            if candidate.shares[0].service == self.service
         )
         model = MODEL if self.service == ENGINES else ''
-        wanted = RoutingRequest(CONFIG, route, self.service, model, 100, 2)
+        request = RoutingRequest(CONFIG, route, self.service, model, 100, 2)
         return {
-            self.router.choose(wanted).instance.id for _ in range(_CHOICE_COUNT)
+            self.router.choose(request).instance.id
+            for _ in range(_CHOICE_COUNT)
         }
 
 
@@ -125,7 +126,7 @@
             self.assertEqual(ListFollowingNode(service).chosen(), {'i0', 'i1'})
 
     def test_store_outage(self) -> None:
-        """What was read before the outage stays in effect."""
+        """The list read before the outage stays in effect."""
         self._run(_take_store_down)
 
     def test_entry_removed_during_an_outage(self) -> None:
--- a/tests/unit/test_limit_registry.py
+++ b/tests/unit/test_limit_registry.py
@@ -1,4 +1,4 @@
-"""A node's knowledge of the limits that targets announce."""
+"""A node's registry of the limits that targets announce."""
 
 import itertools
 import unittest
@@ -64,7 +64,7 @@
         self.assertEqual(changed, LimitUpdate('i1', 7, 2, 1.4))
 
     def test_a_later_response_without_limit_ends_it(self) -> None:
-        """Only if its request was sent after the limit was announced."""
+        """It does so only if its request was sent after the announcement."""
         self.registry.record_response(_INCARNATION, _announcing(2.0), 9.9)
         self.now = 11
         self.assertIsNone(
@@ -106,7 +106,7 @@
         self.assertIsNone(self.limit())
 
     def test_unlisted_incarnations_are_pruned(self) -> None:
-        """But not at once, as an entry may be missing for some seconds."""
+        """They are kept first, as an entry may be missing for seconds."""
         self.registry.record_response(_INCARNATION, _announcing(2.0), 9.9)
         self.now = 20
         self.registry.prune((), {_INCARNATION})
--- a/tests/unit/test_limit_shares.py
+++ b/tests/unit/test_limit_shares.py
@@ -1,8 +1,8 @@
 """A limit holds over all nodes, whatever their number and failures.
 
-The required bound: any four seconds contain what the limit allows in them and
-two more requests. The acceptance rule of the deployment allows half as much
-again plus five.
+The required bound: any four seconds contain at most the requests that the limit
+allows in them and two more. The acceptance rule of the deployment allows half
+as many again plus five.
 """
 
 import itertools
@@ -34,7 +34,7 @@
     """The requests of all nodes at one target."""
 
     def test_steady_load(self) -> None:
-        """The limit is kept, and used."""
+        """The requests stay within the bound and use most of the limit."""
         for nodes, limit in itertools.product(_NODES, _LIMITS):
             with self.subTest(nodes=nodes, limit=limit):
                 simulation = LimitSimulation(nodes, limit)
@@ -66,7 +66,7 @@
             self.assertLessEqual(max_requests, _allowed(1.4))
 
     def test_a_sending_node_fails(self) -> None:
-        """Another takes over, and no window contains the requests of both."""
+        """Another takes over, and both together stay within the bound."""
         for seed, nodes in itertools.product(range(5), (4, 9, 30)):
             simulation = LimitSimulation(nodes, 2, seed=seed)
             simulation.run(6)
--- a/tests/unit/test_limits.py
+++ b/tests/unit/test_limits.py
@@ -74,19 +74,19 @@
         limit: int,
     ) -> None:
         """They never exceed one, and reach one once demand is constant."""
-        world = _Nodes(limit)
+        cluster = _Nodes(limit)
         for demands in steps:
-            self.assertLessEqual(world.step(demands), _MAX_TOTAL_SHARE)
+            self.assertLessEqual(cluster.step(demands), _MAX_TOTAL_SHARE)
         for _ in range(12):
-            total = world.step(steps[-1])
+            total = cluster.step(steps[-1])
         self.assertAlmostEqual(total, 1)
 
     def test_shares_follow_demand(self) -> None:
         """A busy node gets the share that idle ones do not use."""
-        world = _Nodes()
+        cluster = _Nodes()
         for _ in range(8):
-            world.step([40, 0, 0, 0])
-        self.assertGreater(world.nodes[0].share(_NAME), 0.9)
+            cluster.step([40, 0, 0, 0])
+        self.assertGreater(cluster.nodes[0].share(_NAME), 0.9)
 
     def test_a_new_node_gets_a_share_of_free_capacity(self) -> None:
         """The three other nodes have five calls each, of a limit of forty."""
@@ -108,11 +108,11 @@
 
     def test_an_isolated_node_keeps_its_share(self) -> None:
         """A node that receives no demand does not take the whole limit."""
-        world = _Nodes()
+        cluster = _Nodes()
         for _ in range(8):
-            world.step([10, 10, 10, 10])
-        world.clock.now += 30
-        self.assertAlmostEqual(world.nodes[0].share(_NAME), 0.25)
+            cluster.step([10, 10, 10, 10])
+        cluster.clock.now += 30
+        self.assertAlmostEqual(cluster.nodes[0].share(_NAME), 0.25)
 
 
 class AdmissionTest(unittest.TestCase):
@@ -171,7 +171,7 @@
 
     @given(st.integers(0, 2000))
     def test_retries_are_bounded(self, calls: int) -> None:
-        """Even if every call is retried."""
+        """At most a tenth of the calls plus eleven, even if all are retried."""
         budget = RetryBudget()
         retries = 0
         for _ in range(calls):
--- a/tests/unit/test_list_after_outage.py
+++ b/tests/unit/test_list_after_outage.py
@@ -42,10 +42,10 @@
         self.assertEqual(len(self.instance_list.instances), len(_NAMES))
         self.instance_list.apply({_NAMES[0]: _entry(_NAMES[0])}, False, _UNTIL)
         self.assertEqual(self.instance_list.expire_missing(_UNTIL - 0.1), [])
-        gone = self.instance_list.expire_missing(_UNTIL)
-        self.assertEqual(set(gone), set(_NAMES[1:12]))
+        expired = self.instance_list.expire_missing(_UNTIL)
+        self.assertEqual(set(expired), set(_NAMES[1:12]))
         self.assertIn(_NAMES[0], self.instance_list.instances)
-        self.assertEqual(self.instance_list.lapsed.keys(), set(gone))
+        self.assertEqual(self.instance_list.lapsed.keys(), set(expired))
 
     def test_complete_list_does_not_extend_the_grace_period(self) -> None:
         """Complete lists that lack them do not extend the grace period."""
@@ -56,7 +56,7 @@
         self.assertEqual(len(self.instance_list.expire_missing(_UNTIL)), 12)
 
     def test_ordinary_failures_count_at_once(self) -> None:
-        """They lapse at once, also the few that died during the outage."""
+        """They lapse at once, also the few that failed during the outage."""
         self.instance_list.apply(dict.fromkeys(_NAMES[:12]), False)
         self.assertEqual(len(self.instance_list.instances), len(_NAMES) - 12)
         self.instance_list.apply(dict.fromkeys(_NAMES[12:14]), False, _UNTIL)
@@ -99,7 +99,7 @@
         )
 
     def test_first_read_is_complete(self) -> None:
-        """What is read first counts as complete."""
+        """The first snapshot counts as complete."""
         curio.run(self.follower._read)
         self.assertFalse(self.follower.repopulated_at)
 
@@ -123,8 +123,8 @@
         """Processing timeouts before the end of the grace period has no effect."""
         fleet = Fleet()
         fleet.apply_instances({name: _entry(name) for name in _NAMES}, True)
-        gone = dict.fromkeys(_NAMES)
-        fleet.apply_instances(gone, False, float('inf'))
+        missing = dict.fromkeys(_NAMES)
+        fleet.apply_instances(missing, False, float('inf'))
         fleet.process_timeouts()
         self.assertEqual(len(fleet.available(SERVICE)), len(_NAMES))
         self.assertFalse(fleet.lapsed)
--- a/tests/unit/test_liveness.py
+++ b/tests/unit/test_liveness.py
@@ -74,7 +74,7 @@
         self,
         drawn: list[bool | None],
     ) -> None:
-        """Instances that refuse the connection always are."""
+        """Members that listen never are, and those that refuse always are."""
         answers = dict(zip('abxyz', drawn, strict=False))
         lost = _found_lost(answers)
         self.assertFalse(any(answers[name] for name in lost))
@@ -99,10 +99,10 @@
             False,
         )
     fleet.apply_records({_RECORD.key: _RECORD}, True)
-    found = []
+    reported = []
 
     async def record_loss(record: ReplicaRecord) -> None:  # noqa: WPS430
-        found.append(record.name)
+        reported.append(record.name)
 
     failure_detector = FailureDetector(fleet, record_loss)
     failure_detector.liveness = LivenessCheck(network.probe)
@@ -114,5 +114,5 @@
 
     curio.run(run)
     lost = failure_detector.lost_instances()
-    assert bool(found) is bool(lost)
+    assert bool(reported) is bool(lost)
     return set(lost)
--- a/tests/unit/test_mesh.py
+++ b/tests/unit/test_mesh.py
@@ -54,7 +54,7 @@
     """In a large deployment nodes send beats through relays."""
 
     def setUp(self) -> None:
-        """Start a cluster and let all nodes learn of each other."""
+        """Start a cluster and let all nodes discover each other."""
         self.cluster = SimulatedCluster.of(_LARGE_COUNT)
         self.cluster.run(_CONVERGENCE_SECONDS)
         self.nodes = self.cluster.nodes
@@ -161,7 +161,7 @@
         )
 
     def test_stop_notice_is_forwarded_by_relays(self) -> None:
-        """All nodes learn of it at once, other domains through their relays.
+        """All nodes receive it at once, other domains through their relays.
 
         When it was sent to each node directly, 194 connections stayed open with
         a heartbeat each, and each node sent 72 KB/s to other failure domains.
@@ -259,7 +259,7 @@
         self._expect_nodes(_LARGE_COUNT)
 
     def test_starting_node_counts_listed_peers(self) -> None:
-        """A node that just started counts peers that it has not heard yet.
+        """A node that just started counts peers before it gets their beats.
 
         Otherwise its share of the retry budget would be too large.
         """
@@ -316,10 +316,10 @@
                 sender.mesh.publish(Broken('node-001', 'i1', 7))
                 cluster.run(0.25)
                 other_nodes = (
-                    one for one in cluster.alive if one is not sender
+                    node for node in cluster.alive if node is not sender
                 )
                 self.assertTrue(
-                    all(one.broken == {'i1'} for one in other_nodes)
+                    all(node.broken == {'i1'} for node in other_nodes)
                 )
 
 
@@ -381,7 +381,7 @@
 
 
 class RequestCasesTest(unittest.TestCase):
-    """Reports of requests that ended targets reach all nodes at once."""
+    """Reports of requests that terminated targets reach all nodes at once."""
 
     def test_reports_of_three_nodes_are_added_up(self) -> None:
         """Reports of three nodes are added up everywhere before a beat."""
@@ -431,14 +431,16 @@
         versions = [
             node.versions for node in cluster.alive if node is not reader
         ]
-        self.assertEqual({tuple(one) for one in versions}, {(2,), (2, 2)})
+        self.assertEqual(
+            {tuple(node_versions) for node_versions in versions}, {(2,), (2, 2)}
+        )
         self.assertEqual(cluster.sent['node-004'], _LARGE_COUNT / 3 - 1 + 4)
         self.assertEqual(
             set(cluster.sent), {'node-004', 'node-000', 'node-002'}
         )
 
     def test_simultaneous_relays_do_not_echo(self) -> None:
-        """Relays do not forward the same changes to each other for ever.
+        """Relays do not forward the same changes to each other endlessly.
 
         Right after the start every node may consider itself a relay.
         """
@@ -455,7 +457,9 @@
         )
         self.assertTrue(
             all(
-                3 in one.versions for one in cluster.alive if one is not reader
+                3 in node.versions
+                for node in cluster.alive
+                if node is not reader
             ),
         )
 
@@ -480,8 +484,8 @@
         """A node that is no relay sends to two relays only, at any size."""
         for count in (_LARGE_COUNT, _DOUBLE_COUNT):
             cluster = self._settled_cluster(count)
-            most = sorted(cluster.sent.values())[: count - 3]
-            self.assertLessEqual(max(most), 4 * 2)
+            sent_counts = sorted(cluster.sent.values())[: count - 3]
+            self.assertLessEqual(max(sent_counts), 4 * 2)
 
     def test_total_messages_grow_linearly(self) -> None:
         """Twice the nodes send about twice the messages, not four times."""
@@ -511,7 +515,7 @@
 
 
 class RandomFaultsTest(unittest.TestCase):
-    """After any sequence of faults the live nodes find each other again."""
+    """After any sequence of faults the live nodes discover each other again."""
 
     @settings(max_examples=15, deadline=None)
     @given(
@@ -541,9 +545,9 @@
         cluster.run(1)
         count = len(cluster.alive)
         self.assertEqual(
-            {one.mesh.live_node_count() for one in cluster.alive}, {count}
+            {node.mesh.live_node_count() for node in cluster.alive}, {count}
         )
-        self.assertTrue(all('last' in one.stopped for one in cluster.alive))
+        self.assertTrue(all('last' in node.stopped for node in cluster.alive))
 
 
 def _inject(cluster: SimulatedCluster, fault: str, name: str) -> None:
--- a/tests/unit/test_native_crashing_requests.py
+++ b/tests/unit/test_native_crashing_requests.py
@@ -1,7 +1,7 @@
 """The native path holds a call that crashes its targets.
 
-The attempts of a call knew only their own targets, so that each try of its
-caller crashed up to four more.
+If the attempts of a call share no evidence, each try of its caller crashes up
+to four more targets.
 """
 
 import itertools
@@ -90,7 +90,7 @@
 
 @attrs.define
 class _Directory:
-    """Lists all targets; that some have terminated is not known yet."""
+    """Lists all targets, including those that have terminated."""
 
     instances: Sequence[Instance]
     failure_domain: str = 'east'
--- a/tests/unit/test_own_days.py
+++ b/tests/unit/test_own_days.py
@@ -20,7 +20,7 @@
     """Each file has one scenario for all deployments."""
 
     def test_names_and_fault_times(self) -> None:
-        """A scenario is named after its file, and its faults end before it."""
+        """A scenario has the name of its file, and ends after its faults."""
         for path in sorted(_SCENARIO_FOLDER.glob('*.toml')):
             scenario = _read_scenario(path)
             self.assertEqual(scenario['name'], path.stem)
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -58,13 +58,15 @@
 
 def _begun_at(*numbers: int) -> CaseUpdate:
     return CaseUpdate(
-        'a', tuple(Termination(_INCARNATIONS[one], True) for one in numbers)
+        'a',
+        tuple(Termination(_INCARNATIONS[number], True) for number in numbers),
     )
 
 
 def _unknown_at(*numbers: int) -> CaseUpdate:
     return CaseUpdate(
-        'a', tuple(Termination(_INCARNATIONS[one], False) for one in numbers)
+        'a',
+        tuple(Termination(_INCARNATIONS[number], False) for number in numbers),
     )
 
 
@@ -94,14 +96,14 @@
     """Merging sets of terminations from several nodes."""
 
     def test_three_begun_terminations_hold(self) -> None:
-        """Reported by three nodes, and again by each."""
+        """They do so at three instances; repeated reports change nothing."""
         cases = CaseRegistry()
         for number in (0, 1, 2, 0, 1, 2):
             cases.merge(_begun_at(number), is_own=False)
         self.assertIs(cases.verdict('a'), Verdict.HELD)
 
     def test_one_incarnation_counts_once(self) -> None:
-        """However many tries had begun there, and whoever reports it."""
+        """More tries there, or more reports of them, change nothing."""
         cases = CaseRegistry()
         for _number in range(9):
             cases.merge(_begun_at(0), is_own=True)
@@ -150,7 +152,7 @@
             )
 
     def test_terminations_are_explained_by_a_worse_case(self) -> None:
-        """A request beside one with more terminations is released."""
+        """A request is released if another explains all its terminations."""
         for update in (_begun_at(0, 1, 2), _unknown_at(0, 1, 2, 3)):
             with self.subTest(update=update):
                 cases = CaseRegistry()
@@ -196,10 +198,10 @@
 
 
 class TerminationProbeTest(unittest.TestCase):
-    """What a port shows about an incarnation."""
+    """What a connection attempt shows about an incarnation."""
 
     def test_only_a_refused_connection_is_proof(self) -> None:
-        """An accepted connection or a cut path proves nothing."""
+        """An accepted connection or no answer proves nothing."""
         for error, ended in (
             (None, False),
             (ConnectFailedError('no answer'), False),
@@ -207,17 +209,19 @@
         ):
             with self.subTest(error=error):
                 probe = TerminationProbe(_Port(error))
-                found = curio.run(probe.has_terminated, _listed_instance(0))
-                self.assertIs(found, ended)
+                has_terminated = curio.run(
+                    probe.has_terminated, _listed_instance(0)
+                )
+                self.assertIs(has_terminated, ended)
 
     def test_concurrent_probes_connect_once(self) -> None:
-        """Thirty requests that break off together connect once."""
+        """Thirty simultaneous probes open one connection."""
         port = _Port(ConnectRefusedError('nothing listens'))
         curio.run(_probe_together, TerminationProbe(port), 30)
         self.assertEqual(port.connections, 1)
 
     def test_old_results_are_pruned(self) -> None:
-        """Incarnations that are gone use no memory."""
+        """Results for incarnations that are not listed use no memory."""
         clock = _Clock()
         port = _Port(ConnectRefusedError('nothing listens'))
         probe = TerminationProbe(port, clock)
@@ -231,7 +235,7 @@
     """Which terminations count, and their consequences."""
 
     def test_unrelated_terminations_do_not_count(self) -> None:
-        """A long-running request, a planned stop, a target that lives on."""
+        """A long-running request, a planned stop, a target that still runs."""
         for seconds, is_leaving, error in (
             (0.6, False, ConnectRefusedError('nothing listens')),
             (0.1, True, ConnectRefusedError('nothing listens')),
@@ -308,9 +312,9 @@
         self.ended: set[Incarnation] = set()
 
     def pop_requests(self) -> dict[str, bool]:
-        """Return the requests at known terminations, and whether begun."""
+        """Return by request whether it had begun at a known termination."""
         updates = self.pending.pop_terminated(self.ended.__contains__)
-        return {one.identity: one.ends[0].begun for one in updates}
+        return {update.identity: update.ends[0].begun for update in updates}
 
     def test_termination_confirmed_later(self) -> None:
         """The break is counted once."""
@@ -351,7 +355,7 @@
     """Held requests survive the restart of all nodes."""
 
     def test_another_node_reads_the_row(self) -> None:
-        """A node that started since, or that no other node reaches."""
+        """It may have started later, or get no updates from other nodes."""
         table, cases = FakePlatform(), CaseRegistry()
         cases.merge(_begun_at(0, 1, 2), is_own=True)
         curio.run(HeldRows('n0', table, cases).write)
@@ -374,7 +378,7 @@
                 self.assertLessEqual(table.version, 2)
 
     def test_another_node_writes_if_the_finder_fails(self) -> None:
-        """It does so after some time."""
+        """It waits for two seconds first."""
         clock = _Clock()
         table, cases = FakePlatform(), CaseRegistry(clock)
         rows = HeldRows('n1', table, cases, clock)
@@ -386,7 +390,7 @@
         self.assertTrue(table.rows)
 
     def test_an_operator_releases_a_request(self) -> None:
-        """The row is not written again, and the case starts from nothing."""
+        """The row is not written again; earlier reports do not count."""
         for is_complete in (False, True):
             with self.subTest(is_complete=is_complete):
                 table, cases = FakePlatform(), CaseRegistry()
@@ -470,7 +474,7 @@
     clock: _Clock | None = None,
     progress_seconds: float = 0,
 ) -> None:
-    """Break an attempt off after its answer has progressed for a time."""
+    """Break an attempt off ``progress_seconds`` after its answer began."""
     with contextlib.suppress(TargetDisconnectedError):
         async with guard.watch(lambda: 'a', _listed_instance(number)) as watch:
             watch.record_begun()
--- a/tests/unit/test_readiness.py
+++ b/tests/unit/test_readiness.py
@@ -79,7 +79,7 @@
         self.assertFalse(self.node._is_ready())
 
     def test_descriptors_are_left_for_targets(self) -> None:
-        """A new configuration keeps the limit from the file descriptors."""
+        """A new configuration keeps the limit that leaves descriptors free."""
         self.assertLessEqual(self._connections(), 600)
         self.assertGreaterEqual(self._connections(), 500)
         self.file.write_bytes(_settings(max_descriptors=100))
--- a/tests/unit/test_rendezvous.py
+++ b/tests/unit/test_rendezvous.py
@@ -23,7 +23,7 @@
     """All nodes make the same choice without coordination."""
 
     def test_only_chosen_nodes_send(self) -> None:
-        """Each chosen node knows how many are chosen; no other node sends."""
+        """Chosen nodes get the number of chosen ones; others do not send."""
         for cluster_size in (4, 9, 78):
             cluster = SimulatedCluster.of(cluster_size)
             cluster.run(2)
--- a/tests/unit/test_replica_plan.py
+++ b/tests/unit/test_replica_plan.py
@@ -39,17 +39,17 @@
     """Instances of one failure domain."""
 
     def test_one_load_rather_than_three(self) -> None:
-        """Three that have the big model wait for one to load, not for all."""
+        """Three instances with the big model join one that must load it."""
         free_instances = [
             _free_instance(f'b{number}', BIG.name) for number in range(3)
         ]
-        found = _plan(*free_instances, _free_instance('new'), big=2, small=2)
-        self.assertEqual(len(found.replicas), 1)
-        self.assertEqual(found.replicas[0].model, BIG.name)
-        self.assertEqual(found.replicas[0].cold_members, 1)
+        new_plan = _plan(*free_instances, _free_instance('new'), big=2, small=2)
+        self.assertEqual(len(new_plan.replicas), 1)
+        self.assertEqual(new_plan.replicas[0].model, BIG.name)
+        self.assertEqual(new_plan.replicas[0].cold_members, 1)
 
     def test_survivors_of_one_model_serve_another(self) -> None:
-        """If that needs no load and their own model would."""
+        """They do if that needs no load, and their own model needs one."""
         free_instances = [
             _free_instance(f'b{number}', BIG.name) for number in range(3)
         ]
@@ -57,11 +57,11 @@
             attrs.evolve(instance, loaded=(BIG.name,), staged=(SMALL.name,))
             for instance in free_instances
         ]
-        found = _plan(*survivors, _free_instance('new'), big=3, small=3)
+        new_plan = _plan(*survivors, _free_instance('new'), big=3, small=3)
         self.assertEqual(
             [
                 (replica.model, replica.cold_members)
-                for replica in found.replicas
+                for replica in new_plan.replicas
             ],
             [(SMALL.name, 0)],
         )
@@ -76,9 +76,9 @@
             )
             for number in range(4)
         ]
-        found = _plan(*free_instances, big=5, small=5)
+        new_plan = _plan(*free_instances, big=5, small=5)
         self.assertEqual(
-            [replica.model for replica in found.replicas], [BIG.name]
+            [replica.model for replica in new_plan.replicas], [BIG.name]
         )
 
     def test_every_instance_gets_a_second_model(self) -> None:
@@ -149,11 +149,13 @@
             _free_instance(f'i{number}', staged, fabric)
             for number, (fabric, staged) in enumerate(kinds)
         ]
-        found = _plan(*free_instances)
-        roles = [member.id for new in found.replicas for member in new.members]
-        roles.extend(staging.instance.id for staging in found.stagings)
+        new_plan = _plan(*free_instances)
+        roles = [
+            member.id for new in new_plan.replicas for member in new.members
+        ]
+        roles.extend(staging.instance.id for staging in new_plan.stagings)
         self.assertEqual(len(roles), len(set(roles)))
-        for new in found.replicas:
+        for new in new_plan.replicas:
             fabrics = {member.fabric_domain for member in new.members}
             self.assertEqual(fabrics, {new.fabric_domain})
 
@@ -163,25 +165,29 @@
 
     def test_preempts_for_a_scarce_model(self) -> None:
         """Three members and a spare become a replica of four."""
-        found = _plan_preemption('big', 'r', spares=1, big=2, small=8)
-        self.assertEqual(found.preempted, ('r',))
-        self.assertEqual([replica.model for replica in found.replicas], ['big'])
+        new_plan = _plan_preemption('big', 'r', spares=1, big=2, small=8)
+        self.assertEqual(new_plan.preempted, ('r',))
+        self.assertEqual(
+            [replica.model for replica in new_plan.replicas], ['big']
+        )
 
     def test_preempts_two_for_one(self) -> None:
         """Six members without a spare become a replica of four, two spares."""
-        found = _plan_preemption('big', 'ab', spares=0, big=1, small=9)
-        self.assertEqual(found.preempted, ('a', 'b'))
-        self.assertEqual([replica.model for replica in found.replicas], ['big'])
+        new_plan = _plan_preemption('big', 'ab', spares=0, big=1, small=9)
+        self.assertEqual(new_plan.preempted, ('a', 'b'))
+        self.assertEqual(
+            [replica.model for replica in new_plan.replicas], ['big']
+        )
 
     def test_small_differences_are_ignored(self) -> None:
-        """They result from chance."""
-        found = _plan_preemption('big', 'r', spares=1, big=7, small=6)
-        self.assertEqual(found.preempted, ())
+        """Small differences in the numbers of replicas are due to chance."""
+        new_plan = _plan_preemption('big', 'r', spares=1, big=7, small=6)
+        self.assertEqual(new_plan.preempted, ())
 
     def test_no_preemption_if_the_other_must_load(self) -> None:
         """The load would cost more than the preemption gains."""
-        found = _plan_preemption('small', 'r', spares=1, big=2, small=8)
-        self.assertEqual(found.preempted, ())
+        new_plan = _plan_preemption('small', 'r', spares=1, big=2, small=8)
+        self.assertEqual(new_plan.preempted, ())
 
     def test_one_placer_at_a_time(self) -> None:
         """The effect of one preemption is awaited before the next."""
@@ -282,11 +288,11 @@
         self.assertTrue(self.stager.may_load(self.engine, 2, 4))
 
     def test_a_large_replica_may_load_alone(self) -> None:
-        """One that needs more loads than the limit does not wait for ever."""
+        """One that needs more loads than the limit does not wait endlessly."""
         engine = attrs.evolve(self.engine, loads_at_once=2)
         self.assertTrue(self.stager.may_load(engine, 3, 0))
 
     def test_free_before_traffic(self) -> None:
-        """Loads are not limited then."""
+        """The number of loads is not limited before the first request."""
         stager = attrs.evolve(self.stager, has_traffic=bool)
         self.assertTrue(stager.may_load(self.engine, 30, 30))
--- a/tests/unit/test_replica_reports.py
+++ b/tests/unit/test_replica_reports.py
@@ -33,9 +33,9 @@
         draining=st.booleans(),
     )
     return st.dictionaries(st.sampled_from(_NAMES), fields).map(
-        lambda found: {
+        lambda reports: {
             name: attrs.evolve(report, instance=name)
-            for name, report in found.items()
+            for name, report in reports.items()
         },
     )
 
@@ -79,16 +79,17 @@
         self,
         steps: list[dict[str, MemberReport]],
     ) -> None:
-        """It holds after any changes in any order."""
+        """The index finds the same replicas, whatever the changes."""
         index = ReplicaIndex()
         for reports in steps:
             for name in _NAMES:
                 index.update(name, reports.get(name), _INSTANCES)
             expected = {
-                one.key for one in complete_replicas(_INSTANCES, reports)
+                replica.key
+                for replica in complete_replicas(_INSTANCES, reports)
             }
             self.assertEqual(
-                {one.key for one in index.complete()},
+                {replica.key for replica in index.complete()},
                 expected,
             )
             self.assertEqual(dict(index.reports), reports)
@@ -98,7 +99,7 @@
     """How long a report is valid."""
 
     def setUp(self) -> None:
-        """Make a registry with a complete replica and a clock to set."""
+        """Make a registry with a complete replica and a simulated clock."""
         self.now = 100.0
         self.reports = ReportRegistry('own', lambda: self.now)
         self.reports.replace_instances(_INSTANCES.values())
@@ -109,7 +110,7 @@
     def test_fresh_reports_make_a_replica(self) -> None:
         """All members have just reported that they are ready."""
         self.assertEqual(
-            [one.id for one in self.reports.serving_replicas()], ['r']
+            [replica.id for replica in self.reports.serving_replicas()], ['r']
         )
 
     def test_unreachable_member_makes_a_replica_incomplete(self) -> None:
@@ -146,7 +147,7 @@
         self.assertEqual(self.reports.serving_replicas(), [])
         self.reports.remove_observation('e01', 'other')
         self.assertEqual(
-            [one.id for one in self.reports.serving_replicas()], ['r']
+            [replica.id for replica in self.reports.serving_replicas()], ['r']
         )
 
     def test_failure_of_another_node_counts_for_a_while(self) -> None:
@@ -156,5 +157,5 @@
         self.now += 4.1
         self.reports.tick()
         self.assertEqual(
-            [one.id for one in self.reports.serving_replicas()], ['r']
+            [replica.id for replica in self.reports.serving_replicas()], ['r']
         )
--- a/tests/unit/test_requests_without_target.py
+++ b/tests/unit/test_requests_without_target.py
@@ -1,9 +1,9 @@
-"""A request that reaches no target ends in an answer, and at once.
+"""A request that reaches no target is answered at once.
 
-A closed connection or a 500 tells a client nothing: it must not repeat a
-request that must not run twice, and does not know when to retry. Whatever goes
-wrong before a target is reached ends in a 503 with a retry time, or in a 4xx
-where the request itself is wrong.
+After a closed connection or a 500 a client cannot tell whether its request was
+run, must not repeat one that must not run twice, and has no retry time. So any
+failure before a target is reached is answered by a 503 with a retry time, or by
+a 4xx where the request itself is wrong.
 """
 
 import time
@@ -49,8 +49,10 @@
         'authorization': f'Bearer {KEY}',
         'content-length': '3',
     }
-    named = {name.replace('_', '-'): text for name, text in changes.items()}
-    return Request('POST', target, {**headers, **named}, b'abc')
+    changed_headers = {
+        name.replace('_', '-'): text for name, text in changes.items()
+    }
+    return Request('POST', target, {**headers, **changed_headers}, b'abc')
 
 
 class RequestsWithoutTargetTest(unittest.TestCase):
@@ -104,7 +106,7 @@
             self.assertIn(answer.status, {200, 400, 404}, target)
 
     def test_malformed_headers(self) -> None:
-        """A header with an unusable value does not cost the answer."""
+        """A request with an invalid header value still gets an answer."""
         for name, text in (
             ('token_usage', f'{"9" * 5000},1'),
             ('token_usage', f'{"9" * 400},{"9" * 400}'),
@@ -130,8 +132,8 @@
         testbed.config = attrs.evolve(CONFIG, holders=(holder,))
         answer = _ask(testbed, _request('/safe/x'))
         self.assertEqual(answer.status, 200)
-        seen = testbed.targets[0].received[0]
-        sent = seen.headers['tenant']
+        received = testbed.targets[0].received[0]
+        sent = received.headers['tenant']
         self.assertEqual(sent.encode('latin-1').decode(), 'Győr')
 
     def test_internal_error(self) -> None:
--- a/tests/unit/test_restarted_instances.py
+++ b/tests/unit/test_restarted_instances.py
@@ -1,8 +1,8 @@
-"""Instances that restart under their id are told apart by their start time.
+"""Instances that restart under their id differ by their start time.
 
 An instance that is killed may restart before its entry lapses. If nodes compare
 only ids, its replica is shut down as if the member had left in order, failures
-of the old process count against the new one, a loss that was found stays in
+of the old process count against the new one, a loss that was detected stays in
 effect for six seconds, and the members of a dead head wait 4.3 s for its end
 although the list shows that the head has restarted.
 """
@@ -79,7 +79,7 @@
         self.assertEqual(self.fleet.instances['i1'].loaded, ())
 
     def test_restart_after_the_entry_lapsed(self) -> None:
-        """What was known of the old incarnation is not applied to the new one."""
+        """The state of the old incarnation is not applied to the new one."""
         self.fleet.apply_instances({'i1': None}, False)
         self._apply_entries(_entry('i1', _SECOND_START, is_member=False))
         self.assertTrue(self.fleet.is_stopped(('r-1', 1)))
@@ -99,7 +99,7 @@
         self.assertEqual(self._heads(), ())
 
     def test_delayed_write_of_an_unknown_incarnation(self) -> None:
-        """The entry has no effect before it has stood for two heartbeats."""
+        """The entry has no effect until it is unchanged for two heartbeats."""
         self._apply_entries(_entry('i1', _FIRST_START // 2, is_member=False))
         self.now += _SHORT_SECONDS
         self.fleet.process_timeouts()
@@ -110,7 +110,7 @@
         self.assertEqual(len(self._heads()), 1)
 
     def test_restart_with_a_clock_set_back(self) -> None:
-        """An earlier start time is accepted once its entry has stood long enough."""
+        """An earlier start time is accepted once its entry stays unchanged."""
         self._apply_entries(_entry('i1', _FIRST_START // 2, is_member=False))
         self.now += _LONG_SECONDS
         self.fleet.process_timeouts()
@@ -139,7 +139,7 @@
         self.assertEqual(self.fleet.instances['i1'].born, _FIRST_START)
 
     def test_restart_of_a_lost_instance(self) -> None:
-        """A loss found for the old incarnation does not apply to the new one."""
+        """A loss of the old incarnation does not apply to the new one."""
         failure_detector = FailureDetector(self.fleet, _ignore)
         failure_detector.report_lost('i1', 'a test says so')
         self.assertEqual(failure_detector.lost_instances(), {'i1'})
@@ -164,8 +164,8 @@
         fleet = self.testbed.fleet
         fleet.apply_instances(
             {
-                name: attrs.evolve(one, born=_FIRST_START)
-                for name, one in fleet.instances.items()
+                name: attrs.evolve(instance, born=_FIRST_START)
+                for name, instance in fleet.instances.items()
             },
             True,
         )
@@ -189,7 +189,7 @@
         self.assertEqual(self.testbed.engines.violations, [])
 
     def test_dead_head_is_not_ordered_repeatedly(self) -> None:
-        """It was ordered to leave every half second until its end."""
+        """It gets one order to leave, not one every half second."""
         curio.run(self._lose_head)
         leaves = [
             name
@@ -199,7 +199,10 @@
         self.assertLessEqual(len(leaves), 1)
 
     def test_dead_replica_is_not_ordered_member_by_member(self) -> None:
-        """Each order timed out after 0.4 s, so 15 members took 6 s per round."""
+        """At most two members get an order to leave.
+
+        Each order timed out after 0.4 s, so 15 members took 6 s per round.
+        """
         curio.run(self._lose_all_members)
         ordered = [
             name
@@ -260,7 +263,9 @@
 
     def _is_replaced(self, old: ServingHead) -> bool:
         heads = self.testbed.fleet.heads(SERVICE, BIG.name)
-        states = {one.state for one in self.testbed.fleet.records.values()}
+        states = {
+            record.state for record in self.testbed.fleet.records.values()
+        }
         return (
             bool(heads)
             and heads[0].replica_epoch != old.replica_epoch
@@ -269,7 +274,7 @@
 
 
 class LearnedStateTest(unittest.TestCase):
-    """What a node has learned about an incarnation."""
+    """The state that a node keeps for an incarnation."""
 
     def test_failures_and_silence(self) -> None:
         """Failures are those of the old incarnation; the new one is used normally."""
--- a/tests/unit/test_restored_list.py
+++ b/tests/unit/test_restored_list.py
@@ -22,7 +22,7 @@
 
 
 class RestoredListTest(unittest.TestCase):
-    """What was known before the restore stays in effect."""
+    """The state from before the restore stays in effect."""
 
     def setUp(self) -> None:
         """List three instances."""
@@ -86,4 +86,6 @@
         self.assertEqual(self._available(), {'b'})
 
     def _available(self) -> set[str]:
-        return {one.id for one in self.instance_list.available(SERVICE)}
+        return {
+            instance.id for instance in self.instance_list.available(SERVICE)
+        }
--- a/tests/unit/test_restored_records.py
+++ b/tests/unit/test_restored_records.py
@@ -23,12 +23,12 @@
 
 _TARGET_SECONDS = 1.0
 _WATCH_SECONDS = 1.5
-# The list is awaited, then the head that lacks a member has to break.
+# Time to wait for the list, and then for the head without a member to break.
 _END_SECONDS = 8.0
 
 
 class RestoredRecordsTest(TestCase):
-    """Serving replicas continue, and those given up do not return."""
+    """Serving replicas continue, and stopped ones do not start again."""
 
     def setUp(self) -> None:
         """Build a testbed with replicas to be formed."""
@@ -41,7 +41,7 @@
         self.assertEqual(self._recorded(), self._serving())
 
     def test_a_successor_rewrites_missing_records(self) -> None:
-        """It knows the replicas from before the restore and keeps them."""
+        """It has read the records before the restore and keeps the replicas."""
         self._run_scenario(self._replace_placer)
         self.assertEqual(self._recorded(), self._serving())
 
@@ -178,7 +178,7 @@
         self.assertIs(transition.state, RecordState.CLOSING)
 
     async def _restart(self, *excluded: str) -> None:
-        """Start another node that knows only the instance list."""
+        """Start another node that has read only the instance list."""
         await self.running.cancel()
         testbed = self.testbed
         testbed.has_traffic = True
--- a/tests/unit/test_restored_rows.py
+++ b/tests/unit/test_restored_rows.py
@@ -24,7 +24,7 @@
         self.rows = HeldRows('n0', self.table, self.cases, self.clock)
 
     def test_a_held_request_missing_from_the_copy(self) -> None:
-        """Nobody has released it: it stays held, its row is written again."""
+        """It was not released: it stays held, and its row is written again."""
         self._hold(is_own=True)
         self.table.restore(self.empty)
         self.rows.restore(dict(self.table.rows))
@@ -34,7 +34,7 @@
         self.assertTrue(self.table.rows)
 
     def test_another_node_writes_the_missing_row(self) -> None:
-        """The node that found it is gone, long after it was held."""
+        """The node that detected it has stopped, long after it was held."""
         self._hold(is_own=False)
         self.clock.now += 300
         self.table.restore(self.empty)
--- a/tests/unit/test_settings.py
+++ b/tests/unit/test_settings.py
@@ -93,15 +93,15 @@
 
     def test_hang_up_signal_does_not_stop_the_process(self) -> None:
         """SIGHUP calls the handler, and the process continues."""
-        told: list[int] = []
-        curio.run(self._hang_up, told)
-        self.assertEqual(told, [1])
+        handler_calls: list[int] = []
+        curio.run(self._hang_up, handler_calls)
+        self.assertEqual(handler_calls, [1])
 
-    async def _hang_up(self, told: list[int]) -> None:
-        async with stop_signal(lambda: told.append(1)) as stop:
+    async def _hang_up(self, handler_calls: list[int]) -> None:
+        async with stop_signal(lambda: handler_calls.append(1)) as stop:
             waiting = await curio.spawn(stop.wait)
             os.kill(os.getpid(), signal.SIGHUP)
-            await until(lambda: told)
+            await until(lambda: handler_calls)
             self.assertFalse(waiting.terminated)
             os.kill(os.getpid(), signal.SIGTERM)
             await waiting.join()
--- a/tests/unit/test_source_follower.py
+++ b/tests/unit/test_source_follower.py
@@ -47,18 +47,20 @@
         self._count_read()
         if self.history_lost:
             self.history_lost = False
-            raise HistoryLostError('gone')
+            raise HistoryLostError('the requested history was discarded')
         for _turn in range(self.wait_turns):
-            found = {key: one for at, key, one in self._changes if at > since}
-            if found:
-                return Changes(self.version, found)
+            changed = {
+                key: text for at, key, text in self._changes if at > since
+            }
+            if changed:
+                return Changes(self.version, changed)
             await curio.sleep(0.01)
         return Changes(self.version, {})
 
     def _count_read(self) -> None:
         self.reads += 1
         if self.down:
-            raise PlatformUnavailableError('down')
+            raise PlatformUnavailableError('the source is down')
 
 
 class ItemRecorder(dict[str, str]):
@@ -96,7 +98,7 @@
             self.second_items,
             UpdateSharing(
                 self._announced_version,
-                lambda _news: None,
+                lambda _update: None,
                 takeover_rank=lambda: self.takeover_rank,
             ),
         )
@@ -104,16 +106,16 @@
     def _make_follower(
         self,
         source: FakeSource,
-        held: ItemRecorder,
-        feeding: UpdateSharing[str],
+        recorder: ItemRecorder,
+        sharing: UpdateSharing[str],
     ) -> SourceFollower[str]:
         return SourceFollower(
             'a source',
             source,
-            held.take,  # type: ignore[arg-type]
+            recorder.take,  # type: ignore[arg-type]
             random.Random(1),
             0,
-            feeding,
+            sharing,
         )
 
     def _announced_version(self) -> int | None:
@@ -128,7 +130,7 @@
     """A follower converges to the contents of its source."""
 
     def test_history_lost(self) -> None:
-        """A new snapshot is read, and items removed meanwhile are gone."""
+        """A new snapshot is read, and items removed meanwhile are dropped."""
         curio.run(self._lose_history)
 
     def test_few_reads_while_the_list_grows(self) -> None:
@@ -137,8 +139,8 @@
         started = time.monotonic()
         curio.run(self._grow_list, followers)
         # One at once, then one every 0.15 s of however long it took.
-        most = 1 + (time.monotonic() - started) / 0.15
-        self.assertLessEqual(followers.source.reads, most)
+        max_reads = 1 + (time.monotonic() - started) / 0.15
+        self.assertLessEqual(followers.source.reads, max_reads)
         self.assertEqual(len(followers.first_items), 61)
 
     def test_outage(self) -> None:
@@ -152,11 +154,14 @@
     def test_one_read_if_a_reader_is_announced_soon_after_the_start(
         self,
     ) -> None:
-        """Nodes kept reading until a relay announced the shared reader."""
+        """A node reads once and then waits for the announcement.
+
+        Nodes kept reading until a relay announced the shared reader.
+        """
         curio.run(self._announce_late)
 
     def test_only_the_first_in_rank_takes_over(self) -> None:
-        """When the shared reader is gone, nodes with a later rank wait."""
+        """Without an announced reader, nodes with a later rank wait."""
         curio.run(self._lose_reader_twice)
 
     def test_lost_update_is_read(self) -> None:
@@ -164,17 +169,17 @@
         curio.run(self._lose_update)
 
     def test_shared_reader_gone(self) -> None:
-        """A node reads the source at once when the shared reader is gone."""
+        """A node reads at once when no shared reader is announced any more."""
         curio.run(self._lose_reader)
 
     def test_complete_update_is_the_first_of_an_era(self) -> None:
         """A node that missed the restore keeps items the store may lack."""
-        held = ItemRecorder()
+        recorder = ItemRecorder()
         restored: list[dict[str, str]] = []
         follower = SourceFollower(
             'a source',
             FakeSource(),
-            held.take,  # type: ignore[arg-type]
+            recorder.take,  # type: ignore[arg-type]
             random.Random(1),
             apply_restored=lambda items: restored.append(dict(items)),
         )
@@ -184,50 +189,50 @@
         follower.apply_update(
             SourceUpdate(9, later, differences, Extent.COMPLETE, 9)
         )
-        self.assertEqual(held, {'a': '1'})
+        self.assertEqual(recorder, {'a': '1'})
         self.assertEqual(restored, [{'b': '2'}])
         follower.apply_update(
             SourceUpdate(later, later, {}, Extent.COMPLETE, later)
         )
-        self.assertEqual(held, {'b': '2'})
+        self.assertEqual(recorder, {'b': '2'})
 
     def test_differences_after_first_reads_of_other_versions(self) -> None:
         """An update applies if no change lies between the versions read."""
-        held = ItemRecorder()
+        recorder = ItemRecorder()
         follower = SourceFollower(
             'a source',
             FakeSource(),
-            held.take,  # type: ignore[arg-type]
+            recorder.take,  # type: ignore[arg-type]
             random.Random(1),
         )
         follower._apply_snapshot(9, {'a': '1'}, Extent.COMPLETE)
         follower.apply_update(
             SourceUpdate(7, 12, {'b': '2'}, Extent.COMPLETE, 10)
         )
-        self.assertEqual(held, {'a': '1', 'b': '2'})
+        self.assertEqual(recorder, {'a': '1', 'b': '2'})
 
     def test_differences_from_something_else(self) -> None:
         """An update is ignored by a node that has missed an earlier change."""
-        held = ItemRecorder()
+        recorder = ItemRecorder()
         follower = SourceFollower(
             'a source',
             FakeSource(),
-            held.take,  # type: ignore[arg-type]
+            recorder.take,  # type: ignore[arg-type]
             random.Random(1),
         )
         follower._apply_snapshot(9, {'a': '1'}, Extent.COMPLETE)
         follower.apply_update(
             SourceUpdate(10, 12, {'b': '2'}, Extent.COMPLETE, 11)
         )
-        self.assertEqual(held, {'a': '1'})
+        self.assertEqual(recorder, {'a': '1'})
         follower.apply_update(
             SourceUpdate(6, 12, {'b': '2'}, Extent.COMPLETE, 8)
         )
-        self.assertEqual(held, {'a': '1'})
+        self.assertEqual(recorder, {'a': '1'})
         follower.apply_update(
             SourceUpdate(9, 12, {'b': '2'}, Extent.COMPLETE, 9)
         )
-        self.assertEqual(held, {'a': '1', 'b': '2'})
+        self.assertEqual(recorder, {'a': '1', 'b': '2'})
 
     def test_update_survives_encoding(self) -> None:
         """List entries are equal after encoding and decoding."""
--- a/tests/unit/test_stalls.py
+++ b/tests/unit/test_stalls.py
@@ -74,7 +74,7 @@
     """A replica that lost a member but still accepts connections."""
 
     def test_new_requests_avoid_a_stalled_replica(self) -> None:
-        """Requests sent to it missed their objective for over a second."""
+        """Otherwise requests miss their objective there for over a second."""
         testbed = GatewayTestbed(_never_called, _never_called)
         stalled = Incarnation(testbed.targets[0].name)
         with contextlib.ExitStack() as streams:
@@ -93,12 +93,12 @@
     """A failure domain is cut off while its targets are still listed."""
 
     def test_one_failed_connection_ejects(self) -> None:
-        """Each request that tried such a target missed its objective."""
+        """Otherwise each request tried there first misses its objective."""
         ejection = OutlierEjection()
         ejection.record_failure('cut', reached=False)
         ejection.record_failure('failing')
-        left = ejection.without_ejected([_Named('cut'), _Named('failing')])
-        self.assertEqual([target.id for target in left], ['failing'])
+        remaining = ejection.without_ejected([_Named('cut'), _Named('failing')])
+        self.assertEqual([target.id for target in remaining], ['failing'])
 
 
 class _Named:
--- a/tests/unit/test_store_reachability.py
+++ b/tests/unit/test_store_reachability.py
@@ -32,11 +32,11 @@
             SourceFollower(
                 name,
                 self.source,
-                held.take,  # type: ignore[arg-type]
+                recorder.take,  # type: ignore[arg-type]
                 random.Random(name),
                 reachability=self.reachability,
             )
-            for name, held in self.held.items()
+            for name, recorder in self.held.items()
         ]
 
     async def run(self) -> curio.TaskGroup:
@@ -48,7 +48,7 @@
 
     def all_synced(self) -> bool:
         """Return whether each reader has read the store."""
-        return all(held == {'a': '1'} for held in self.held.values())
+        return all(recorder == {'a': '1'} for recorder in self.held.values())
 
 
 class VersionBurstTest(TestCase):
@@ -64,29 +64,29 @@
 
     async def _publish_burst(self) -> None:
         source = FakeSource(items={'a': '0'})
-        held = ItemRecorder()
+        recorder = ItemRecorder()
         follower = SourceFollower(
             'configuration',
             source,
-            held.take,  # type: ignore[arg-type]
+            recorder.take,  # type: ignore[arg-type]
             random.Random(1),
             _CONFIG_MIN_INTERVAL_SECONDS,
         )
         task = await curio.spawn(follower.run)
         await curio.sleep(1)
         source.put('a', '1')
-        await until(lambda: held == {'a': '1'}, 0.3)
+        await until(lambda: recorder == {'a': '1'}, 0.3)
         before = source.reads
         for number in range(2, 22):
             source.put('a', str(number))
             await curio.sleep(0.05)
-        await until(lambda: held == {'a': '21'}, 1)
+        await until(lambda: recorder == {'a': '21'}, 1)
         self.assertLessEqual(source.reads - before, 5)
         await task.cancel()
 
 
 class StoreReachabilityTest(TestCase):
-    """One reader retries; all read soon after the store has returned."""
+    """One reader retries; all read soon after the store is reachable again."""
 
     def test_one_reader_polls_an_unreachable_store(self) -> None:
         """Each reader tries once, then one of them retries."""
--- a/tests/unit/test_surplus_responses.py
+++ b/tests/unit/test_surplus_responses.py
@@ -103,7 +103,7 @@
     targets = [target]
     if has_sound_target:
         targets.append(ScriptedService(_ANY_PORT, _STYLE))
-    others = {f's{number}': one for number, one in enumerate(targets)}
+    others = {f's{number}': instance for number, instance in enumerate(targets)}
     sequence = _CallSequence(paths, targets, len(script) + _MAX_LATE_FAILURES)
     curio.run(
         GatewayTestbed(service=PLAIN, other_targets=others).run, sequence.run
@@ -138,7 +138,7 @@
                 self._assert_own_responses(ScriptedResponse(surplus))
 
     def test_truncated_surplus_response_costs_one_call(self) -> None:
-        """A non-repeatable call fails because of one once at most.
+        """At most one non-repeatable call fails because of such responses.
 
         The first such response cannot be detected before the call that it
         breaks.
@@ -148,7 +148,7 @@
             itertools.repeat(ScriptedResponse((cut,)), 6),
             _paths('/unsafe/x', 6),
         )
-        lost = [one.status for one in answers if one.status != 200]
+        lost = [answer.status for answer in answers if answer.status != 200]
         self.assertLessEqual(len(lost), 1)
 
     def test_desynchronized_connection_is_closed(self) -> None:
@@ -176,19 +176,19 @@
         self._assert_own_or_failed(non_repeatable)
         self.assertLessEqual(max(target.run_counts.values()), 1)
         after = non_repeatable[len(responses) + _MAX_LATE_FAILURES :]
-        self.assertEqual({one.status for one in after}, {200})
+        self.assertEqual({answer.status for answer in after}, {200})
         repeatable, _ = _make_calls(
             responses, _paths('/safe/x', count), has_sound_target=True
         )
         self._assert_own_or_failed(repeatable)
-        self.assertEqual({one.status for one in repeatable}, {200})
+        self.assertEqual({answer.status for answer in repeatable}, {200})
 
     def _assert_own_responses(self, response: ScriptedResponse) -> None:
         for path in ('/safe/x', '/unsafe/x'):
             answers, _ = _make_calls(
                 itertools.repeat(response, 3), _paths(path, 4)
             )
-            self.assertEqual({one.status for one in answers}, {200})
+            self.assertEqual({answer.status for answer in answers}, {200})
             self._assert_own_or_failed(answers)
 
     def _assert_own_or_failed(self, answers: Sequence[ClientAnswer]) -> None:
--- a/tests/unit/test_suspension.py
+++ b/tests/unit/test_suspension.py
@@ -1,9 +1,9 @@
-"""A node that was suspended does not take its knowledge for recent.
+"""A node that was suspended does not treat its state as recent.
 
 The monotonic clock does not advance during a suspension, so times measured by
 it are too short after a resume. A placer that resumed after eight seconds used
 a lease that another had taken meanwhile, a call got more time than its client
-had left, and connections and nodes looked recent that were long gone.
+had left, and closed connections and dead nodes counted as recent.
 """
 
 import contextlib
--- a/tests/unit/test_sweeper.py
+++ b/tests/unit/test_sweeper.py
@@ -52,8 +52,10 @@
         """After a day the claims are deleted."""
         self.now += _DAY + 180
         self._sweep()
-        left = [key for key in self.platform.rows if key.startswith('claim/')]
-        self.assertEqual(left, [])
+        remaining = [
+            key for key in self.platform.rows if key.startswith('claim/')
+        ]
+        self.assertEqual(remaining, [])
         self.assertIsInstance(
             curio.run(self.claims.acquire, _CALL), AcquiredClaim
         )
--- a/tests/unit/test_target_backoff.py
+++ b/tests/unit/test_target_backoff.py
@@ -1,12 +1,11 @@
 """A target in back-off gets no requests from the node that it refused.
 
 Replica heads refused all requests with a back-off of three seconds, and single
-nodes sent them up to six more in that time, as a target that refuses
-everything looks idle; clients were told to retry after 0.2 s each time. A
-refusal counted as one failure, three in a row ejected a target for a second,
-and where all targets were ejected all were used. Now a back-off is kept by
-node and incarnation, and is checked before every choice and once more before
-sending.
+nodes sent them up to six more in that time, as a target that refuses everything
+looks idle; clients got a retry time of 0.2 s each time. A refusal counted as
+one failure, three in a row ejected a target for a second, and where all targets
+were ejected all were used. Now a back-off is kept by node and incarnation, and
+is checked before every choice and once more before sending.
 """
 
 import functools
@@ -43,7 +42,7 @@
 
 
 class TargetBackoffTest(unittest.TestCase):
-    """Four nodes before ten targets, 120 requests a second."""
+    """Four nodes with ten targets at 120 requests per second."""
 
     answers: Sequence[ClientAnswer]
 
@@ -62,20 +61,20 @@
         self.assertLessEqual(len(refused), len(deployment.nodes))
 
     def test_all_targets_back_off(self) -> None:
-        """No target gets requests, and clients are told when to retry."""
+        """No target gets requests, and clients get a retry time."""
         deployment = self._run(_ALL_TARGETS)
         max_requests = deployment.max_in_backoff(
             _BACKOFF_SECONDS, _GRACE_SECONDS
         )
         self.assertLessEqual(max_requests, _MAX_REQUESTS)
         refused = deployment.not_served(self.answers)
-        self.assertEqual({one.status for one in refused}, {503})
+        self.assertEqual({answer.status for answer in refused}, {503})
         # Each node meets each target once and knows all back-offs then; take
         # the first second, while every back-off lasts another two.
         early = refused[
             len(deployment.nodes) * len(_ALL_TARGETS) : _REQUESTS_PER_SECOND
         ]
-        retry_times = [float(one.headers['retry-after']) for one in early]
+        retry_times = [float(answer.headers['retry-after']) for answer in early]
         self.assertGreater(min(retry_times), _MIN_RETRY_SECONDS)
 
     def _run(self, names: Collection[str]) -> ThrottlingDeployment:
--- a/tests/unit/test_target_throttle.py
+++ b/tests/unit/test_target_throttle.py
@@ -35,7 +35,7 @@
         return self.now
 
     def test_back_off_ends(self) -> None:
-        """Nothing is sent until then, and the remaining time is known."""
+        """Nothing is sent until then, and the remaining time is returned."""
         self.assertFalse(self.throttle.accepts(_INCARNATION))
         self.now = 12
         self.assertEqual(self.throttle.seconds_until_accepted(_INCARNATION), 1)
@@ -50,7 +50,7 @@
         self.assertFalse(self.throttle.accepts(_INCARNATION))
 
     def test_a_later_back_off_only_extends_it(self) -> None:
-        """Responses overtake each other."""
+        """Responses may arrive in another order than they were sent."""
         self.now = 12
         brief = attrs.evolve(_REFUSAL, backoff_seconds=0.1)
         self.throttle.record_response(_INCARNATION, brief, 11)
@@ -59,16 +59,16 @@
         self.assertEqual(self.throttle.seconds_until_accepted(_INCARNATION), 3)
 
     def test_another_incarnation_is_not_backed_off_from(self) -> None:
-        """What restarts under the same id has not asked for a back-off."""
+        """An instance that restarted under its id has not requested it."""
         self.assertTrue(self.throttle.accepts(Incarnation('i1', 8)))
 
     def test_the_share_of_a_limit_is_logged(self) -> None:
-        """No log line showed what a node may send."""
+        """A log line shows the share of the limit that the node may send."""
         limited = ResponseInfo('r1', True, False, limit=2)
         with self.assertLogs('cranecart.decisions', 'INFO') as captured:
             self.throttle.record_response(_INCARNATION, limited, 9)
-        fields = map(operator.attrgetter('fields'), captured.records)
-        shares = [one for one in fields if one['event'] == 'target_share']
+        events = map(operator.attrgetter('fields'), captured.records)
+        shares = [event for event in events if event['event'] == 'target_share']
         self.assertEqual(len(shares), 1)
         self.assertEqual(shares[0]['per_second'], 2)
         self.assertEqual(shares[0]['nodes'], 1)
@@ -135,8 +135,8 @@
             )
         )
         for limit in (50, 2):
-            facts = ResponseInfo('r1', True, False, limit=limit)
-            throttle.record_response(_INCARNATION, facts, time.monotonic() + 60)
+            info = ResponseInfo('r1', True, False, limit=limit)
+            throttle.record_response(_INCARNATION, info, time.monotonic() + 60)
         self.assertEqual(requested, [12, 1])
 
 
@@ -157,7 +157,11 @@
     def test_no_other_target_is_left(self) -> None:
         """A stream has no other target if that one is backed off from."""
         testbed = GatewayTestbed(_serve, _serve)
-        route = next(one for one in CONFIG.routes if one.name == 'stream')
+        route = next(
+            candidate
+            for candidate in CONFIG.routes
+            if candidate.name == 'stream'
+        )
         request = RoutingRequest(CONFIG, route, 'drafts', MODEL, 100, 2)
         arguments = (CONFIG, 'drafts', MODEL, ['i0'])
         self.assertTrue(testbed.router.has_untried_target(*arguments))
@@ -176,7 +180,7 @@
 
 @attrs.define(kw_only=True)
 class SlowConnections(TargetConnectionPool):
-    """Another response of the first target asks for back-off meanwhile."""
+    """A pool in which a back-off arrives while a connection is acquired."""
 
     throttle: TargetThrottle
 
--- a/tests/unit/test_transport.py
+++ b/tests/unit/test_transport.py
@@ -1,4 +1,4 @@
-"""Transport between nodes when connections go silent or are closed."""
+"""Transport between nodes when connections stall or are closed."""
 
 import time
 import unittest
@@ -79,10 +79,15 @@
         self.addCleanup(addresses.release)
         curio.run(self._run, addresses.take(), addresses.take())
 
-    async def _run(self, one: Address, other: Address) -> None:
-        sender, receiver = _make_transport(one), _make_transport(other)
+    async def _run(
+        self, sender_address: Address, receiver_address: Address
+    ) -> None:
+        sender, receiver = (
+            _make_transport(sender_address),
+            _make_transport(receiver_address),
+        )
         for message in (1, 2):
-            sender.send_all((str(other),), message)
+            sender.send_all((str(receiver_address),), message)
             received = await curio.timeout_after(
                 _TIMEOUT_SECONDS, receiver.receive
             )
--- a/tests/unit/test_wire_names.py
+++ b/tests/unit/test_wire_names.py
@@ -28,13 +28,13 @@
 
     def test_only_in_the_adapter(self) -> None:
         """Code outside of the adapter uses the ports instead."""
-        found = [
+        occurrences = [
             f'{file.relative_to(_ROOT)}: {match.group()}'
             for file in sorted(_ROOT.rglob('*.py'))
             if _ADAPTER not in file.parents
             for match in _NAMES.finditer(file.read_text('utf-8'))
         ]
-        self.assertEqual(found, [])
+        self.assertEqual(occurrences, [])
 
     def test_names_are_found_in_the_adapter(self) -> None:
         """The search finds names where they are expected."""
--- a/tests/unit/test_write_batcher.py
+++ b/tests/unit/test_write_batcher.py
@@ -13,7 +13,7 @@
 
 @attrs.define
 class _SlowPlatform(FakePlatform):
-    """Is so slow that others are queued during the first commit."""
+    """A platform so slow that others are queued during the first commit."""
 
     async def commit(self, transaction: Transaction) -> int:
         """Commit a transaction after a delay."""
