--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -182,7 +182,8 @@
     text = path.read_text('utf-8')
     if text.count(mechanism.original) != 1:
         raise LookupError(
-            f'{mechanism.name}: expected one occurrence in {mechanism.file}'
+            f'{mechanism.name}: expected the original text once in '
+            f'{mechanism.file}, found it {text.count(mechanism.original)} times'
         )
     edited = text.replace(mechanism.original, mechanism.replacement)
     path.write_text(edited, 'utf-8')
--- a/tools/bench/_control.py
+++ b/tools/bench/_control.py
@@ -30,9 +30,9 @@
 ORGANISATION_SIZES = (2, 50, 200, 600)
 _FIXED_NODES = 4
 _PARALLEL_CLUSTERS = 3
-_MAX_QUIET_CHECKS = 25
-_QUIET_BYTES_PER_SECOND = 4000
-_QUIET_CHECK_SECONDS = 2.0
+_MAX_IDLE_CHECKS = 25
+_IDLE_BYTES_PER_SECOND = 4000
+_IDLE_CHECK_SECONDS = 2.0
 
 Rates = dict[str, float]
 Points = list[tuple[int, Rates]]
@@ -89,7 +89,7 @@
         nodes, instances, declarations or _declare_without_models()
     ) as cluster:
         time.sleep(_SETTLE_SECONDS)
-        _wait_until_quiet(cluster)
+        _wait_until_idle(cluster)
         pid = cluster.processes['node1'].popen.pid
         admin = cluster.endpoints['node1'].operators
         before = Usage.of_node(pid, admin)
@@ -106,15 +106,18 @@
     return rates
 
 
-def _wait_until_quiet(cluster: LocalCluster) -> None:
-    """Wait until gossip about the start has died down."""
+def _wait_until_idle(cluster: LocalCluster) -> None:
+    """Wait until the traffic caused by the start has subsided.
+
+    Returns in any case after the maximum number of checks.
+    """
     pid = cluster.processes['node1'].popen.pid
     admin = cluster.endpoints['node1'].operators
-    for _ in range(_MAX_QUIET_CHECKS):
+    for _ in range(_MAX_IDLE_CHECKS):
         before = Usage.of_node(pid, admin)
-        time.sleep(_QUIET_CHECK_SECONDS)
+        time.sleep(_IDLE_CHECK_SECONDS)
         rates = Usage.of_node(pid, admin).rates_since(before)
-        if rates['peer_bytes_sent'] < _QUIET_BYTES_PER_SECOND:
+        if rates['peer_bytes_sent'] < _IDLE_BYTES_PER_SECOND:
             return
 
 
--- a/tools/bench/_plain.py
+++ b/tools/bench/_plain.py
@@ -2,8 +2,9 @@
 
 Random faults over half a minute: an instance that flaps and resets connections
 while it is down, one that drops responses after the call has run, one that
-returns errors for a share of the calls. Many nodes each send few calls, so what
-a node observes itself is of little use. Reported are failed calls per thousand.
+returns errors for a share of the calls. Each of many nodes sends few calls, too
+few to detect a fault alone. The result is the number of failed calls per
+thousand.
 """
 
 import random
@@ -21,7 +22,7 @@
 _SIMULATED_SECONDS = 30.0
 # Four of five calls must not run twice, as in the users' workload.
 _NON_REPEATABLE_SHARE = 0.8
-# From a failed connection until its report has reached all nodes.
+# Time from a failed connection until its report has reached all nodes.
 _REPORT_DELAY_SECONDS = 0.02
 _PER_THOUSAND = 1000
 # Ranges of random faults, close to those of the external benchmark.
--- a/tools/bench/_start.py
+++ b/tools/bench/_start.py
@@ -46,7 +46,7 @@
 
 
 def measure() -> dict[str, float]:
-    """Return the start with the median processor time."""
+    """Return the times of the start with the median processor time, in ms."""
     _compile_bytecode()
     costs = sorted(
         (_measure_start() for _repetition in range(_REPETITIONS)),
--- a/tools/chaos.py
+++ b/tools/chaos.py
@@ -133,7 +133,11 @@
         return self._random.choice(sorted(self._cluster.endpoints))
 
     async def _random_member(self, rank: int) -> str:
-        """Return a member of a replica that a node currently routes to."""
+        """Return a member of a replica that a node currently routes to.
+
+        If no node routes to a replica of the chosen failure domain, the
+        instance with the number of the rank is returned.
+        """
         domain = self._random.choice(DOMAINS)
         for node in self._cluster.endpoints:
             replicas = await self._cluster.control.fetch_replicas(node)
--- a/tools/checks.py
+++ b/tools/checks.py
@@ -78,11 +78,11 @@
     A functional test runs alone, unless its class has a class-level fixture:
     then the class is run as a whole. Other suites are split by module.
     """
-    found = unittest.defaultTestLoader.discover(
+    discovered = unittest.defaultTestLoader.discover(
         str(_ROOT / 'tests' / suite),
         top_level_dir=str(_ROOT),
     )
-    return {_unit_name(test) for test in _iterate_tests(found)}
+    return {_unit_name(test) for test in _iterate_tests(discovered)}
 
 
 def run_test_unit(unit: str) -> UnitOutcome:
@@ -150,7 +150,7 @@
     if len(lines) > _MAX_KNOWN_FAILURES:
         sys.exit(
             f'{_KNOWN_FAILURES_FILE.name} must not list more than '
-            f'{_MAX_KNOWN_FAILURES} tests',
+            f'{_MAX_KNOWN_FAILURES} tests, found {len(lines)}',
         )
     return {line.split(',')[0].strip(): line for line in lines}
 
--- a/tools/downtime.py
+++ b/tools/downtime.py
@@ -66,7 +66,9 @@
     events: Iterable[Mapping[str, Any]],
     ended_at: float,
 ) -> GroupTimes:
-    """Sum the time replicas did not serve since they first did.
+    """Return the downtime of replicas and the idle time of instances.
+
+    The downtime of a replica counts from the first time that it serves.
 
     A killed process records nothing, so the killer of an instance writes a
     ``lost`` event on its behalf.
--- a/tools/kinds.py
+++ b/tools/kinds.py
@@ -82,7 +82,7 @@
 def scenarios(
     rows: Sequence[_Fields], site: _Fields
 ) -> Iterator[FaultScenario]:
-    """Return a scenario for each variant and target of each row."""
+    """Yield a scenario for each variant and target of each row."""
     for row in rows:
         fault_fields = {
             name: row[name] for name in row if name not in _TABLE_FIELDS
--- a/tools/plays.py
+++ b/tools/plays.py
@@ -40,7 +40,10 @@
 
     @property
     def worth(self) -> float | None:
-        """Return the score: value earned minus costs, by value due."""
+        """Return the score, or None without a report.
+
+        It is the value earned minus the costs, by the value due.
+        """
         return self.report.get('G')
 
     @property
--- a/tools/repairs.py
+++ b/tools/repairs.py
@@ -67,7 +67,11 @@
 
 
 def analyze_events(events: Sequence[LogEvent]) -> RecoveryStats:
-    """Summarize a run; replicas formed before the first loss are its start."""
+    """Return the durations and counts of a run.
+
+    Replicas placed before the first loss belong to the start of the run; their
+    formation is not measured.
+    """
     replicas = _replay(events)
     stats = RecoveryStats()
     stop_times = [
