--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -3,8 +3,8 @@
 Usage: python -m tools.ablation --bench=PROGRAM --sites=FILE,... --work=FOLDER
 [--seeds=N,...] [--only=NAME,...] DAY...
 Each mechanism is disabled by an edit in a clone of this checkout under --work;
-all clones run the same scenarios and seeds as an unmodified one. The table gives
-the score lost without the mechanism, with its confidence interval.
+all clones run the same scenarios and seeds as an unmodified one. The table
+gives the score lost without the mechanism, with its confidence interval.
 """
 
 import shutil
@@ -226,7 +226,8 @@
     figures = (
         'too few runs'
         if difference is None
-        else f'{difference.mean:+.3f} [{difference.low:+.3f}, {difference.high:+.3f}]'
+        else f'{difference.mean:+.3f} '
+        f'[{difference.low:+.3f}, {difference.high:+.3f}]'
     )
     sys.stdout.write(
         f'| {mechanism.name} | {site.stem} | {len(pairs)} | {figures} | '
--- a/tools/bench/_policies.py
+++ b/tools/bench/_policies.py
@@ -1,4 +1,4 @@
-"""Compare routing policies with delayed reports, a slow and a failed replica."""
+"""Compare routing policies with late reports, a slow and a failed replica."""
 
 import tempfile
 from pathlib import Path
--- a/tools/local_cluster.py
+++ b/tools/local_cluster.py
@@ -233,7 +233,7 @@
             }
 
     def _platform_address(self, domain: str) -> Address:
-        """Return the platform address for a domain, its own proxy if it has one."""
+        """Return the platform address, or that of the proxy of the domain."""
         link = f'platform-{domain}'
         if link in self.options.proxied:
             self.addresses[link] = self.addresses['platform']
--- a/tools/losses.py
+++ b/tools/losses.py
@@ -2,9 +2,9 @@
 
 Usage: python -m tools.losses --log=FILE [--report=FILE] [--plot=FILE]
 [--seconds=N]. The log is the benchmark's output with --log all; nodes log
-every request if 'log_successes' is 1 in deploy/node.json. With --report the costs
-in the benchmark report are printed too. The ideal detects every failure at once
-and has capacity for all requests: it serves everything in time.
+every request if 'log_successes' is 1 in deploy/node.json. With --report the
+costs in the benchmark report are printed too. The ideal detects every failure at
+once and has capacity for all requests: it serves everything in time.
 """
 
 import json
@@ -116,8 +116,8 @@
         received = causes.total()
         lost = received - causes.pop(_IN_TIME, 0)
         _print_line(
-            f'{second:5} {model:14} open {open_counts[model]:3} received {received:4} '
-            f'lost {lost:4} {_format_causes(causes)}',
+            f'{second:5} {model:14} open {open_counts[model]:3} '
+            f'received {received:4} lost {lost:4} {_format_causes(causes)}',
         )
 
 
--- a/tools/pairs.py
+++ b/tools/pairs.py
@@ -2,8 +2,8 @@
 
 Usage: python -m tools.pairs --bench=PROGRAM --sites=FILE,... --before=CHECKOUT
 --after=CHECKOUT [--seeds=N,...] DAY...
-Processor time is not charged unless --cpu is given. Two runs of one scenario and
-seed differ by 0.1 and more in score, so a single pair is not conclusive.
+Processor time is not charged unless --cpu is given. Two runs of one scenario
+and seed differ by 0.1 and more in score, so a single pair is not conclusive.
 """
 
 import sys
@@ -111,7 +111,8 @@
         return
     sys.stdout.write(
         f'mean difference of {count} pairs: {difference.mean:+.3f} '
-        f'[{difference.low:+.3f}, {difference.high:+.3f}]: {difference.verdict}\n',
+        f'[{difference.low:+.3f}, {difference.high:+.3f}]: '
+        f'{difference.verdict}\n',
     )
 
 
--- a/tools/play.py
+++ b/tools/play.py
@@ -18,7 +18,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Run and print the scenarios; return 1 if a run violated a rule, else 0."""
+    """Run the scenarios; return 1 if a run violated a rule, else 0."""
     checkout = Path.cwd()
     bench = Benchmark(Path(_FLAGS.bench), _FLAGS.why, _FLAGS.jobs)
     bench.build([checkout])
--- a/tools/plays.py
+++ b/tools/plays.py
@@ -40,12 +40,12 @@
 
     @property
     def worth(self) -> float | None:
-        """Return the score: value earned minus costs, as a share of that due."""
+        """Return the score: value earned minus costs, by value due."""
         return self.report.get('G')
 
     @property
     def violations(self) -> str:
-        """Return the violated rules with their counts, empty if there are none."""
+        """Return the violated rules with counts, empty if there are none."""
         if not self.report:
             return f'not run: {self.log[-_ERROR_TAIL_CHARACTERS:]}'
         violated = {**self.report['breaks'], **self._process_faults()}
--- a/tools/repairs.py
+++ b/tools/repairs.py
@@ -165,11 +165,11 @@
 
 def report_lines(stats: RecoveryStats) -> Iterator[str]:
     """Yield the lines of the report."""
-    yield f'first evidence to stop: {_format_quantiles(stats.detection_seconds)}'
-    yield f'placement to open without a load: {_format_quantiles(stats.reuse_seconds)}'
-    yield f'placement to open with loads: {_format_quantiles(stats.load_seconds)}'
+    yield f'first evidence to stop: {_quantiles(stats.detection_seconds)}'
+    yield f'placement to open without a load: {_quantiles(stats.reuse_seconds)}'
+    yield f'placement to open with loads: {_quantiles(stats.load_seconds)}'
     yield f'placed but never opened: {stats.never_opened}'
-    yield f'longest pause of resumed streams: {_format_quantiles(stats.stream_pauses)}'
+    yield f'longest pause of resumed streams: {_quantiles(stats.stream_pauses)}'
     yield f'checks of members that were all alive: {stats.false_alarms}'
     yield 'open replicas by second, from the first opening:'
     for second, models in stats.open_by_second.items():
@@ -177,7 +177,7 @@
         yield f'{second:5} {models.total():3} {counts}'
 
 
-def _format_quantiles(seconds: Sequence[float]) -> str:
+def _quantiles(seconds: Sequence[float]) -> str:
     if not seconds:
         return 'none'
     ranked = sorted(seconds)
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -2,8 +2,8 @@
 
 Usage: python -m tools.slopes FILE...
 FILE is the output of ``fleetbench sweep`` for one deployment, which is named
-after the file without its extension. It replaces the section between the markers
-of the deployment, or is appended after the last section.
+after the file without its extension. It replaces the section between the
+markers of the deployment, or is appended after the last section.
 """
 
 import re
--- a/tools/sweep.py
+++ b/tools/sweep.py
@@ -2,9 +2,9 @@
 
 Usage: python -m tools.sweep [--seeds=N] [--large=N --small=N] [--surge=X]
 [--slowness=X]
-All policies run with the same seeds. The table shows the mean utility of each and
-its difference from in-flight counts alone, with the confidence interval. The last
-line shows the run time and memory use of the simulation.
+All policies run with the same seeds. The table shows the mean utility of each
+and its difference from in-flight counts alone, with the confidence interval.
+The last line shows the run time and memory use of the simulation.
 """
 
 import random
@@ -101,7 +101,10 @@
     )
     difference = ''
     if comparison is not None and policy_results is not baseline:
-        difference = f'{comparison.mean:+.3f} [{comparison.low:+.3f}, {comparison.high:+.3f}]'
+        difference = (
+            f'{comparison.mean:+.3f} '
+            f'[{comparison.low:+.3f}, {comparison.high:+.3f}]'
+        )
     shares = ' '.join(
         f'{outcome.value} {policy_results.share(outcome):.3f}'
         for outcome in Outcome
@@ -117,7 +120,8 @@
         / _KILOBYTES_PER_MEGABYTE
     )
     _print_line(
-        f'{runs} runs of {SIMULATED_SECONDS} s took {seconds:.1f} s and {memory_mb:.0f} MB',
+        f'{runs} runs of {SIMULATED_SECONDS} s '
+        f'took {seconds:.1f} s and {memory_mb:.0f} MB',
     )
 
 
